--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -33,13 +33,20 @@
         let (told, replies) = unbounded();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                let Ok(reply) = serde_json::from_str(&line) else { return };
+                let Ok(reply) = serde_json::from_str(&line) else {
+                    return;
+                };
                 if told.send(reply).is_err() {
                     return;
                 }
             }
         });
-        let mut child = Self { process, input, replies, name: name.to_owned() };
+        let mut child = Self {
+            process,
+            input,
+            replies,
+            name: name.to_owned(),
+        };
         child.write(start)?;
         Ok(child)
     }
@@ -62,7 +69,9 @@
 
     /// Its next reply.
     pub fn reply(&self, within: Duration) -> Result<Reply, String> {
-        self.replies.recv_timeout(within).map_err(|fault| format!("{}: no reply: {fault}", self.name))
+        self.replies
+            .recv_timeout(within)
+            .map_err(|fault| format!("{}: no reply: {fault}", self.name))
     }
 }
 
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -25,7 +25,9 @@
 impl Counts {
     /// No count yet.
     pub fn new() -> Self {
-        Self { shards: (0..SHARDS).map(|_| Shard::default()).collect() }
+        Self {
+            shards: (0..SHARDS).map(|_| Shard::default()).collect(),
+        }
     }
 
     /// Adds to a count and returns its total.
@@ -41,7 +43,10 @@
 /// The answer to a call.
 pub fn answer(total: f64) -> String {
     let body = total.to_string();
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Serves until it is told to finish.
@@ -56,7 +61,9 @@
     for command in stand_in::commands() {
         match command {
             Command::Cut { zones: cut, silent } => {
-                cut.iter().filter_map(|zone| zones.get(*zone as usize)).for_each(|z| z.set_silent(silent));
+                cut.iter()
+                    .filter_map(|zone| zones.get(*zone as usize))
+                    .for_each(|z| z.set_silent(silent));
             }
             Command::Report => stand_in::reply(&load(&zones))?,
             Command::Finish => break,
@@ -74,7 +81,11 @@
     let mut reader = Reader::new(stream);
     loop {
         let ask = reader.request()?;
-        let headers: usize = ask.headers.iter().map(|(name, value)| name.len() + value.len() + 4).sum();
+        let headers: usize = ask
+            .headers
+            .iter()
+            .map(|(name, value)| name.len() + value.len() + 4)
+            .sum();
         zone.call(ask.method.len() + ask.target.len() + 12 + headers + 2);
         while zone.is_silent() {
             std::thread::sleep(SILENT_POLL);
@@ -91,6 +102,8 @@
 /// Name and amount of a call.
 fn addition(target: &str) -> Option<(u64, f64)> {
     let (name, query) = target.strip_prefix("/v1/count/")?.split_once('?')?;
-    let by = query.split('&').find_map(|pair| pair.strip_prefix("add="))?;
+    let by = query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix("add="))?;
     Some((name.parse().ok()?, by.parse().ok()?))
 }
--- a/lab/src/predictions.rs
+++ b/lab/src/predictions.rs
@@ -38,14 +38,24 @@
     /// Compares the figures of a scenario with what its report shows.
     pub fn compare(&self, scenario: &str, report: &Value) -> Vec<Comparison> {
         let figures = self.0.get(scenario).into_iter().flatten();
-        figures.map(|(figure, predicted)| compare(figure, *predicted, report)).collect()
+        figures
+            .map(|(figure, predicted)| compare(figure, *predicted, report))
+            .collect()
     }
 }
 
 fn compare(figure: &str, predicted: f64, report: &Value) -> Comparison {
     let pointer = format!("/{}", figure.replace('.', "/"));
     let seen = report.pointer(&pointer).and_then(Value::as_f64);
-    let ratio = seen.filter(|_| predicted != 0.0).map(|seen| seen / predicted);
+    let ratio = seen
+        .filter(|_| predicted != 0.0)
+        .map(|seen| seen / predicted);
     let agrees = seen.is_some_and(|seen| (seen - predicted).abs() <= TOLERANCE * predicted.abs());
-    Comparison { figure: figure.to_owned(), predicted, seen, ratio, agrees }
+    Comparison {
+        figure: figure.to_owned(),
+        predicted,
+        seen,
+        ratio,
+        agrees,
+    }
 }
--- a/lab/src/real_files.rs
+++ b/lab/src/real_files.rs
@@ -49,7 +49,8 @@
             (path(units), operation)
         };
         let paths: serde_json::Map<String, Value> = (1..=self.most_units).map(operation).collect();
-        let class = json!({"aim-ms": 1_000, "deadline-ms": 2_000, "worth": 1, "x-quota-effect": "safe"});
+        let class =
+            json!({"aim-ms": 1_000, "deadline-ms": 2_000, "worth": 1, "x-quota-effect": "safe"});
         let description = json!({
             "openapi": "3.0.3",
             "info": {"title": "Scale run", "version": "1.0.0"},
@@ -63,14 +64,23 @@
     /// Writes the configuration of one process, with so many entries beyond the upstream servers.
     pub fn write_configuration(&self, place: &Place, further: u32) -> Result<(), String> {
         let node = |(number, port): (usize, &u16)| json!({"name": format!("server-{number}"), "address": format!("127.0.0.1:{port}")});
-        let servers = self.upstream.iter().cycle().take(self.upstream.len() + further as usize);
+        let servers = self
+            .upstream
+            .iter()
+            .cycle()
+            .take(self.upstream.len() + further as usize);
         let plans = self.population.plans.iter().enumerate().map(
             |(number, plan)| json!({"name": format!("plan-{number}"), "rate": plan.rate, "burst": plan.burst}),
         );
-        let accounts = self.population.tenants.iter().enumerate().map(|(number, tenant)| {
-            json!({"name": account(number), "plan": format!("plan-{}", tenant.plan),
+        let accounts = self
+            .population
+            .tenants
+            .iter()
+            .enumerate()
+            .map(|(number, tenant)| {
+                json!({"name": account(number), "plan": format!("plan-{}", tenant.plan),
                    "spread": tenant.spread, "first": tenant.first})
-        });
+            });
         let configuration = json!({
             "name": format!("real-{}", place.number),
             "listen": format!("127.0.0.1:{}", place.port),
@@ -100,6 +110,7 @@
 /// Replaces the file at once, so that nobody reads half of it.
 fn write(file: &Path, value: &Value) -> Result<(), String> {
     let new = file.with_extension("new");
-    let written = std::fs::write(&new, value.to_string()).and_then(|()| std::fs::rename(&new, file));
+    let written =
+        std::fs::write(&new, value.to_string()).and_then(|()| std::fs::rename(&new, file));
     written.map_err(|fault| format!("{}: {fault}", file.display()))
 }
--- a/lab/src/server_list.rs
+++ b/lab/src/server_list.rs
@@ -43,7 +43,10 @@
 impl ServerList {
     /// A list of which every server is in service. Its first version is 1.
     pub fn new(servers: u32, services: u32, zones: u32, seed: u64) -> Self {
-        let entry = Entry { lifecycle: Lifecycle::InService, started_at_ms: 0 };
+        let entry = Entry {
+            lifecycle: Lifecycle::InService,
+            started_at_ms: 0,
+        };
         let mut list = Self {
             entries: vec![entry; servers as usize],
             services,
@@ -78,17 +81,29 @@
         let count = (count as usize).min(self.entries.len());
         let changed: Vec<usize> = sample(&mut self.rng, self.entries.len(), count).into_vec();
         for number in &changed {
-            self.entries[*number] = Entry { lifecycle: Lifecycle::InService, started_at_ms: now_ms };
+            self.entries[*number] = Entry {
+                lifecycle: Lifecycle::InService,
+                started_at_ms: now_ms,
+            };
         }
         self.publish(&changed);
     }
 
     /// Takes a zone's servers out of service, or back in.
     pub fn set_zone(&mut self, zone: u32, in_service: bool, now_ms: u64) {
-        let lifecycle = if in_service { Lifecycle::InService } else { Lifecycle::Terminated };
-        let changed: Vec<usize> = (zone as usize..self.entries.len()).step_by(self.zones as usize).collect();
+        let lifecycle = if in_service {
+            Lifecycle::InService
+        } else {
+            Lifecycle::Terminated
+        };
+        let changed: Vec<usize> = (zone as usize..self.entries.len())
+            .step_by(self.zones as usize)
+            .collect();
         for number in &changed {
-            self.entries[*number] = Entry { lifecycle, started_at_ms: now_ms };
+            self.entries[*number] = Entry {
+                lifecycle,
+                started_at_ms: now_ms,
+            };
         }
         self.publish(&changed);
     }
@@ -105,9 +120,15 @@
     }
 
     fn text(&self, reset: bool, numbers: impl Iterator<Item = usize>) -> Arc<str> {
-        let mut text = format!("{{\"generation\":{},\"reset\":{reset},\"instances\":[", self.generation);
+        let mut text = format!(
+            "{{\"generation\":{},\"reset\":{reset},\"instances\":[",
+            self.generation
+        );
         for (place, number) in numbers.enumerate() {
-            let Entry { lifecycle, started_at_ms } = self.entries[number];
+            let Entry {
+                lifecycle,
+                started_at_ms,
+            } = self.entries[number];
             let comma = if place > 0 { "," } else { "" };
             let (high, low) = (number / 250, number % 250 + 1);
             let (zone, cell) = (number as u32 % self.zones, number as u32 % self.services);
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -89,13 +89,18 @@
 
 /// Starts a thread with a small stack.
 pub fn spawn(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().stack_size(STACK_BYTES).spawn(work).map(drop)
+    thread::Builder::new()
+        .stack_size(STACK_BYTES)
+        .spawn(work)
+        .map(drop)
 }
 
 /// Reads what this child is told first.
 pub fn read_start() -> Result<Start, String> {
     let mut line = String::new();
-    io::stdin().read_line(&mut line).map_err(|fault| fault.to_string())?;
+    io::stdin()
+        .read_line(&mut line)
+        .map_err(|fault| fault.to_string())?;
     serde_json::from_str(&line).map_err(|fault| format!("start of a child: {fault}"))
 }
 
@@ -109,5 +114,7 @@
 pub fn reply(reply: &Reply) -> Result<(), String> {
     let line = serde_json::to_string(reply).map_err(|fault| fault.to_string())?;
     let mut out = io::stdout().lock();
-    writeln!(out, "{line}").and_then(|()| out.flush()).map_err(|fault| fault.to_string())
+    writeln!(out, "{line}")
+        .and_then(|()| out.flush())
+        .map_err(|fault| fault.to_string())
 }
--- a/lab/src/summary.rs
+++ b/lab/src/summary.rs
@@ -23,6 +23,11 @@
             let place = (values.len() as f64 * part).ceil() as usize;
             values.get(place.max(1) - 1).copied().unwrap_or(0.0)
         };
-        Self { count: values.len(), median: at(0.5), p99: at(0.99), max: at(1.0) }
+        Self {
+            count: values.len(),
+            median: at(0.5),
+            p99: at(0.99),
+            max: at(1.0),
+        }
     }
 }
--- a/src/bin/mossrill-allocator.rs
+++ b/src/bin/mossrill-allocator.rs
@@ -21,7 +21,8 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let drain = slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(std::io::stderr())).build();
+    let drain =
+        slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(std::io::stderr())).build();
     let log = Logger::root(drain.fuse(), o!());
     match run(&arguments, &log) {
         Ok(()) => ExitCode::SUCCESS,
@@ -34,8 +35,10 @@
 
 fn run(arguments: &Arguments, log: &Logger) -> Result<(), String> {
     // Before anything listens: the signal to stop may come at any time.
-    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|fault| format!("signals: {fault}"))?;
-    let config = AllocatorConfig::from_file(&arguments.config).map_err(|fault| fault.to_string())?;
+    let mut signals =
+        Signals::new([SIGTERM, SIGINT]).map_err(|fault| format!("signals: {fault}"))?;
+    let config =
+        AllocatorConfig::from_file(&arguments.config).map_err(|fault| fault.to_string())?;
     let server = Server::start(config, log).map_err(|fault| fault.to_string())?;
     signals.forever().next();
     info!(log, "told to stop");
--- a/src/bin/mossrill-simhost.rs
+++ b/src/bin/mossrill-simhost.rs
@@ -41,7 +41,9 @@
                     Ok(gateway) => {
                         self.instances.insert(number, Instance { gateway, names });
                     }
-                    Err(_) => self.reply.push(wire::write_fault(number, "panic at the start")),
+                    Err(_) => self
+                        .reply
+                        .push(wire::write_fault(number, "panic at the start")),
                 }
             }
             Line::Stop(number) => {
@@ -50,15 +52,20 @@
             Line::Event(number, event) => {
                 let now = self.now;
                 let actions = &mut self.actions;
-                let Some(instance) = self.instances.get_mut(&number) else { return Ok(false) };
+                let Some(instance) = self.instances.get_mut(&number) else {
+                    return Ok(false);
+                };
                 let run = AssertUnwindSafe(|| instance.gateway.on_event(now, event, actions));
                 if let Err(panic) = catch_unwind(run) {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
-                    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+                    let text = text
+                        .or(panic.downcast_ref::<&str>().copied())
+                        .unwrap_or("panic");
                     self.reply.push(wire::write_fault(number, text));
                     actions.clear();
                 }
-                self.reply.extend(actions.drain(..).map(|a| wire::write(number, &a)));
+                self.reply
+                    .extend(actions.drain(..).map(|a| wire::write(number, &a)));
             }
         }
         Ok(false)
@@ -77,9 +84,15 @@
         }
         if host.take(&text).map_err(fault)? {
             let mut reply = host.reply.join("\n");
-            reply.push_str(if reply.is_empty() { "[\"next\"]\n" } else { "\n[\"next\"]\n" });
+            reply.push_str(if reply.is_empty() {
+                "[\"next\"]\n"
+            } else {
+                "\n[\"next\"]\n"
+            });
             host.reply.clear();
-            out.write_all(reply.as_bytes()).and_then(|()| out.flush()).map_err(|e| e.to_string())?;
+            out.write_all(reply.as_bytes())
+                .and_then(|()| out.flush())
+                .map_err(|e| e.to_string())?;
         }
     }
     Ok(())
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -26,7 +26,8 @@
 
 fn faults(path: &Path) -> Result<(), ConfigurationError> {
     let text = configuration::read(path)?;
-    let is_platform = serde_json::from_str(&text).is_ok_and(|value: Value| value.get(PLATFORM_KEY).is_some());
+    let is_platform =
+        serde_json::from_str(&text).is_ok_and(|value: Value| value.get(PLATFORM_KEY).is_some());
     if is_platform {
         configuration::platform(path, &text)?;
     } else {
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -28,8 +28,10 @@
 
 /// Reads a file as UTF-8.
 pub fn read(path: &Path) -> Result<String, ConfigurationError> {
-    fs::read_to_string(path)
-        .map_err(|fault| ConfigurationError::Unreadable { path: path.display().to_string(), fault })
+    fs::read_to_string(path).map_err(|fault| ConfigurationError::Unreadable {
+        path: path.display().to_string(),
+        fault,
+    })
 }
 
 /// The configuration of a limiter with an OpenAPI front; its description stands beside the file.
@@ -44,5 +46,8 @@
 }
 
 fn invalid(path: &Path, fault: config::Fault) -> ConfigurationError {
-    ConfigurationError::Invalid { path: path.display().to_string(), fault }
+    ConfigurationError::Invalid {
+        path: path.display().to_string(),
+        fault,
+    }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -48,7 +48,10 @@
         return start::start(None);
     }
     match Arguments::parse() {
-        Arguments { command: Some(Command::Check { file }), .. } => check::check(&file),
+        Arguments {
+            command: Some(Command::Check { file }),
+            ..
+        } => check::check(&file),
         Arguments { file, .. } => start::start(file),
     }
 }
--- a/src/cli/start.rs
+++ b/src/cli/start.rs
@@ -33,7 +33,8 @@
 
 /// Runs a limiter with this file, or with the one that EDGE_CONFIG names, until it is stopped.
 pub fn start(file: Option<PathBuf>) -> ExitCode {
-    let drain = slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(io::stderr())).build();
+    let drain =
+        slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(io::stderr())).build();
     let log = Logger::root(drain.fuse(), o!());
     match run(file, &log) {
         Ok(()) => ExitCode::SUCCESS,
