--- a/src/openapi/node_calls.rs
+++ b/src/openapi/node_calls.rs
@@ -109,7 +109,12 @@
         let head = loop {
             match reader.response() {
                 Ok(head) if head.status < 200 => {}
-                Ok(head) if call.method == "HEAD" => break Head { body: Body::Empty, ..head },
+                Ok(head) if call.method == "HEAD" => {
+                    break Head {
+                        body: Body::Empty,
+                        ..head
+                    }
+                }
                 Ok(head) => break head,
                 Err(fault) => return broke(&fault),
             }
@@ -126,11 +131,23 @@
                     return Exchange::broke(Outcome::Error);
                 }
                 let (ended, passed) = bounded(1);
-                begins(HttpServed { head, body: HttpBody::Long(HttpLong { reader, length, ended }) });
+                begins(HttpServed {
+                    head,
+                    body: HttpBody::Long(HttpLong {
+                        reader,
+                        length,
+                        ended,
+                    }),
+                });
                 match passed.recv() {
                     Ok(Some(drained)) => {
                         let keep = keeps && drained && from.stream.set_read_timeout(None).is_ok();
-                        Exchange { outcome, load: Vec::new(), value: None, keep }
+                        Exchange {
+                            outcome,
+                            load: Vec::new(),
+                            value: None,
+                            keep,
+                        }
                     }
                     Ok(None) => Exchange::broke(Outcome::Reset),
                     // The agent's doing, or nobody wanted it.
@@ -140,8 +157,16 @@
             _ => match reader.body(form, LONGEST_ANSWER) {
                 Ok(body) => {
                     let keep = keeps && form != Body::ToEnd && reader.drained();
-                    let value = Some(HttpServed { head, body: HttpBody::Whole(body) });
-                    Exchange { outcome, load: Vec::new(), value, keep }
+                    let value = Some(HttpServed {
+                        head,
+                        body: HttpBody::Whole(body),
+                    });
+                    Exchange {
+                        outcome,
+                        load: Vec::new(),
+                        value,
+                        keep,
+                    }
                 }
                 Err(fault) => broke(&fault),
             },
@@ -181,10 +206,14 @@
 pub fn write_headers(to: &mut Vec<u8>, headers: &Headers, others: &[&str]) -> io::Result<()> {
     let is = |name: &str, other: &str| name.eq_ignore_ascii_case(other);
     let listed = headers.iter().filter(|(name, _)| is(name, "connection"));
-    let listed: Vec<&[u8]> = listed.flat_map(|(_, value)| value.split(|b| *b == b',')).collect();
+    let listed: Vec<&[u8]> = listed
+        .flat_map(|(_, value)| value.split(|b| *b == b','))
+        .collect();
     for (name, value) in headers {
         let own = OWN.iter().chain(others).any(|own| is(name, own))
-            || listed.iter().any(|word| word.trim_ascii().eq_ignore_ascii_case(name.as_bytes()));
+            || listed
+                .iter()
+                .any(|word| word.trim_ascii().eq_ignore_ascii_case(name.as_bytes()));
         if !own {
             write!(to, "{name}: ")?;
             to.extend_from_slice(value);
--- a/src/openapi/strict.rs
+++ b/src/openapi/strict.rs
@@ -47,23 +47,32 @@
     // Counts from the start of the text: for faults alone, or a long description takes the square of its length.
     let line = |value: &RawValue| {
         let offset = value.get().as_ptr() as usize - text.as_ptr() as usize;
-        1 + text.as_bytes()[..offset].iter().filter(|b| **b == b'\n').count()
+        1 + text.as_bytes()[..offset]
+            .iter()
+            .filter(|b| **b == b'\n')
+            .count()
     };
     match part.trim_start().as_bytes().first() {
         Some(b'{') => {
-            let Ok(Entries(entries)) = serde_json::from_str(part) else { return };
+            let Ok(Entries(entries)) = serde_json::from_str(part) else {
+                return;
+            };
             let mut seen = HashMap::new();
             for (key, value) in entries {
                 let here = format!("{path}/{}", key.replace('~', "~0").replace('/', "~1"));
                 if let Some(before) = seen.insert(key, value) {
                     let (first, second) = (line(before), line(value));
-                    faults.push(format!("{here} stands twice, in lines {first} and {second}"));
+                    faults.push(format!(
+                        "{here} stands twice, in lines {first} and {second}"
+                    ));
                 }
                 find_twice(text, value.get(), &here, faults);
             }
         }
         Some(b'[') => {
-            let Ok(values) = serde_json::from_str::<Vec<&RawValue>>(part) else { return };
+            let Ok(values) = serde_json::from_str::<Vec<&RawValue>>(part) else {
+                return;
+            };
             for (at, value) in values.into_iter().enumerate() {
                 find_twice(text, value.get(), &format!("{path}/{at}"), faults);
             }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -73,7 +73,9 @@
         let gain = (1.0 / (self.tries + 8.0)).max(CLASS_GAIN / 4.0);
         self.budgets.iter_mut().for_each(|b| *b *= 1.0 - gain);
         self.budgets[at] += gain;
-        let usual = (0..16).max_by(|a, b| self.budgets[*a].total_cmp(&self.budgets[*b])).unwrap_or(0);
+        let usual = (0..16)
+            .max_by(|a, b| self.budgets[*a].total_cmp(&self.budgets[*b]))
+            .unwrap_or(0);
         let later = at + 1 < usual && self.budgets[usual] > 1.0 / 3.0;
         deadline.saturating_sub(budget) * u64::from(later)
     }
@@ -134,9 +136,16 @@
     /// A gateway that knows nothing yet.
     pub fn new(mut cfg: Settings, seed: u64) -> Self {
         // A plan with a cap on attempts out alone has a store of places.
-        cfg.plans.iter_mut().filter(|p| p.rate <= 0.0).for_each(|p| p.burst = f64::from(p.open));
-        let pace = |c: &Class| Pace { mean: c.aim.max(8) as f64 / 4.0, ..Pace::default() };
-        let worth = cfg.classes.iter().map(|c| c.worth).sum::<f64>() / cfg.classes.len().max(1) as f64;
+        cfg.plans
+            .iter_mut()
+            .filter(|p| p.rate <= 0.0)
+            .for_each(|p| p.burst = f64::from(p.open));
+        let pace = |c: &Class| Pace {
+            mean: c.aim.max(8) as f64 / 4.0,
+            ..Pace::default()
+        };
+        let worth =
+            cfg.classes.iter().map(|c| c.worth).sum::<f64>() / cfg.classes.len().max(1) as f64;
         Self {
             mean_worth: worth,
             price: worth / 8.0,
@@ -158,8 +167,12 @@
     pub fn on_event(&mut self, now: Micros, event: Event, act: &mut Vec<Action>) {
         if !self.ticking {
             // Gateways that start together must not tell the counter together ever after.
-            (self.ticking, self.second) = (true, now.saturating_sub(self.rng.u64(0..SECOND as Micros)));
-            act.push(Action::Timer { after: self.step(), token: 0 });
+            (self.ticking, self.second) =
+                (true, now.saturating_sub(self.rng.u64(0..SECOND as Micros)));
+            act.push(Action::Timer {
+                after: self.step(),
+                token: 0,
+            });
             if self.cfg.must_ask {
                 act.push(Action::Watch);
             }
@@ -173,8 +186,14 @@
             Event::Gone { id } => self.finish(&id, End::Told, act),
             Event::Timer { .. } => self.tick(now, act),
             Event::Probed { .. } | Event::Peer { .. } => {}
-            Event::Counted { name, total, outcome } => self.counted(now, name, total, outcome),
-            Event::Leased { id, granted: true } => _ = self.held.entry(id).and_modify(|h| h.leased = true),
+            Event::Counted {
+                name,
+                total,
+                outcome,
+            } => self.counted(now, name, total, outcome),
+            Event::Leased { id, granted: true } => {
+                _ = self.held.entry(id).and_modify(|h| h.leased = true)
+            }
             Event::Leased { id, granted: false } => self.finish(&id, End::Turned, act),
         }
         self.dispatch(now, act);
@@ -188,13 +207,23 @@
         if p.rate > 0.0 {
             return p.rate;
         }
-        let aim = self.cfg.classes.iter().map(|c| c.aim).max().unwrap_or(0).max(1) as f64;
+        let aim = self
+            .cfg
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .max()
+            .unwrap_or(0)
+            .max(1) as f64;
         (f64::from(p.open) * SECOND / aim).max(1e-3)
     }
 
     fn admit(&mut self, now: Micros, request: Request, act: &mut Vec<Action>) {
         if request.class >= self.cfg.classes.len() || request.plan >= self.cfg.plans.len() {
-            act.push(Action::Refuse { id: request.id, after: 0 });
+            act.push(Action::Refuse {
+                id: request.id,
+                after: 0,
+            });
             return;
         }
         let (step, class) = (self.step(), &self.cfg.classes[request.class]);
@@ -203,7 +232,10 @@
         // A later try whose first is past its aim earns nothing, one with less time than a look takes is lost
         // if kept, and with every server taken out there is none to wait for: all are refused at once.
         if request.budget < 4 * step || (late && class.late_worth <= 0.0) || self.all_out() {
-            act.push(Action::Refuse { id: request.id, after: self.come_back() });
+            act.push(Action::Refuse {
+                id: request.id,
+                after: self.come_back(),
+            });
             return;
         }
         let aim = if late { class.aim } else { class.aim - elapsed };
@@ -219,7 +251,9 @@
             self.customers.insert(request.customer.clone(), fresh);
         }
         let share = weight / self.active.max(weight);
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        let Some(customer) = self.customers.get_mut(&request.customer) else {
+            return;
+        };
         (customer.last_seen, customer.parts) = (now, parts);
         self.mean_worth += CLASS_GAIN * (worth - self.mean_worth);
         // Paper (5), (6), (12): S = max{v, F + delay/φ}, F = S + cost/φ.
@@ -230,13 +264,26 @@
         let tag = (start.max(0.0).to_bits(), self.arrivals);
         let id = request.id.clone();
         self.queue.insert((tag, id.clone()));
-        let charge = if self.cfg.plans[request.plan].rate > 0.0 { request.units } else { 1.0 };
+        let charge = if self.cfg.plans[request.plan].rate > 0.0 {
+            request.units
+        } else {
+            1.0
+        };
         customer.waiting.push(id.clone());
         let (name, plan, units) = (request.customer.clone(), request.plan, request.units);
-        self.held.insert(id.clone(), Held::new(request, (worth, charge), (aim_at, deadline), tag));
+        self.held.insert(
+            id.clone(),
+            Held::new(request, (worth, charge), (aim_at, deadline), tag),
+        );
         // The holder of leases says at once what there are no units for.
         match self.cfg.leased {
-            true => act.push(Action::Lease { id, customer: name, plan, spread, units }),
+            true => act.push(Action::Lease {
+                id,
+                customer: name,
+                plan,
+                spread,
+                units,
+            }),
             false => self.cut_backlog(now, &name, act),
         }
     }
@@ -246,13 +293,27 @@
     fn cut_backlog(&mut self, now: Micros, name: &CustomerId, act: &mut Vec<Action>) {
         let (usable, pace) = (self.counter_usable(), self.mean_pace().max(1.0));
         let hold = (self.shortest_aim() - pace).max(0.0) / 2.0;
-        let Some(customer) = self.customers.get_mut(name).filter(|c| c.waiting.len() > 1) else { return };
+        let Some(customer) = self.customers.get_mut(name).filter(|c| c.waiting.len() > 1) else {
+            return;
+        };
         let plan = &self.cfg.plans[customer.plan];
         customer.fill(now, plan, usable);
-        let filled = if plan.open > 0 { f64::from(plan.open) / pace } else { plan.rate / SECOND };
+        let filled = if plan.open > 0 {
+            f64::from(plan.open) / pace
+        } else {
+            plan.rate / SECOND
+        };
         let reach = customer.level.max(0.0) + filled * hold / customer.parts + 1.0;
-        let waiting = || customer.waiting.iter().rev().filter_map(|id| self.held.get(id));
-        let least = waiting().min_by(|a, b| a.worth.total_cmp(&b.worth)).map(|h| h.request.id.clone());
+        let waiting = || {
+            customer
+                .waiting
+                .iter()
+                .rev()
+                .filter_map(|id| self.held.get(id))
+        };
+        let least = waiting()
+            .min_by(|a, b| a.worth.total_cmp(&b.worth))
+            .map(|h| h.request.id.clone());
         let units = waiting().map(|h| if plan.open > 0 { 1.0 } else { h.charge });
         if let Some(id) = least.filter(|_| units.sum::<f64>() > reach) {
             self.finish(&id, End::Turned, act);
@@ -268,13 +329,20 @@
             if !self.has_room(now) {
                 break;
             }
-            let held = self.held.get(&id).filter(|h| !blocked.contains(&h.request.customer));
-            let Some(customer) = held.map(|h| h.request.customer.clone()) else { continue };
+            let held = self
+                .held
+                .get(&id)
+                .filter(|h| !blocked.contains(&h.request.customer));
+            let Some(customer) = held.map(|h| h.request.customer.clone()) else {
+                continue;
+            };
             match self.within_quota(now, &id) {
                 Verdict::Wait => _ = blocked.insert(customer),
                 Verdict::Turn => self.finish(&id, End::Turned, act),
                 Verdict::Send => {
-                    let Some(server) = self.choose(now, &id) else { continue };
+                    let Some(server) = self.choose(now, &id) else {
+                        continue;
+                    };
                     self.virtual_time = self.virtual_time.max(f64::from_bits(tag));
                     self.send(now, &id, server, act);
                 }
@@ -294,23 +362,37 @@
     /// The synced quota check, at the first send. Where others may have taken what seems left, it asks for a
     /// fresh total first and the request waits one call of the counter.
     fn within_quota(&mut self, now: Micros, id: &RequestId) -> Verdict {
-        let Some(held) = self.held.get(id) else { return Verdict::Wait };
-        let (request, usable, pace) = (&held.request, self.counter_usable(), self.mean_pace().max(1.0));
+        let Some(held) = self.held.get(id) else {
+            return Verdict::Wait;
+        };
+        let (request, usable, pace) = (
+            &held.request,
+            self.counter_usable(),
+            self.mean_pace().max(1.0),
+        );
         let plan = &self.cfg.plans[request.plan];
-        let calm = now.saturating_sub(self.depth_cut) as f64 >= FADE && (self.out as f64) < self.fleet();
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return Verdict::Wait };
+        let calm =
+            now.saturating_sub(self.depth_cut) as f64 >= FADE && (self.out as f64) < self.fleet();
+        let Some(customer) = self.customers.get_mut(&request.customer) else {
+            return Verdict::Wait;
+        };
         if (plan.over_worth > plan.over_cost && calm) || (plan.rate <= 0.0 && plan.open == 0) {
             return Verdict::Send;
         }
         // Places are claimed on the counter; while it can't be asked, each gateway keeps to its part of them.
-        let shared = usable && customer.spread > 1 && now >= self.call_after && self.price < self.mean_worth;
+        let shared =
+            usable && customer.spread > 1 && now >= self.call_after && self.price < self.mean_worth;
         let places = plan.places() && shared && !std::mem::take(&mut customer.blind);
         let own_places = ((f64::from(plan.open) / customer.parts) as u32).max(1);
         if !places && plan.open > 0 && customer.open >= own_places {
             return Verdict::Wait;
         }
         if self.cfg.leased {
-            return if held.leased { Verdict::Send } else { Verdict::Wait };
+            return if held.leased {
+                Verdict::Send
+            } else {
+                Verdict::Wait
+            };
         }
         let age = now.saturating_sub(customer.checked) as f64;
         customer.fill(now, plan, usable);
@@ -326,10 +408,17 @@
             return Verdict::Send;
         }
         let new = customer.answered.is_none();
-        let margin = if new || !usable || customer.spread < 2 { 0.0 } else { MARGIN };
+        let margin = if new || !usable || customer.spread < 2 {
+            0.0
+        } else {
+            MARGIN
+        };
         let enough = customer.level >= request.units + margin;
         // A silent counter: the copy holds a fair part alone, which needs no total.
-        if !usable || customer.spread < 2 || (enough && (new || std::mem::take(&mut customer.blind))) {
+        if !usable
+            || customer.spread < 2
+            || (enough && (new || std::mem::take(&mut customer.blind)))
+        {
             return if enough { Verdict::Send } else { Verdict::Wait };
         }
         let unseen = EAGER * plan.rate * (1.0 - 1.0 / f64::from(customer.spread)) * age / SECOND;
@@ -341,7 +430,8 @@
         if (new || enough) && customer.call.is_none() {
             customer.verify = true;
             customer.wanted = (request.units - customer.granted - customer.doubtful).max(0.0);
-            self.due.insert((false, customer.checked, held.request.customer.clone()));
+            self.due
+                .insert((false, customer.checked, held.request.customer.clone()));
         }
         Verdict::Wait
     }
@@ -350,10 +440,14 @@
     /// request's units are claimed on the counter, in the call that reads it. Where that is worth less than a
     /// call costs now, the request goes by how its plan's claims have fared.
     fn claimed(&mut self, id: &RequestId, callable: bool) -> Verdict {
-        let Some(held) = self.held.get(id) else { return Verdict::Wait };
+        let Some(held) = self.held.get(id) else {
+            return Verdict::Wait;
+        };
         let (request, worth, charge) = (&held.request, held.worth, held.charge);
         let plan = &self.cfg.plans[request.plan];
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return Verdict::Wait };
+        let Some(customer) = self.customers.get_mut(&request.customer) else {
+            return Verdict::Wait;
+        };
         match customer.call {
             _ if customer.granted >= charge => return Verdict::Send,
             Some(_) => return Verdict::Wait,
@@ -369,7 +463,8 @@
         if plan.places() || (!blind && 2.0 * self.rng.f64() * value > self.price) {
             *asked += 2.0 * CLASS_GAIN * (1.0 - *asked);
             customer.verify = true;
-            self.due.insert((false, customer.checked, request.customer.clone()));
+            self.due
+                .insert((false, customer.checked, request.customer.clone()));
             return Verdict::Wait;
         }
         let pressed = (self.strain / STRAIN).min(1.0).powi(2) * self.mean_worth / 2.0;
@@ -382,14 +477,30 @@
     }
 
     /// The one place that sends. The guards are in `may_send`; nothing else emits `Send`.
-    fn send(&mut self, now: Micros, id: &RequestId, server: ServerId, act: &mut Vec<Action>) -> bool {
-        let Some(by) = self.may_send(now, id, &server) else { return false };
-        let cold_store = self.servers.get(&server).map_or(0.0, |s| self.cold_store(now, s) - 1.0);
-        let (Some(held), Some(target)) = (self.held.get_mut(id), self.servers.get_mut(&server)) else {
+    fn send(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        server: ServerId,
+        act: &mut Vec<Action>,
+    ) -> bool {
+        let Some(by) = self.may_send(now, id, &server) else {
+            return false;
+        };
+        let cold_store = self
+            .servers
+            .get(&server)
+            .map_or(0.0, |s| self.cold_store(now, s) - 1.0);
+        let (Some(held), Some(target)) = (self.held.get_mut(id), self.servers.get_mut(&server))
+        else {
             return false;
         };
         let class = &self.cfg.classes[held.request.class];
-        let until = if class.late_worth > 0.0 { held.deadline } else { held.aim_at };
+        let until = if class.late_worth > 0.0 {
+            held.deadline
+        } else {
+            held.aim_at
+        };
         target.out.insert((id.clone(), held.attempts.len()), now);
         (target.cold_store, target.cold_filled) = (cold_store, now);
         if let Some(customer) = self.customers.get_mut(&held.request.customer) {
@@ -401,7 +512,8 @@
             } else if plan.places() || (first && customer.level >= held.charge) {
                 customer.level -= held.charge;
                 customer.pending += held.charge;
-                self.due.insert((true, customer.checked, held.request.customer.clone()));
+                self.due
+                    .insert((true, customer.checked, held.request.customer.clone()));
             }
             if first {
                 customer.waiting.retain(|w| w != id);
@@ -411,10 +523,20 @@
             }
         }
         self.queue.remove(&(held.tag, id.clone()));
-        held.attempts.push(Attempt { server: server.clone(), sent: now, outcome: None, overdue: false });
+        held.attempts.push(Attempt {
+            server: server.clone(),
+            sent: now,
+            outcome: None,
+            overdue: false,
+        });
         self.out += 1;
         self.sends += 1.0;
-        act.push(Action::Send { id: id.clone(), server, timeout: until.saturating_sub(now).max(1), by });
+        act.push(Action::Send {
+            id: id.clone(),
+            server,
+            timeout: until.saturating_sub(now).max(1),
+            by,
+        });
         true
     }
 
@@ -428,7 +550,10 @@
             && held.deadline > now
             && held.attempts.len() < self.cfg.limits.max_attempts.max(1) as usize
             && (self.cfg.limits.second_copies || !held.is_out())
-            && !held.attempts.iter().any(|a| a.outcome.is_none() && a.server == *server)
+            && !held
+                .attempts
+                .iter()
+                .any(|a| a.outcome.is_none() && a.server == *server)
             && by > now
             && self.cold_store(now, target) >= 1.0
             && (!held.attempts.is_empty() || self.under_ceiling(now, &held.request));
@@ -448,39 +573,65 @@
                     Group::Cell => s.cell == target.cell && s.zone == target.zone,
                 });
                 // A tenth of the window is left for the way.
-                a.sent + if same { class.window - class.window / 10 } else { 0 }
+                a.sent
+                    + if same {
+                        class.window - class.window / 10
+                    } else {
+                        0
+                    }
             }
         };
-        held.attempts.iter().filter(|a| a.may_have_run()).map(by).min().unwrap_or(Micros::MAX)
+        held.attempts
+            .iter()
+            .filter(|a| a.may_have_run())
+            .map(by)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// Slow start: a cold server gets its part of what this gateway sends a warm one, from a store that opens
     /// at a random part of one send: that adds up over any number of gateways. A sixth of the multiple that
     /// topples it is spent: as `choose` sends all of it, more would be more than the server can do.
     fn cold_store(&self, now: Micros, target: &Server) -> f64 {
-        let Some(part) = target.capacity(now, &self.cfg.safety) else { return 1.0 };
-        let (span, margin) =
-            (now.saturating_sub(target.cold_filled) as f64 / SECOND, self.cfg.safety.fall_multiple / 6.0);
+        let Some(part) = target.capacity(now, &self.cfg.safety) else {
+            return 1.0;
+        };
+        let (span, margin) = (
+            now.saturating_sub(target.cold_filled) as f64 / SECOND,
+            self.cfg.safety.fall_multiple / 6.0,
+        );
         (target.cold_store + self.warm_load * part * margin * span).min(1.0)
     }
 
     /// Ceilings are kept by a fixed part of the store at each gateway, which needs no agreement.
     fn under_ceiling(&self, now: Micros, request: &Request) -> bool {
         let plan = &self.cfg.plans[request.plan];
-        let Some(customer) = self.customers.get(&request.customer) else { return false };
+        let Some(customer) = self.customers.get(&request.customer) else {
+            return false;
+        };
         plan.ceiling_rate <= 0.0 || customer.ceiling_at(now, plan) >= request.units
     }
 
     /// The one place that ends a request. A refusal is only given while nothing may have run.
     fn finish(&mut self, id: &RequestId, end: End, act: &mut Vec<Action>) {
-        let Some(held) = self.held.remove(id) else { return };
+        let Some(held) = self.held.remove(id) else {
+            return;
+        };
         self.queue.remove(&(held.tag, id.clone()));
         if let Some(customer) = self.customers.get_mut(&held.request.customer) {
             customer.waiting.retain(|w| w != id);
         }
-        for (number, attempt) in held.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none()) {
+        for (number, attempt) in held
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| a.outcome.is_none())
+        {
             if self.cfg.limits.cancel {
-                act.push(Action::Cancel { id: id.clone(), attempt: number });
+                act.push(Action::Cancel {
+                    id: id.clone(),
+                    attempt: number,
+                });
             }
             // Its outcome comes for a closed request: what it holds is let go of here.
             self.release(id, number, &attempt.server, &held.request.customer);
@@ -488,7 +639,11 @@
         let safe = self.cfg.classes[held.request.class].effect == Effect::Safe;
         let (refused, id, after) = (safe || !held.may_have_run(), id.clone(), self.come_back());
         if end == End::Turned {
-            act.push(if refused { Action::Refuse { id, after } } else { Action::Fail { id } });
+            act.push(if refused {
+                Action::Refuse { id, after }
+            } else {
+                Action::Fail { id }
+            });
         }
     }
 
@@ -503,13 +658,23 @@
             if self.may_send(now, id, name).is_none() {
                 continue;
             }
-            let cross =
-                1.0 + f64::from(u8::from(server.zone != self.cfg.zone)) * 10.0 * self.cfg.prices.cross_zone;
-            let weight = if self.cfg.weights { server.weight.max(1e-3) } else { 1.0 };
+            let cross = 1.0
+                + f64::from(u8::from(server.zone != self.cfg.zone))
+                    * 10.0
+                    * self.cfg.prices.cross_zone;
+            let weight = if self.cfg.weights {
+                server.weight.max(1e-3)
+            } else {
+                1.0
+            };
             let chance = 1.0 + 0.1 * self.rng.f64();
             let doubt = server.doubt(now, class, self.paces[class].fail, self.fade);
             // Left to chance, warm servers, which any send may go to, would get nearly all of the load.
-            let cold = if server.capacity(now, &self.cfg.safety).is_some() { COLD } else { 1.0 };
+            let cold = if server.capacity(now, &self.cfg.safety).is_some() {
+                COLD
+            } else {
+                1.0
+            };
             let cost = server.cost(now, pace, self.fade) * doubt * cross * chance * cold / weight;
             if best.as_ref().is_none_or(|(least, _)| cost < *least) {
                 best = Some((cost, name.clone()));
@@ -537,8 +702,16 @@
     fn outcome(&mut self, now: Micros, ended: Ended, act: &mut Vec<Action>) {
         self.settle(&ended.id, ended.settled);
         let (id, number, outcome) = (ended.id, ended.attempt, ended.outcome);
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(attempt) = held.attempts.get_mut(number).filter(|a| a.outcome.is_none()) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = held
+            .attempts
+            .get_mut(number)
+            .filter(|a| a.outcome.is_none())
+        else {
+            return;
+        };
         attempt.outcome = Some(outcome);
         let judged = attempt.overdue && outcome == Outcome::Timeout;
         let (class, customer) = (held.request.class, held.request.customer.clone());
@@ -561,11 +734,17 @@
 
     /// A further attempt after one that ended without an answer, or the final answer.
     fn again(&mut self, now: Micros, id: &RequestId, outcome: Outcome, act: &mut Vec<Action>) {
-        let Some(held) = self.held.get(id) else { return };
+        let Some(held) = self.held.get(id) else {
+            return;
+        };
         let in_time = now as f64 + self.paces[held.request.class].mean / 2.0 < held.aim_at as f64;
         // Paid from the retry budget, but for attempts that never ran.
         let price = if outcome.never_ran() { 0.0 } else { 1.0 };
-        let server = if in_time && self.retries >= price { self.choose(now, id) } else { None };
+        let server = if in_time && self.retries >= price {
+            self.choose(now, id)
+        } else {
+            None
+        };
         if server.is_some_and(|s| self.send(now, id, s, act)) {
             self.retries -= price;
         } else {
@@ -574,7 +753,10 @@
     }
 
     fn release(&mut self, id: &RequestId, number: usize, server: &ServerId, name: &CustomerId) {
-        let known = self.servers.get_mut(server).and_then(|s| s.out.remove(&(id.clone(), number)));
+        let known = self
+            .servers
+            .get_mut(server)
+            .and_then(|s| s.out.remove(&(id.clone(), number)));
         self.out = self.out.saturating_sub(usize::from(known.is_some()));
         if let Some(customer) = self.customers.get_mut(name) {
             customer.open = customer.open.saturating_sub(1);
@@ -593,7 +775,9 @@
         let (aim, took) = (self.cfg.classes[class].aim, took as f64);
         let pace = &mut self.paces[class];
         let sample = (took / pace.mean.max(1.0)).min(20.0);
-        let Some(server) = self.servers.get_mut(id) else { return };
+        let Some(server) = self.servers.get_mut(id) else {
+            return;
+        };
         (server.ratio, server.judged) = (server.pace(now, self.fade), now);
         let failed = match outcome {
             Outcome::Ok => {
@@ -629,7 +813,11 @@
         } else if outcome == Outcome::Ok {
             // Slow start: until its first cut each answer adds the same, so that D grows in proportion.
             let least = self.least_depth(now);
-            let by = if self.depth_cut == 0 { self.depth.min(least.max(1.0)) } else { self.depth };
+            let by = if self.depth_cut == 0 {
+                self.depth.min(least.max(1.0))
+            } else {
+                self.depth
+            };
             self.depth += GROWTH * least / by;
         }
     }
@@ -649,7 +837,9 @@
         // The one just answered was out too: where one is out now and then, D would fall to its least. A cut
         // of a small part of a small D would not be felt.
         let depth = self.depth.min(self.out as f64 + 1.0);
-        self.depth = (depth * factor).min(depth - GROWTH * depth.min(1.0)).max(self.least_depth(now));
+        self.depth = (depth * factor)
+            .min(depth - GROWTH * depth.min(1.0))
+            .max(self.least_depth(now));
         // Only what is measured after a cut may cut again, else D falls to its floor.
         self.strain = self.strain.min(STRAIN);
     }
@@ -677,7 +867,9 @@
 
     /// Units settled after the answer: the difference goes to the store and to the counter.
     fn settle(&mut self, id: &RequestId, settled: Option<f64>) {
-        let (Some(units), Some(held)) = (settled, self.held.get(id)) else { return };
+        let (Some(units), Some(held)) = (settled, self.held.get(id)) else {
+            return;
+        };
         if let Some(customer) = self.customers.get_mut(&held.request.customer) {
             customer.level -= units - held.request.units;
             customer.pending += units - held.request.units;
@@ -687,14 +879,22 @@
     /// Calls the counter for the customers that need it: much to tell against what is left, or a request
     /// waits for a fresh total. A silent counter gets one call at a time, further and further apart.
     fn sync(&mut self, now: Micros, act: &mut Vec<Action>) {
-        let most = if self.misses > SILENT_AFTER { 1.0 } else { self.calls };
+        let most = if self.misses > SILENT_AFTER {
+            1.0
+        } else {
+            self.calls
+        };
         if !self.cfg.counter || now < self.call_after || self.names.len() as f64 >= most {
             return;
         }
         // No more of them are looked at than may be called: after an outage thousands wait here.
         while (self.names.len() as f64) < most {
-            let Some((.., id)) = self.due.pop_first() else { return };
-            let Some(customer) = self.customers.get_mut(&id) else { continue };
+            let Some((.., id)) = self.due.pop_first() else {
+                return;
+            };
+            let Some(customer) = self.customers.get_mut(&id) else {
+                continue;
+            };
             let plan = &self.cfg.plans[customer.plan];
             // Its end brings it back here.
             if customer.call.is_some() {
@@ -707,7 +907,8 @@
             if plan.places() {
                 // One that nobody waits for any more goes back.
                 let spare = (customer.granted - customer.waiting.len() as f64).max(0.0);
-                (customer.granted, customer.pending) = (customer.granted - spare, customer.pending - spare);
+                (customer.granted, customer.pending) =
+                    (customer.granted - spare, customer.pending - spare);
             }
             if plan.burst <= 0.0 || customer.spread < 2 || !customer.must_sync(now, plan) {
                 continue;
@@ -719,22 +920,42 @@
                 continue;
             }
             let by = std::mem::take(&mut customer.pending);
-            let waiting = customer.waiting.iter().filter_map(|w| self.held.get(w)).map(|h| h.charge);
+            let waiting = customer
+                .waiting
+                .iter()
+                .filter_map(|w| self.held.get(w))
+                .map(|h| h.charge);
             let asks = std::mem::take(&mut customer.verify) && sparse;
             let wanted = std::mem::take(&mut customer.wanted);
-            let claim = if asks { waiting.sum::<f64>() - customer.granted } else { wanted };
+            let claim = if asks {
+                waiting.sum::<f64>() - customer.granted
+            } else {
+                wanted
+            };
             let claim = if plan.places() { claim.min(1.0) } else { claim };
-            let unasked =
-                f64::from(u8::from(asks)) * claim * (1.0 / self.asked[customer.plan] - 1.0).min(2.0);
-            customer.call = Some(Call { window, by, claim, at: now });
+            let unasked = f64::from(u8::from(asks))
+                * claim
+                * (1.0 / self.asked[customer.plan] - 1.0).min(2.0);
+            customer.call = Some(Call {
+                window,
+                by,
+                claim,
+                at: now,
+            });
             let name = count_name(&id, window);
             self.names.insert(name, id);
-            act.push(Action::Count { name, by: by + claim + unasked, ttl: TTL });
+            act.push(Action::Count {
+                name,
+                by: by + claim + unasked,
+                ttl: TTL,
+            });
         }
     }
 
     fn counted(&mut self, now: Micros, name: u64, total: f64, outcome: Outcome) {
-        let Some(id) = self.names.remove(&name) else { return };
+        let Some(id) = self.names.remove(&name) else {
+            return;
+        };
         let ok = outcome == Outcome::Ok && total.is_finite();
         if ok {
             (self.misses, self.call_after) = (0, 0);
@@ -743,14 +964,28 @@
             // Of a crowded counter a part answers: it is left alone a moment, longer as nothing comes.
             self.call_after = now + (self.cfg.counter_timeout >> 5 << self.misses);
         }
-        let Some(customer) = self.customers.get_mut(&id) else { return };
-        let Some(Call { window, by, claim, at }) = customer.call.take() else { return };
+        let Some(customer) = self.customers.get_mut(&id) else {
+            return;
+        };
+        let Some(Call {
+            window,
+            by,
+            claim,
+            at,
+        }) = customer.call.take()
+        else {
+            return;
+        };
         let plan = &self.cfg.plans[customer.plan];
         let crowded = !ok || now.saturating_sub(at) > self.cfg.counter_timeout / 2;
         // As many out as come back in time: else most are turned away, and each of these comes again.
-        self.calls = if crowded { (self.calls * CALLS_CUT).max(1.0) } else { self.calls + 1.0 / self.calls };
-        self.price =
-            (self.price * if crowded { PRICE_STEP } else { PRICE_GOOD }).min(PRICE_TOP * self.mean_worth);
+        self.calls = if crowded {
+            (self.calls * CALLS_CUT).max(1.0)
+        } else {
+            self.calls + 1.0 / self.calls
+        };
+        self.price = (self.price * if crowded { PRICE_STEP } else { PRICE_GOOD })
+            .min(PRICE_TOP * self.mean_worth);
         customer.checked = now;
         customer.blind = claim > 0.0 && !ok;
         match outcome {
@@ -759,7 +994,11 @@
                 if claim > 0.0 {
                     let odds = &mut self.odds[customer.plan][customer.fared as usize];
                     *odds += 2.0 * CLASS_GAIN * (granted / claim - *odds);
-                    customer.fared = if granted < claim { Fared::Empty } else { Fared::Room };
+                    customer.fared = if granted < claim {
+                        Fared::Empty
+                    } else {
+                        Fared::Room
+                    };
                 }
             }
             Outcome::Ok if ok => {
@@ -805,7 +1044,12 @@
             (server.started, server.weight) = (member.started, member.weight);
             (server.zone, server.cell) = (member.zone, member.cell);
         }
-        let left: Vec<_> = self.queue.iter().map(|(_, id)| id.clone()).filter(|_| self.all_out()).collect();
+        let left: Vec<_> = self
+            .queue
+            .iter()
+            .map(|(_, id)| id.clone())
+            .filter(|_| self.all_out())
+            .collect();
         left.iter().for_each(|id| self.finish(id, End::Turned, act));
         if self.depth == 0.0 && !self.servers.is_empty() {
             self.depth = self.least_depth(now).max(1.0);
@@ -816,11 +1060,16 @@
 
     /// Time between two looks at what waits: a small part of the shortest aim.
     fn step(&self) -> Micros {
-        (self.shortest_aim() as Micros / 64).max(self.cfg.tick).max(1_000)
+        (self.shortest_aim() as Micros / 64)
+            .max(self.cfg.tick)
+            .max(1_000)
     }
 
     fn tick(&mut self, now: Micros, act: &mut Vec<Action>) {
-        act.push(Action::Timer { after: self.step(), token: 0 });
+        act.push(Action::Timer {
+            after: self.step(),
+            token: 0,
+        });
         if now.saturating_sub(self.second) >= SECOND as Micros {
             self.each_second(now);
         }
@@ -833,21 +1082,36 @@
         let span = now.saturating_sub(self.second) as f64 / SECOND;
         self.second = now;
         let rate = std::mem::take(&mut self.sends) / span.max(1e-3);
-        self.send_rate += if self.send_rate == 0.0 { rate } else { 0.3 * (rate - self.send_rate) };
-        self.price = (self.price * PRICE_BACK.powf(span)).max(self.cfg.prices.count * self.mean_worth);
+        self.send_rate += if self.send_rate == 0.0 {
+            rate
+        } else {
+            0.3 * (rate - self.send_rate)
+        };
+        self.price =
+            (self.price * PRICE_BACK.powf(span)).max(self.cfg.prices.count * self.mean_worth);
         self.fade = FADE.max(2.0 * SECOND * self.fleet() / self.send_rate.max(0.1));
         // Where few are warm, half of the fleet shares the load; nothing sent yet counts as one a second.
         let safety = &self.cfg.safety;
-        let warm = self.servers.values().filter(|s| s.ready && s.capacity(now, safety).is_none()).count();
+        let warm = self
+            .servers
+            .values()
+            .filter(|s| s.ready && s.capacity(now, safety).is_none())
+            .count();
         // Servers that are gone for good would else be kept for ever; a key may be with them for a while.
         let keyed = self.cfg.classes.iter().map(|c| c.window).max().unwrap_or(0);
-        self.servers.retain(|_, s| s.ready || !s.out.is_empty() || now < s.left + keyed + FADE as Micros);
+        self.servers
+            .retain(|_, s| s.ready || !s.out.is_empty() || now < s.left + keyed + FADE as Micros);
         self.warm_load = self.send_rate.max(1.0) / (warm as f64).max(self.fleet() / 2.0);
         // φ is set against the customers that were here of late.
-        self.customers.retain(|_, c| now < c.last_seen + TTL || !c.waiting.is_empty() || c.open > 0);
+        self.customers
+            .retain(|_, c| now < c.last_seen + TTL || !c.waiting.is_empty() || c.open > 0);
         self.active = self.customers.values().map(|c| self.weight(c.plan)).sum();
-        let untold = self.customers.iter().filter(|(_, c)| c.pending != 0.0 || c.granted > 0.0);
-        self.due.extend(untold.map(|(id, c)| (true, c.checked, id.clone())));
+        let untold = self
+            .customers
+            .iter()
+            .filter(|(_, c)| c.pending != 0.0 || c.granted > 0.0);
+        self.due
+            .extend(untold.map(|(id, c)| (true, c.checked, id.clone())));
     }
 
     /// An attempt unanswered at its request's aim counts as timed out then, though a late answer may still
@@ -855,8 +1119,16 @@
     /// the deadline. Where aims are under the usual time, good servers look bad, all alike.
     fn judge_overdue(&mut self, now: Micros) {
         let mut overdue = Vec::new();
-        for held in self.held.values_mut().filter(|h| now > h.aim_at && !h.streaming) {
-            for attempt in held.attempts.iter_mut().filter(|a| a.outcome.is_none() && !a.overdue) {
+        for held in self
+            .held
+            .values_mut()
+            .filter(|h| now > h.aim_at && !h.streaming)
+        {
+            for attempt in held
+                .attempts
+                .iter_mut()
+                .filter(|a| a.outcome.is_none() && !a.overdue)
+            {
                 attempt.overdue = true;
                 let age = now.saturating_sub(attempt.sent);
                 overdue.push((attempt.server.clone(), held.request.class, age));
@@ -878,8 +1150,15 @@
             let late = held.attempts.is_empty() && now as f64 > start_by.min(half);
             !held.streaming && (late || now + 2 * step >= held.deadline)
         };
-        let waiting: Vec<_> = self.held.iter().filter(|(_, h)| over(h)).map(|(id, _)| id.clone()).collect();
-        waiting.iter().for_each(|id| self.finish(id, End::Turned, act));
+        let waiting: Vec<_> = self
+            .held
+            .iter()
+            .filter(|(_, h)| over(h))
+            .map(|(id, _)| id.clone())
+            .collect();
+        waiting
+            .iter()
+            .for_each(|id| self.finish(id, End::Turned, act));
     }
 
     /// While D binds, the queue is kept to what D lets through in an eighth of the aim: what waits longer is
@@ -890,23 +1169,54 @@
         }
         let room = self.depth * self.shortest_aim() * STRAIN / 2.0 / self.mean_pace().max(1.0);
         let allowed = |h: &Held| {
-            let store = self.customers.get(&h.request.customer).map_or(0.0, |c| c.level);
+            let store = self
+                .customers
+                .get(&h.request.customer)
+                .map_or(0.0, |c| c.level);
             h.leased || self.cfg.plans[h.request.plan].rate <= 0.0 || store >= h.request.units
         };
         let of = |id| self.held.get(id).filter(|h| allowed(h));
-        let held = self.queue.iter().filter_map(|(tag, id)| Some((of(id)?, tag, id)));
-        let mut waiting: Vec<_> = held.map(|(h, tag, id)| (h.worth, *tag, id.clone())).collect();
+        let held = self
+            .queue
+            .iter()
+            .filter_map(|(tag, id)| Some((of(id)?, tag, id)));
+        let mut waiting: Vec<_> = held
+            .map(|(h, tag, id)| (h.worth, *tag, id.clone()))
+            .collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        waiting.iter().skip(room.max(1.0) as usize).for_each(|(.., id)| self.finish(id, End::Turned, act));
+        waiting
+            .iter()
+            .skip(room.max(1.0) as usize)
+            .for_each(|(.., id)| self.finish(id, End::Turned, act));
     }
 }
 
 impl Customer {
     /// A new customer has a fair part of its quota until the counter has told more.
-    fn new(now: Micros, number: usize, (spread, parts): (u32, f64), plan: &Plan, virtual_time: f64) -> Self {
+    fn new(
+        now: Micros,
+        number: usize,
+        (spread, parts): (u32, f64),
+        plan: &Plan,
+        virtual_time: f64,
+    ) -> Self {
         let (level, finish) = ((plan.burst / parts).max(1.0), virtual_time);
-        let new = Self { plan: number, spread, parts, level, finish, verify: true, ..Self::default() };
-        Self { last_seen: now, filled: now, checked: now, ceiling_filled: now, ..new }
+        let new = Self {
+            plan: number,
+            spread,
+            parts,
+            level,
+            finish,
+            verify: true,
+            ..Self::default()
+        };
+        Self {
+            last_seen: now,
+            filled: now,
+            checked: now,
+            ceiling_filled: now,
+            ..new
+        }
     }
 
     /// Paper (12): min{units elsewhere since the last request here, (φ/φmin − 1)/(1 − φ) × cost}; φmin is the
@@ -920,9 +1230,15 @@
     fn fill(&mut self, now: Micros, plan: &Plan, usable: bool) {
         let span = now.saturating_sub(self.filled) as f64 / SECOND;
         self.filled = now.max(self.filled);
-        let part = if usable && self.answered.is_some() { 1.0 } else { 1.0 / self.parts };
+        let part = if usable && self.answered.is_some() {
+            1.0
+        } else {
+            1.0 / self.parts
+        };
         let top = (plan.burst * part).max(1.0);
-        self.level = self.level.max((self.level + plan.rate * part * span).min(top));
+        self.level = self
+            .level
+            .max((self.level + plan.rate * part * span).min(top));
     }
 
     /// Own part of the ceiling's store; opens empty, as a restarted gateway can't know what it passed on.
@@ -940,7 +1256,14 @@
     /// Takes a total that holds a claim: grants what the store had room for, and gives the rest back with the
     /// next call. A store that the count shows more than twice full has been so for long: the count is put
     /// right, else a later burst would find all that was saved up. Two gateways that do so at once see it.
-    fn claim(&mut self, now: Micros, window: u64, (claim, by): (f64, f64), total: f64, plan: &Plan) -> f64 {
+    fn claim(
+        &mut self,
+        now: Micros,
+        window: u64,
+        (claim, by): (f64, f64),
+        total: f64,
+        plan: &Plan,
+    ) -> f64 {
         let passed = (now - window * crate::policy::window(plan)) as f64 / SECOND;
         let level = plan.burst + plan.rate * passed - total;
         let granted = (claim + level.min(0.0)).floor().clamp(0.0, claim.max(0.0));
@@ -993,7 +1316,14 @@
     }
 
     /// Takes a total: the rise of the units elsewhere, floored at nought, leaves the store, delays the tag.
-    fn learn(&mut self, now: Micros, window: u64, (claim, by): (f64, f64), total: f64, plan: &Plan) {
+    fn learn(
+        &mut self,
+        now: Micros,
+        window: u64,
+        (claim, by): (f64, f64),
+        total: f64,
+        plan: &Plan,
+    ) {
         if window != self.window {
             return;
         }
@@ -1005,8 +1335,13 @@
             let filled = plan.rate * (now % crate::policy::window(plan)) as f64 / SECOND;
             let left = plan.burst + claim - total - self.pending;
             let calm = total - claim <= CALM * filled;
-            self.level =
-                if calm { plan.burst } else { left.max(self.level) }.min(left + filled).min(plan.burst);
+            self.level = if calm {
+                plan.burst
+            } else {
+                left.max(self.level)
+            }
+            .min(left + filled)
+            .min(plan.burst);
         } else {
             // What others sent on beyond the quota took nothing from the store: it stays at nought or above.
             let rise = (elsewhere - self.seen).max(0.0);
@@ -1024,14 +1359,20 @@
 
 /// Length of the windows in which a plan's accounts are counted.
 pub fn window(plan: &Plan) -> Micros {
-    let length = if plan.rate > 0.0 { plan.burst / plan.rate * 10.0 * SECOND } else { PLACES };
+    let length = if plan.rate > 0.0 {
+        plan.burst / plan.rate * 10.0 * SECOND
+    } else {
+        PLACES
+    };
     (length as Micros).clamp(1_000_000, TTL / 2)
 }
 
 /// FNV-1a over customer and window, the same at every gateway.
 pub fn count_name(customer: &CustomerId, window: u64) -> u64 {
     let bytes = customer.0.bytes().chain(window.to_le_bytes());
-    bytes.fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)) >> 1
+    bytes.fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    }) >> 1
 }
 
 impl Server {
@@ -1053,8 +1394,16 @@
     /// Expected time here against the others': own load (told loads come too late and drew all gateways to
     /// the same servers) and pace, at least as bad as the oldest attempt out shows.
     fn cost(&self, now: Micros, pace: f64, fade: f64) -> f64 {
-        let oldest = self.out.values().min().map_or(0.0, |t| now.saturating_sub(*t) as f64);
-        (1.0 + self.out.len() as f64) * self.pace(now, fade).max(oldest / (3.0 * pace.max(1.0))).max(0.7)
+        let oldest = self
+            .out
+            .values()
+            .min()
+            .map_or(0.0, |t| now.saturating_sub(*t) as f64);
+        (1.0 + self.out.len() as f64)
+            * self
+                .pace(now, fade)
+                .max(oldest / (3.0 * pace.max(1.0)))
+                .max(0.7)
     }
 
     /// Response time against the class's mean, fading to that mean without news.
@@ -1070,7 +1419,9 @@
 
     /// Part of the class's attempts that fail here, fading to the usual one, and what has not faded yet.
     fn failing(&self, now: Micros, class: usize, usual: f64, fade: f64) -> (f64, f64) {
-        let Some((fail, at)) = self.fails.get(&class) else { return (usual, 0.0) };
+        let Some((fail, at)) = self.fails.get(&class) else {
+            return (usual, 0.0);
+        };
         let keep = (-(now.saturating_sub(*at) as f64) / fade).exp();
         (usual + (fail - usual) * keep, keep)
     }
--- a/src/quota_lease/account.rs
+++ b/src/quota_lease/account.rs
@@ -24,7 +24,8 @@
     }
 
     fn start(self, slot: u64) -> Micros {
-        self.origin.saturating_add(slot.saturating_sub(1).saturating_mul(self.width))
+        self.origin
+            .saturating_add(slot.saturating_sub(1).saturating_mul(self.width))
     }
 }
 
@@ -60,7 +61,14 @@
     pub fn open(owned_since: Micros, limits: PlanLimits) -> Self {
         let bucket = Bucket::empty(owned_since);
         let granted = [0; SLOTS];
-        Self { limits, bucket, opened: owned_since, granted, newest_slot: 0, promised_until: 0 }
+        Self {
+            limits,
+            bucket,
+            opened: owned_since,
+            granted,
+            newest_slot: 0,
+            promised_until: 0,
+        }
     }
 
     /// Has another allocator owned it, perhaps, since it was opened?
@@ -84,7 +92,8 @@
     }
 
     fn fill(&mut self, now: Micros) {
-        self.bucket.fill(now, FillRate::whole(self.limits.rate), self.limits.burst);
+        self.bucket
+            .fill(now, FillRate::whole(self.limits.rate), self.limits.burst);
     }
 
     /// Takes back units that were granted in `slot`, as if they had never been granted: the bucket gets no more than it
@@ -101,7 +110,9 @@
         for later in (slot + 1..=self.newest_slot).rev() {
             granted_since += self.granted[place(later)];
             let elapsed = now.saturating_sub(clock.start(later));
-            let come = FillRate::whole(self.limits.rate).within(elapsed).saturating_add(self.limits.burst);
+            let come = FillRate::whole(self.limits.rate)
+                .within(elapsed)
+                .saturating_add(self.limits.burst);
             most = most.min(burst_level(come).saturating_sub_unsigned(granted_since));
         }
         self.bucket.put(accepted, most);
@@ -118,12 +129,17 @@
         let for_waiting = whole_units(entry.waiting, available);
         let left = (available - for_waiting) / rules.forecast_share.max(1);
         let missing = entry.waiting - for_waiting;
-        let for_expected = if missing == 0 { whole_units(entry.expected, left) } else { 0 };
+        let for_expected = if missing == 0 {
+            whole_units(entry.expected, left)
+        } else {
+            0
+        };
         let units = for_waiting + for_expected;
         self.bucket.take(units);
         self.granted[place(self.newest_slot)] += units;
         let overdrawn = entry.beyond > 0 && self.bucket.owed() > 0;
-        let hold_off = (missing > 0 || overdrawn).then(|| self.hold_off(now, missing, rules.max_hold_off));
+        let hold_off =
+            (missing > 0 || overdrawn).then(|| self.hold_off(now, missing, rules.max_hold_off));
         Granted { units, hold_off }
     }
 
@@ -134,7 +150,11 @@
         let never = self.limits.burst < missing.min(WHOLE_UNIT);
         // What the bucket holds is for the first in the line.
         let first = self.promised_until <= now;
-        let missing = if first { missing.saturating_sub(self.bucket.available()) } else { missing };
+        let missing = if first {
+            missing.saturating_sub(self.bucket.available())
+        } else {
+            missing
+        };
         let settled = rate.time_for(self.bucket.owed()).unwrap_or(most);
         let start = self.promised_until.max(now.saturating_add(settled));
         let wait = rate.time_for(missing).filter(|_| !never).unwrap_or(most);
--- a/src/quota_lease/allocator.rs
+++ b/src/quota_lease/allocator.rs
@@ -8,7 +8,9 @@
 
 use super::account::{Account, GrantRules, SlotClock, LEASE_SLOTS};
 pub use super::message::Dropped;
-use super::message::{AccountKey, Grant, GrantEntry, MessageError, Report, ReportEntry, Verdict, FORMAT};
+use super::message::{
+    AccountKey, Grant, GrantEntry, MessageError, Report, ReportEntry, Verdict, FORMAT,
+};
 pub use super::ownership::Ownership;
 use super::ownership::OwnershipHistory;
 use crate::interface::Micros;
@@ -17,7 +19,11 @@
 /// Accounts looked at for forgetting with each report, besides one for each entry.
 const SWEPT_PER_REPORT: usize = 8;
 
-const NOT_OWNER: GrantEntry = GrantEntry { verdict: Verdict::NotOwner, units: 0, hold_off_ms: 0 };
+const NOT_OWNER: GrantEntry = GrantEntry {
+    verdict: Verdict::NotOwner,
+    units: 0,
+    hold_off_ms: 0,
+};
 
 /// What an allocator is told at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,13 +77,21 @@
 
 impl Allocator {
     /// The allocator with this number, of so many. `incarnation` is higher at each start and not 0.
-    pub fn new(number: u32, allocators: u32, incarnation: u64, settings: AllocatorSettings) -> Self {
+    pub fn new(
+        number: u32,
+        allocators: u32,
+        incarnation: u64,
+        settings: AllocatorSettings,
+    ) -> Self {
         Self {
             number,
             incarnation,
             settings,
             ownership: OwnershipHistory::new(number, allocators),
-            clock: SlotClock { origin: Micros::MAX, width: settings.lease.div_ceil(LEASE_SLOTS) },
+            clock: SlotClock {
+                origin: Micros::MAX,
+                width: settings.lease.div_ceil(LEASE_SLOTS),
+            },
             accounts: HashMap::new(),
             sweep: VecDeque::new(),
             kept: HashMap::new(),
@@ -142,7 +156,11 @@
         }
         let grant = self.carry_out(now, report);
         let answer = grant.encode_to_vec();
-        let kept = Kept { incarnation: report.incarnation, sequence: report.sequence, answer };
+        let kept = Kept {
+            incarnation: report.incarnation,
+            sequence: report.sequence,
+            answer,
+        };
         self.kept.insert(report.limiter, kept);
         self.forget_idle(now, SWEPT_PER_REPORT + report.accounts.len());
         Ok(grant)
@@ -164,7 +182,14 @@
         };
         for entry in report.entries() {
             let given = match report.addressed_to {
-                0 => self.grant_entry(now, &ReportEntry { returned: 0, beyond: 0, ..entry }),
+                0 => self.grant_entry(
+                    now,
+                    &ReportEntry {
+                        returned: 0,
+                        beyond: 0,
+                        ..entry
+                    },
+                ),
                 incarnation if incarnation == self.incarnation => self.grant_entry(now, &entry),
                 _ => NOT_OWNER,
             };
@@ -192,12 +217,21 @@
         let granted = account.grant(now, entry, rules);
         match granted.hold_off {
             Some(hold_off) => exhausted(granted.units, hold_off),
-            None => GrantEntry { verdict: Verdict::Granted, units: granted.units, hold_off_ms: 0 },
+            None => GrantEntry {
+                verdict: Verdict::Granted,
+                units: granted.units,
+                hold_off_ms: 0,
+            },
         }
     }
 
     /// The account, opened anew if it is not known or somebody else may have owned it meanwhile. None if there is no place.
-    fn account(&mut self, now: Micros, owned_since: Micros, entry: &ReportEntry) -> Option<&mut Account> {
+    fn account(
+        &mut self,
+        now: Micros,
+        owned_since: Micros,
+        entry: &ReportEntry,
+    ) -> Option<&mut Account> {
         let known = self.accounts.get(&entry.account);
         if known.is_none() && self.accounts.len() >= self.settings.max_accounts {
             self.forget_idle(now, SWEPT_PER_REPORT);
@@ -220,11 +254,15 @@
     /// and whose bucket is full.
     fn forget_idle(&mut self, now: Micros, count: usize) {
         for _ in 0..count.min(self.sweep.len()) {
-            let Some(key) = self.sweep.pop_front() else { return };
+            let Some(key) = self.sweep.pop_front() else {
+                return;
+            };
             let owned = self.ownership.owned_since(now, key).is_some();
             let clock = self.clock;
-            let idle =
-                self.accounts.get_mut(&key).is_none_or(|account| !owned || account.is_idle(now, clock));
+            let idle = self
+                .accounts
+                .get_mut(&key)
+                .is_none_or(|account| !owned || account.is_idle(now, clock));
             if idle {
                 self.accounts.remove(&key);
             } else {
@@ -235,6 +273,12 @@
 }
 
 fn exhausted(units: u64, hold_off: Micros) -> GrantEntry {
-    let hold_off_ms = u32::try_from(hold_off.div_ceil(MICROS_PER_MILLI)).unwrap_or(u32::MAX).max(1);
-    GrantEntry { verdict: Verdict::Exhausted, units, hold_off_ms }
+    let hold_off_ms = u32::try_from(hold_off.div_ceil(MICROS_PER_MILLI))
+        .unwrap_or(u32::MAX)
+        .max(1);
+    GrantEntry {
+        verdict: Verdict::Exhausted,
+        units,
+        hold_off_ms,
+    }
 }
--- a/src/quota_lease/bucket.rs
+++ b/src/quota_lease/bucket.rs
@@ -17,13 +17,19 @@
 impl FillRate {
     /// The whole of a rate, in thousandths of a unit a second.
     pub fn whole(rate: MilliUnits) -> Self {
-        Self { units: u128::from(rate), span: MICROS_PER_SECOND }
+        Self {
+            units: u128::from(rate),
+            span: MICROS_PER_SECOND,
+        }
     }
 
     /// `thousandths` of a rate, divided by `spread`.
     pub fn part(rate: MilliUnits, thousandths: u32, spread: u32) -> Self {
         let units = u128::from(rate) * u128::from(thousandths);
-        Self { units, span: MICROS_PER_SECOND * THOUSAND * u128::from(spread.max(1)) }
+        Self {
+            units,
+            span: MICROS_PER_SECOND * THOUSAND * u128::from(spread.max(1)),
+        }
     }
 
     /// Units that come within `elapsed`, rounded down.
@@ -55,7 +61,10 @@
 impl Bucket {
     /// A bucket that was empty at `since`.
     pub fn empty(since: Micros) -> Self {
-        Self { level: 0, filled_to: since }
+        Self {
+            level: 0,
+            filled_to: since,
+        }
     }
 
     /// Adds what came since the last time, at most up to `burst`. Fractions of a thousandth are kept as time.
@@ -104,7 +113,10 @@
 
     /// Puts units in, as long as the level stays at or below `most`; a level above it stays.
     pub fn put(&mut self, units: MilliUnits, most: i64) {
-        self.level = self.level.saturating_add_unsigned(units).min(most.max(self.level));
+        self.level = self
+            .level
+            .saturating_add_unsigned(units)
+            .min(most.max(self.level));
     }
 
     /// The time up to which all that came is in the level.
--- a/src/quota_lease/config.rs
+++ b/src/quota_lease/config.rs
@@ -142,14 +142,20 @@
 
     /// Reads the text of a file; its name goes into errors.
     pub fn from_text(name: &str, text: &str) -> Result<Self, ConfigError> {
-        let file: AllocatorFile = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(
-            text,
-        ))
-        .map_err(|fault| {
-            let (key, fault) = (fault.path().to_string(), fault.into_inner().to_string());
-            ConfigError::Key { file: name.to_owned(), key, fault }
-        })?;
-        file.check().map_err(|fault| ConfigError::Value { file: name.to_owned(), fault })
+        let file: AllocatorFile =
+            serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))
+                .map_err(|fault| {
+                    let (key, fault) = (fault.path().to_string(), fault.into_inner().to_string());
+                    ConfigError::Key {
+                        file: name.to_owned(),
+                        key,
+                        fault,
+                    }
+                })?;
+        file.check().map_err(|fault| ConfigError::Value {
+            file: name.to_owned(),
+            fault,
+        })
     }
 }
 
@@ -176,7 +182,10 @@
             },
             log_interval: within("log_interval_ms", self.log_interval_ms, LOG_INTERVAL_MS)?,
             // A limiter that is being upgraded or has lost a connection has a second one for a while.
-            connections: self.connections.map_or(limiters.saturating_mul(2), NonZeroU32::get) as usize,
+            connections: self
+                .connections
+                .map_or(limiters.saturating_mul(2), NonZeroU32::get)
+                as usize,
             fleet,
         })
     }
@@ -253,10 +262,16 @@
             let (number, address) = (entry.number, entry.address);
             let Some(place) = addresses.get(number as usize) else {
                 let last = count - 1;
-                return Err(format!("{} is {number}, wanted a whole number from 0 to {last}", key("number")));
+                return Err(format!(
+                    "{} is {number}, wanted a whole number from 0 to {last}",
+                    key("number")
+                ));
             };
             if place.is_some() {
-                return Err(format!("{} is {number}, wanted one that no other allocator has", key("number")));
+                return Err(format!(
+                    "{} is {number}, wanted one that no other allocator has",
+                    key("number")
+                ));
             }
             if addresses.contains(&Some(address)) {
                 return Err(format!(
@@ -282,15 +297,26 @@
         let keys: StoreKeys = serde_path_to_error::deserialize(store).map_err(|fault| {
             let path = fault.path().to_string();
             let dot = if path == "." { "" } else { "." };
-            format!("key \"store{dot}{}\": {}", path.trim_start_matches('.'), fault.inner())
+            format!(
+                "key \"store{dot}{}\": {}",
+                path.trim_start_matches('.'),
+                fault.inner()
+            )
         })?;
         let allocators = keys.addresses()?;
         let lifetime = within("store.lifetime_ms", keys.lifetime_ms, LIFETIME_MS)?;
         // Leases are renewed before they expire, and what they leave is returned soon after.
-        let interval = within("store.interval_ms", keys.interval_ms, 10..=keys.lifetime_ms / 4)?;
+        let interval = within(
+            "store.interval_ms",
+            keys.interval_ms,
+            10..=keys.lifetime_ms / 4,
+        )?;
         let answer = within("store.answer_ms", keys.answer_ms, TIMEOUT_MS)?;
         if !(0.0..=1.0).contains(&keys.fallback) {
-            return Err(format!("key \"store.fallback\" is {}, wanted a number from 0 to 1", keys.fallback));
+            return Err(format!(
+                "key \"store.fallback\" is {}, wanted a number from 0 to 1",
+                keys.fallback
+            ));
         }
         Ok(Self {
             timeouts: LinkTimeouts {
@@ -313,7 +339,13 @@
 
     /// A holder of leases for a limiter that starts now. A later start has a higher incarnation.
     pub fn holder(&self, now: Micros) -> Holder {
-        Holder::new(now, HolderSettings { incarnation: now.max(1), ..self.settings })
+        Holder::new(
+            now,
+            HolderSettings {
+                incarnation: now.max(1),
+                ..self.settings
+            },
+        )
     }
 }
 
@@ -327,7 +359,9 @@
 fn within(key: &str, value: u64, range: RangeInclusive<u64>) -> Result<Duration, Fault> {
     if !range.contains(&value) {
         let (least, most) = range.into_inner();
-        return Err(format!("key \"{key}\" is {value}, wanted a whole number from {least} to {most}"));
+        return Err(format!(
+            "key \"{key}\" is {value}, wanted a whole number from {least} to {most}"
+        ));
     }
     Ok(Duration::from_millis(value))
 }
--- a/src/quota_lease/exchange.rs
+++ b/src/quota_lease/exchange.rs
@@ -46,12 +46,16 @@
 
     /// Is this the answer to what is out?
     pub fn is_out(&self, sequence: u64) -> bool {
-        self.out.as_ref().is_some_and(|out| out.report.sequence == sequence)
+        self.out
+            .as_ref()
+            .is_some_and(|out| out.report.sequence == sequence)
     }
 
     /// Has it not answered for too long?
     pub fn is_overdue(&self, now: Micros, settings: &HolderSettings) -> bool {
-        self.out.as_ref().is_some_and(|out| now >= out.first_sent.saturating_add(settings.lost_after))
+        self.out
+            .as_ref()
+            .is_some_and(|out| now >= out.first_sent.saturating_add(settings.lost_after))
     }
 
     pub fn lose(&mut self, retry_at: Micros) {
@@ -129,7 +133,11 @@
     pub fn sent(&mut self, now: Micros, report: Report) {
         self.sequence = report.sequence;
         self.last_report = Some(now);
-        self.out = Some(ReportOut { report, first_sent: now, last_sent: now });
+        self.out = Some(ReportOut {
+            report,
+            first_sent: now,
+            last_sent: now,
+        });
     }
 
     /// The report that is out, to be sent again.
--- a/src/quota_lease/frame.rs
+++ b/src/quota_lease/frame.rs
@@ -51,7 +51,10 @@
     let mut header = [0; HEADER];
     let (first, rest) = header.split_at_mut(1);
     read_first(stream, first, Instant::now() + timeouts.idle)?;
-    let mut timed = Timed { stream, until: Instant::now() + timeouts.frame };
+    let mut timed = Timed {
+        stream,
+        until: Instant::now() + timeouts.frame,
+    };
     timed.read_exact(rest).map_err(inside_a_frame)?;
     let length = u32::from_be_bytes(header) as usize;
     if length == 0 {
@@ -62,7 +65,10 @@
     }
     // Memory grows with the bytes that come, not with the length that is claimed.
     let mut message = Vec::new();
-    timed.take(length as u64).read_to_end(&mut message).map_err(inside_a_frame)?;
+    timed
+        .take(length as u64)
+        .read_to_end(&mut message)
+        .map_err(inside_a_frame)?;
     if message.len() < length {
         return Err(FrameError::Cut);
     }
@@ -80,7 +86,10 @@
     let mut frame = Vec::with_capacity(HEADER + message.len());
     frame.extend_from_slice(&(message.len() as u32).to_be_bytes());
     frame.extend_from_slice(message);
-    let mut timed = Timed { stream, until: Instant::now() + timeout };
+    let mut timed = Timed {
+        stream,
+        until: Instant::now() + timeout,
+    };
     timed.write_all(&frame).map_err(inside_a_frame)
 }
 
--- a/src/quota_lease/held.rs
+++ b/src/quota_lease/held.rs
@@ -61,12 +61,20 @@
 
     /// Units out of leases.
     pub fn leased(&self) -> MilliUnits {
-        self.parts.iter().filter(|part| part.origin.is_some()).map(|part| part.units).sum()
+        self.parts
+            .iter()
+            .filter(|part| part.origin.is_some())
+            .map(|part| part.units)
+            .sum()
     }
 
     /// Units out of the fallback part, beyond what any allocator has granted.
     pub fn beyond(&self) -> MilliUnits {
-        self.parts.iter().filter(|part| part.origin.is_none()).map(|part| part.units).sum()
+        self.parts
+            .iter()
+            .filter(|part| part.origin.is_none())
+            .map(|part| part.units)
+            .sum()
     }
 }
 
@@ -124,7 +132,13 @@
     }
 
     /// Takes the limits and spread as the request's configuration has them.
-    pub fn set_limits(&mut self, now: Micros, limits: PlanLimits, spread: u32, settings: &HolderSettings) {
+    pub fn set_limits(
+        &mut self,
+        now: Micros,
+        limits: PlanLimits,
+        spread: u32,
+        settings: &HolderSettings,
+    ) {
         if (limits, spread) != (self.limits, self.spread) {
             self.fill_part(now, settings);
             self.part.change_rate(now);
@@ -159,14 +173,21 @@
         let mut missing = units;
         let mut used_up_early = false;
         self.leases.sort_by_key(|lease| lease.origin.expires);
-        for lease in self.leases.iter_mut().filter(|lease| now < lease.origin.expires && lease.units > 0) {
+        for lease in self
+            .leases
+            .iter_mut()
+            .filter(|lease| now < lease.origin.expires && lease.units > 0)
+        {
             if missing == 0 {
                 break;
             }
             let taken = missing.min(lease.units);
             lease.units -= taken;
             missing -= taken;
-            parts.push(ReceiptPart { origin: Some(lease.origin), units: taken });
+            parts.push(ReceiptPart {
+                origin: Some(lease.origin),
+                units: taken,
+            });
             used_up_early |= lease.units == 0 && lease.origin.expires - now > settings.lease / 2;
         }
         // What is used up in the first lifetime is projected already.
@@ -194,7 +215,10 @@
         }
         self.part.take(units);
         self.beyond = self.beyond.saturating_add(units);
-        Ok(ReceiptPart { origin: None, units })
+        Ok(ReceiptPart {
+            origin: None,
+            units,
+        })
     }
 
     /// Undoes what [`Self::take_leased`] or [`Self::take_beyond`] took. Units of a lease go back into that lease, or are
@@ -213,7 +237,11 @@
     /// Adds units that were granted. Where there are leases enough they join the last one of the same process, and expire and
     /// are returned with it.
     pub fn add_lease(&mut self, origin: LeaseOrigin, units: MilliUnits) {
-        let lease = Lease { origin, units, whole: units };
+        let lease = Lease {
+            origin,
+            units,
+            whole: units,
+        };
         if self.leases.len() < MAX_LEASES {
             self.leases.push(lease);
             return;
@@ -236,38 +264,56 @@
     /// Lets go of leases that are used up, and of those that expired too long ago to be returned.
     pub fn clean_up(&mut self, now: Micros, settings: &HolderSettings) {
         let latest = settings.lease / RETURN_WITHIN;
-        self.leases.retain(|lease| lease.units > 0 && now < lease.origin.expires.saturating_add(latest));
+        self.leases
+            .retain(|lease| lease.units > 0 && now < lease.origin.expires.saturating_add(latest));
     }
 
     /// Is something of an expired lease left?
     pub fn has_expired(&self, now: Micros) -> bool {
-        self.leases.iter().any(|lease| lease.units > 0 && now >= lease.origin.expires)
+        self.leases
+            .iter()
+            .any(|lease| lease.units > 0 && now >= lease.origin.expires)
     }
 
     /// Takes out what expired leases left that this incarnation of the allocator granted; what another one granted is lost.
-    pub fn take_expired(&mut self, now: Micros, allocator: u32, incarnation: u64) -> Vec<(MilliUnits, u64)> {
-        let (live, expired): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.leases).into_iter().partition(|lease| now < lease.origin.expires);
+    pub fn take_expired(
+        &mut self,
+        now: Micros,
+        allocator: u32,
+        incarnation: u64,
+    ) -> Vec<(MilliUnits, u64)> {
+        let (live, expired): (Vec<_>, Vec<_>) = std::mem::take(&mut self.leases)
+            .into_iter()
+            .partition(|lease| now < lease.origin.expires);
         self.leases = live;
         if expired.iter().any(|lease| lease.units > lease.whole / 2) {
             self.boost = (self.boost - 1).max(LEAST_BOOST);
         }
-        let same =
-            |lease: &Lease| (lease.origin.allocator, lease.origin.incarnation) == (allocator, incarnation);
-        let left = expired.into_iter().filter(|lease| lease.units > 0 && same(lease));
+        let same = |lease: &Lease| {
+            (lease.origin.allocator, lease.origin.incarnation) == (allocator, incarnation)
+        };
+        let left = expired
+            .into_iter()
+            .filter(|lease| lease.units > 0 && same(lease));
         left.map(|lease| (lease.units, lease.origin.slot)).collect()
     }
 
     /// Units worth asking for beside those that requests wait for: what is likely to be used within a lifetime, in whole
     /// requests, less what is leased for long enough.
-    pub fn expected(&self, now: Micros, waiting: MilliUnits, settings: &HolderSettings) -> MilliUnits {
+    pub fn expected(
+        &self,
+        now: Micros,
+        waiting: MilliUnits,
+        settings: &HolderSettings,
+    ) -> MilliUnits {
         let idle = now >= self.last_use.saturating_add(settings.lease / IDLE_AFTER);
         if idle || now < self.held_off_until {
             return 0;
         }
         let used = f64::from(self.decayed_demand(now, settings)) - waiting as f64;
-        let likely = (used * f64::from(self.projection(now, settings)) * f64::from(self.boost).exp2())
-            .min(self.limits.burst as f64);
+        let likely =
+            (used * f64::from(self.projection(now, settings)) * f64::from(self.boost).exp2())
+                .min(self.limits.burst as f64);
         let request = self.request.max(1);
         if likely < request as f64 {
             return 0;
@@ -281,7 +327,8 @@
     pub fn wants_renewal(&self, now: Micros, settings: &HolderSettings) -> bool {
         let span = RENEW_INTERVALS * settings.interval;
         let soon = self.leased(now.saturating_add(span));
-        let use_soon = self.decayed_demand(now, settings) * span as f32 / settings.lease.max(1) as f32;
+        let use_soon =
+            self.decayed_demand(now, settings) * span as f32 / settings.lease.max(1) as f32;
         (soon as f32) < use_soon && self.expected(now, 0, settings) > 0
     }
 
@@ -290,10 +337,19 @@
         let renew = RENEW_INTERVALS * settings.interval;
         let of_lease = |lease: &Lease| {
             let expires = lease.origin.expires;
-            let times = [expires.saturating_sub(renew), expires, expires + settings.lease / RETURN_WITHIN];
+            let times = [
+                expires.saturating_sub(renew),
+                expires,
+                expires + settings.lease / RETURN_WITHIN,
+            ];
             times.into_iter().find(|time| *time > now)
         };
-        let lease = self.leases.iter().filter(|lease| lease.units > 0).filter_map(of_lease).min();
+        let lease = self
+            .leases
+            .iter()
+            .filter(|lease| lease.units > 0)
+            .filter_map(of_lease)
+            .min();
         lease.unwrap_or_else(|| match self.forget_at(settings) {
             at if at > now => at.min(now.saturating_add(LOOKED_AT_LEAST * settings.lease)),
             _ => now.saturating_add(settings.interval),
@@ -309,7 +365,9 @@
 
     /// Nothing is leased, held off or to be reported.
     pub fn is_unused(&self, now: Micros) -> bool {
-        self.leases.iter().all(|lease| lease.units == 0) && self.beyond == 0 && now >= self.held_off_until
+        self.leases.iter().all(|lease| lease.units == 0)
+            && self.beyond == 0
+            && now >= self.held_off_until
     }
 
     /// Bytes on the heap.
@@ -318,7 +376,9 @@
     }
 
     fn live(&self, now: Micros) -> impl Iterator<Item = &Lease> {
-        self.leases.iter().filter(move |lease| now < lease.origin.expires)
+        self.leases
+            .iter()
+            .filter(move |lease| now < lease.origin.expires)
     }
 
     fn decayed_demand(&self, now: Micros, settings: &HolderSettings) -> f32 {
@@ -334,12 +394,16 @@
     }
 
     fn forget_at(&self, settings: &HolderSettings) -> Micros {
-        let missing = self.part_burst(settings).saturating_sub(self.part.available());
+        let missing = self
+            .part_burst(settings)
+            .saturating_sub(self.part.available());
         let part_full = match self.part_rate(settings).time_for(missing) {
             Some(span) => self.part.filled_to().saturating_add(span),
             None => Micros::MAX,
         };
-        part_full.max(self.last_use.saturating_add(settings.lease)).max(self.held_off_until)
+        part_full
+            .max(self.last_use.saturating_add(settings.lease))
+            .max(self.held_off_until)
     }
 
     /// All use drains the fallback part, so that it is opened with what is surely unused of this limiter's own.
@@ -363,6 +427,8 @@
         }
         let whole = u128::from(self.limits.burst) * u128::from(settings.fallback_thousandths);
         let part = whole / (THOUSAND * u128::from(self.spread.max(1)));
-        u64::try_from(part).unwrap_or(u64::MAX).max(settings.fallback_least.min(self.limits.burst))
+        u64::try_from(part)
+            .unwrap_or(u64::MAX)
+            .max(settings.fallback_least.min(self.limits.burst))
     }
 }
--- a/src/quota_lease/holder.rs
+++ b/src/quota_lease/holder.rs
@@ -16,7 +16,9 @@
 pub use super::held::Receipt;
 use super::held::{Due, HeldAccount, LeaseOrigin};
 pub use super::message::Dropped;
-use super::message::{AccountKey, Grant, MessageError, MilliUnits, PlanLimits, Report, Verdict, MAX_UNITS};
+use super::message::{
+    AccountKey, Grant, MessageError, MilliUnits, PlanLimits, Report, Verdict, MAX_UNITS,
+};
 use super::placement::MAX_ALLOCATORS;
 use crate::interface::Micros;
 pub use settings::{Answer, HolderFigures, HolderSettings, Outcome, Poll, Take, Ticket};
@@ -57,7 +59,10 @@
     pub fn new(now: Micros, settings: HolderSettings) -> Self {
         let allocators = settings.allocators.min(MAX_ALLOCATORS);
         Self {
-            settings: HolderSettings { allocators, ..settings },
+            settings: HolderSettings {
+                allocators,
+                ..settings
+            },
             accounts: HashMap::new(),
             exchanges: vec![Exchange::default(); allocators as usize],
             waiters: BTreeMap::new(),
@@ -93,7 +98,11 @@
         account.set_limits(now, plan, spread, &settings);
         account.count_demand(now, units, &settings);
         let take = self.take_or_wait(now, key, units);
-        if self.accounts.get(&key).is_some_and(|account| account.wants_renewal(now, &settings)) {
+        if self
+            .accounts
+            .get(&key)
+            .is_some_and(|account| account.wants_renewal(now, &settings))
+        {
             self.mark_due(key, Due::Later);
         }
         self.set_timer(now, key);
@@ -102,7 +111,9 @@
 
     /// Gives back what a request took and did not use.
     pub fn put_back(&mut self, now: Micros, receipt: Receipt) {
-        let Some(account) = self.accounts.get_mut(&receipt.account) else { return };
+        let Some(account) = self.accounts.get_mut(&receipt.account) else {
+            return;
+        };
         for part in receipt.parts {
             account.put_back(part);
         }
@@ -114,11 +125,15 @@
 
     /// Takes an allocator's answer and says what waiting requests got.
     pub fn on_grant(&mut self, now: Micros, grant: &Grant) -> Result<Vec<Answer>, MessageError> {
-        let out = self.answered_report(grant).inspect_err(|reason| self.dropped.count(reason))?;
+        let out = self
+            .answered_report(grant)
+            .inspect_err(|reason| self.dropped.count(reason))?;
         let mut answers = Vec::new();
         let addressed_to = out.report.addressed_to;
         self.hear(now, grant, addressed_to, &mut answers);
-        let lifetime = Micros::from(grant.lease_ms).saturating_mul(MICROS_PER_MILLI).min(self.settings.lease);
+        let lifetime = Micros::from(grant.lease_ms)
+            .saturating_mul(MICROS_PER_MILLI)
+            .min(self.settings.lease);
         let origin = LeaseOrigin {
             allocator: grant.allocator,
             incarnation: grant.incarnation,
@@ -155,14 +170,21 @@
                 self.lose(now, number, &mut poll.answers);
             }
         }
-        let ask_for_news = self.exchanges.iter().any(|exchange| !exchange.is_available());
+        let ask_for_news = self
+            .exchanges
+            .iter()
+            .any(|exchange| !exchange.is_available());
         for number in 0..self.settings.allocators {
             let settings = self.settings;
             let exchange = &mut self.exchanges[number as usize];
             match exchange.step(now, ask_for_news, &settings) {
                 Step::Wait => {}
-                Step::Repeat => poll.reports.extend(exchange.repeat(now).map(|report| (number, report))),
-                Step::Ask => poll.reports.push((number, self.send(now, number, Report::default()))),
+                Step::Repeat => poll
+                    .reports
+                    .extend(exchange.repeat(now).map(|report| (number, report))),
+                Step::Ask => poll
+                    .reports
+                    .push((number, self.send(now, number, Report::default()))),
                 Step::Report => {
                     let report = self.report(now, number);
                     let asks = self.exchanges[number as usize].wake(ask_for_news, &settings) <= now;
@@ -177,8 +199,14 @@
 
     /// When [`Self::poll`] has something to do at the earliest; [`Micros::MAX`] for never.
     pub fn next_wake(&self) -> Micros {
-        let ask_for_news = self.exchanges.iter().any(|exchange| !exchange.is_available());
-        let exchanges = self.exchanges.iter().map(|exchange| exchange.wake(ask_for_news, &self.settings));
+        let ask_for_news = self
+            .exchanges
+            .iter()
+            .any(|exchange| !exchange.is_available());
+        let exchanges = self
+            .exchanges
+            .iter()
+            .map(|exchange| exchange.wake(ask_for_news, &self.settings));
         let timer = self.timers.first().map(|(at, _)| *at);
         exchanges.chain(timer).min().unwrap_or(Micros::MAX)
     }
@@ -210,17 +238,24 @@
 
     /// Does this allocator answer, as far as is known?
     pub fn is_available(&self, allocator: u32) -> bool {
-        self.exchanges.get(allocator as usize).is_some_and(Exchange::is_available)
+        self.exchanges
+            .get(allocator as usize)
+            .is_some_and(Exchange::is_available)
     }
 
     /// Bytes of the accounts kept, without what the maps add.
     pub fn account_bytes(&self) -> usize {
         let entry = size_of::<(AccountKey, HeldAccount)>() + size_of::<(Micros, AccountKey)>();
-        self.accounts.values().map(|account| entry + account.heap_bytes()).sum()
+        self.accounts
+            .values()
+            .map(|account| entry + account.heap_bytes())
+            .sum()
     }
 
     /// Units of an account's leases that have not expired.
     pub fn leased(&self, now: Micros, key: AccountKey) -> MilliUnits {
-        self.accounts.get(&key).map_or(0, |account| account.leased(now))
+        self.accounts
+            .get(&key)
+            .map_or(0, |account| account.leased(now))
     }
 }
--- a/src/quota_lease/holder/accounts.rs
+++ b/src/quota_lease/holder/accounts.rs
@@ -11,7 +11,13 @@
 impl Holder {
     pub(super) fn set_timer(&mut self, now: Micros, key: AccountKey) {
         // One that is due already is not put off.
-        let Some(account) = self.accounts.get_mut(&key).filter(|account| account.timer > now) else { return };
+        let Some(account) = self
+            .accounts
+            .get_mut(&key)
+            .filter(|account| account.timer > now)
+        else {
+            return;
+        };
         let next = account.next_timer(now, &self.settings);
         if next != account.timer {
             self.timers.remove(&(account.timer, key));
@@ -31,7 +37,9 @@
     pub(super) fn attend(&mut self, now: Micros, key: AccountKey) {
         let settings = self.settings;
         let waits = self.waiters.contains_key(&key);
-        let Some(account) = self.accounts.get_mut(&key) else { return };
+        let Some(account) = self.accounts.get_mut(&key) else {
+            return;
+        };
         account.timer = Micros::MAX;
         account.clean_up(now, &settings);
         if !waits && account.is_idle(now, &settings) {
@@ -50,12 +58,22 @@
         if self.accounts.len() < self.settings.max_accounts {
             return true;
         }
-        let tried = self.timers.iter().rev().take(EVICTION_TRIES).map(|(_, key)| *key);
+        let tried = self
+            .timers
+            .iter()
+            .rev()
+            .take(EVICTION_TRIES)
+            .map(|(_, key)| *key);
         let unused = |key: &AccountKey| {
             !self.waiters.contains_key(key)
-                && self.accounts.get(key).is_some_and(|account| account.is_unused(now))
+                && self
+                    .accounts
+                    .get(key)
+                    .is_some_and(|account| account.is_unused(now))
+        };
+        let Some(key) = tried.into_iter().find(unused) else {
+            return false;
         };
-        let Some(key) = tried.into_iter().find(unused) else { return false };
         if let Some(account) = self.accounts.remove(&key) {
             self.timers.remove(&(account.timer, key));
         }
--- a/src/quota_lease/holder/answers.rs
+++ b/src/quota_lease/holder/answers.rs
@@ -14,7 +14,10 @@
     pub(super) fn answered_report(&mut self, grant: &Grant) -> Result<ReportOut, MessageError> {
         grant.check()?;
         let unknown = MessageError::UnknownSender(grant.allocator);
-        let exchange = self.exchanges.get_mut(grant.allocator as usize).ok_or(unknown)?;
+        let exchange = self
+            .exchanges
+            .get_mut(grant.allocator as usize)
+            .ok_or(unknown)?;
         let own = grant.limiter_incarnation == self.settings.incarnation;
         if !own || !exchange.is_out(grant.sequence) || grant.incarnation < exchange.incarnation {
             return Err(MessageError::Outdated(grant.sequence));
@@ -24,11 +27,20 @@
             return Err(MessageError::Entries("not as many as were asked for"));
         }
         exchange.incarnation = grant.incarnation;
-        exchange.out.take().ok_or(MessageError::Outdated(grant.sequence))
+        exchange
+            .out
+            .take()
+            .ok_or(MessageError::Outdated(grant.sequence))
     }
 
     /// Takes what the answer says of the allocators themselves.
-    pub(super) fn hear(&mut self, now: Micros, grant: &Grant, addressed_to: u64, answers: &mut Vec<Answer>) {
+    pub(super) fn hear(
+        &mut self,
+        now: Micros,
+        grant: &Grant,
+        addressed_to: u64,
+        answers: &mut Vec<Answer>,
+    ) {
         let number = grant.allocator;
         if !grant.serving {
             self.lose(now, number, answers);
@@ -57,7 +69,9 @@
         answers: &mut Vec<Answer>,
     ) {
         let key = asked.account;
-        let Some(account) = self.accounts.get_mut(&key) else { return };
+        let Some(account) = self.accounts.get_mut(&key) else {
+            return;
+        };
         if given.units > 0 {
             account.add_lease(origin, given.units);
             self.figures.granted += given.units;
@@ -89,7 +103,9 @@
             account.beyond = account.beyond.saturating_add(asked.beyond);
             self.unreported.insert(key);
         }
-        let moved = self.available_owner(key).is_some_and(|owner| owner != allocator);
+        let moved = self
+            .available_owner(key)
+            .is_some_and(|owner| owner != allocator);
         self.ask_again(now, allocator, key, moved, answers);
     }
 
@@ -116,7 +132,12 @@
         answers: &mut Vec<Answer>,
     ) {
         let stays = |waiter: &Waiter| useful && waiter.reroutes < MAX_REROUTES;
-        self.fall_back(now, key, |waiter| waiter.asked == Some(allocator) && !stays(waiter), answers);
+        self.fall_back(
+            now,
+            key,
+            |waiter| waiter.asked == Some(allocator) && !stays(waiter),
+            answers,
+        );
         for waiter in self.waiters.get_mut(&key).into_iter().flatten() {
             if waiter.asked == Some(allocator) {
                 waiter.asked = None;
--- a/src/quota_lease/holder/owners.rs
+++ b/src/quota_lease/holder/owners.rs
@@ -19,15 +19,20 @@
         self.exchanges[allocator as usize].lose(retry_at);
         for key in self.waiters.keys().copied().collect::<Vec<_>>() {
             let orphaned = self.available_owner(key).is_none();
-            let chosen =
-                |waiter: &Waiter| waiter.asked == Some(allocator) || orphaned && waiter.asked.is_none();
+            let chosen = |waiter: &Waiter| {
+                waiter.asked == Some(allocator) || orphaned && waiter.asked.is_none()
+            };
             self.fall_back(now, key, chosen, answers);
         }
     }
 
     /// Puts all that is due on the lists of those that own it now.
     pub(super) fn reroute(&mut self, now: Micros, answers: &mut Vec<Answer>) {
-        let due: Vec<_> = self.exchanges.iter_mut().flat_map(Exchange::take_due).collect();
+        let due: Vec<_> = self
+            .exchanges
+            .iter_mut()
+            .flat_map(Exchange::take_due)
+            .collect();
         for key in due {
             let account = self.accounts.get_mut(&key);
             let was = account.map_or(Due::No, |account| std::mem::take(&mut account.due));
@@ -43,7 +48,9 @@
     /// Has the next report to the account's owner take it along.
     pub(super) fn mark_due(&mut self, key: AccountKey, due: Due) {
         let owner = placement::owner(key, self.settings.allocators, self.given_away);
-        let (Some(owner), Some(account)) = (owner, self.accounts.get_mut(&key)) else { return };
+        let (Some(owner), Some(account)) = (owner, self.accounts.get_mut(&key)) else {
+            return;
+        };
         if account.due < due {
             account.due = due;
             self.exchanges[owner as usize].add_due(key, due);
--- a/src/quota_lease/holder/requests.rs
+++ b/src/quota_lease/holder/requests.rs
@@ -16,12 +16,17 @@
     pub(super) fn take_or_wait(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Take {
         let settings = self.settings;
         let queue = self.waiters.contains_key(&key);
-        let Some(account) = self.accounts.get_mut(&key) else { return self.denied(settings.interval) };
+        let Some(account) = self.accounts.get_mut(&key) else {
+            return self.denied(settings.interval);
+        };
         let held_off = account.held_off_until.saturating_sub(now);
         if !queue {
             if let Some(parts) = account.take_leased(now, units, &settings) {
                 self.figures.taken += units;
-                return Take::Taken(Receipt { account: key, parts });
+                return Take::Taken(Receipt {
+                    account: key,
+                    parts,
+                });
             }
         }
         if held_off > 0 {
@@ -51,24 +56,41 @@
         self.next_ticket += 1;
         self.waiting += 1;
         self.figures.waited += 1;
-        let waiter = Waiter { ticket, units, asked: None, reroutes: 0 };
+        let waiter = Waiter {
+            ticket,
+            units,
+            asked: None,
+            reroutes: 0,
+        };
         self.waiters.entry(key).or_default().push_back(waiter);
         self.mark_due(key, Due::Now);
         Take::Waiting(ticket)
     }
 
-    pub(super) fn take_beyond(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Outcome {
+    pub(super) fn take_beyond(
+        &mut self,
+        now: Micros,
+        key: AccountKey,
+        units: MilliUnits,
+    ) -> Outcome {
         let settings = self.settings;
         let Some(account) = self.accounts.get_mut(&key) else {
-            return Outcome::Denied { retry_after: settings.interval };
+            return Outcome::Denied {
+                retry_after: settings.interval,
+            };
         };
         match account.take_beyond(now, units, &settings) {
             Ok(part) => {
                 self.figures.beyond += units;
                 self.unreported.insert(key);
-                Outcome::Taken(Receipt { account: key, parts: vec![part] })
+                Outcome::Taken(Receipt {
+                    account: key,
+                    parts: vec![part],
+                })
             }
-            Err(wait) => Outcome::Denied { retry_after: wait.unwrap_or(settings.retry_after) },
+            Err(wait) => Outcome::Denied {
+                retry_after: wait.unwrap_or(settings.retry_after),
+            },
         }
     }
 
@@ -77,21 +99,38 @@
             self.figures.denied += 1;
         }
         self.waiting -= 1;
-        answers.push(Answer { ticket: waiter.ticket, outcome });
+        answers.push(Answer {
+            ticket: waiter.ticket,
+            outcome,
+        });
     }
 
     /// Answers an account's waiting requests, in their order, as long as leases hold enough.
-    pub(super) fn serve_waiters(&mut self, now: Micros, key: AccountKey, answers: &mut Vec<Answer>) {
+    pub(super) fn serve_waiters(
+        &mut self,
+        now: Micros,
+        key: AccountKey,
+        answers: &mut Vec<Answer>,
+    ) {
         let settings = self.settings;
-        while let Some(waiter) = self.waiters.get(&key).and_then(|queue| queue.front()).cloned() {
+        while let Some(waiter) = self
+            .waiters
+            .get(&key)
+            .and_then(|queue| queue.front())
+            .cloned()
+        {
             let account = self.accounts.get_mut(&key);
-            let Some(parts) = account.and_then(|account| account.take_leased(now, waiter.units, &settings))
+            let Some(parts) =
+                account.and_then(|account| account.take_leased(now, waiter.units, &settings))
             else {
                 return;
             };
             self.figures.taken += waiter.units;
             self.take_waiters(key, |other| other.ticket == waiter.ticket);
-            let receipt = Receipt { account: key, parts };
+            let receipt = Receipt {
+                account: key,
+                parts,
+            };
             self.resolve(&waiter, Outcome::Taken(receipt), answers);
         }
     }
@@ -102,7 +141,9 @@
         key: AccountKey,
         chosen: impl Fn(&Waiter) -> bool,
     ) -> VecDeque<Waiter> {
-        let Some(queue) = self.waiters.remove(&key) else { return VecDeque::new() };
+        let Some(queue) = self.waiters.remove(&key) else {
+            return VecDeque::new();
+        };
         let (taken, left): (VecDeque<_>, VecDeque<_>) = queue.into_iter().partition(chosen);
         if !left.is_empty() {
             self.waiters.insert(key, left);
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -83,7 +83,11 @@
             spawn("allocator-link", move || link.run(&queue))?;
             Ok(reports)
         };
-        let reports = addresses.iter().enumerate().map(link).collect::<io::Result<_>>()?;
+        let reports = addresses
+            .iter()
+            .enumerate()
+            .map(link)
+            .collect::<io::Result<_>>()?;
         Ok(Self { reports })
     }
 
@@ -134,7 +138,8 @@
     fn exchange(&mut self, report: &[u8]) -> Result<Grant, LinkError> {
         if let Some(kept) = self.connection.take() {
             match self.exchange_on(&kept, report) {
-                Err(LinkError::Frame(FrameError::Closed | FrameError::Cut | FrameError::Io(_))) => {}
+                Err(LinkError::Frame(FrameError::Closed | FrameError::Cut | FrameError::Io(_))) => {
+                }
                 outcome => {
                     self.connection = outcome.is_ok().then_some(kept);
                     return outcome;
@@ -155,15 +160,18 @@
         if !self.backoff.is_over(Instant::now()) {
             return Err(LinkError::Backoff);
         }
-        let stream =
-            TcpStream::connect_timeout(&self.address, self.timeouts.connect).map_err(LinkError::Connect)?;
+        let stream = TcpStream::connect_timeout(&self.address, self.timeouts.connect)
+            .map_err(LinkError::Connect)?;
         stream.set_nodelay(true).map_err(LinkError::Connect)?;
         Ok(stream)
     }
 
     fn exchange_on(&self, stream: &TcpStream, report: &[u8]) -> Result<Grant, LinkError> {
         frame::write(stream, report, self.timeouts.write)?;
-        let timeouts = Timeouts { idle: self.timeouts.answer, frame: self.timeouts.answer };
+        let timeouts = Timeouts {
+            idle: self.timeouts.answer,
+            frame: self.timeouts.answer,
+        };
         let grant = Grant::read(&frame::read(stream, timeouts)?)?;
         match grant.allocator == self.allocator {
             true => Ok(grant),
@@ -204,7 +212,9 @@
     }
 
     fn failed(&mut self, now: Instant) {
-        let longest = FIRST_BACKOFF.saturating_mul(1 << self.failures.min(16)).min(LONGEST_BACKOFF);
+        let longest = FIRST_BACKOFF
+            .saturating_mul(1 << self.failures.min(16))
+            .min(LONGEST_BACKOFF);
         self.failures += 1;
         self.until = Some(now + longest.mul_f64(0.5 + 0.5 * fastrand::f64()));
     }
--- a/src/quota_lease/message.rs
+++ b/src/quota_lease/message.rs
@@ -29,7 +29,11 @@
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let (first, _) = hash.as_bytes().split_at(size_of::<u64>());
-        Self(first.iter().fold(0, |key, byte| key << u8::BITS | u64::from(*byte)))
+        Self(
+            first
+                .iter()
+                .fold(0, |key, byte| key << u8::BITS | u64::from(*byte)),
+        )
     }
 }
 
@@ -223,7 +227,15 @@
 impl ReportEntry {
     /// An entry that asks for nothing.
     pub fn new(account: AccountKey, limits: PlanLimits) -> Self {
-        Self { account, limits, waiting: 0, expected: 0, returned: 0, returned_slot: 0, beyond: 0 }
+        Self {
+            account,
+            limits,
+            waiting: 0,
+            expected: 0,
+            returned: 0,
+            returned_slot: 0,
+            beyond: 0,
+        }
     }
 }
 
@@ -238,7 +250,13 @@
     /// Do its entries fit together?
     pub fn check(&self) -> Result<(), MessageError> {
         check_format(self.format)?;
-        let columns = [&self.waiting, &self.expected, &self.returned, &self.returned_slot, &self.beyond];
+        let columns = [
+            &self.waiting,
+            &self.expected,
+            &self.returned,
+            &self.returned_slot,
+            &self.beyond,
+        ];
         check_columns(self.accounts.len(), &[self.plan.len()])?;
         check_columns(self.accounts.len(), &columns.map(Vec::len))?;
         if self.plans.len() > MAX_PLANS {
@@ -247,7 +265,11 @@
         if !self.accounts.is_empty() && self.plans.is_empty() {
             return Err(MessageError::Entries("no plan"));
         }
-        if self.plan.iter().any(|plan| *plan as usize >= self.plans.len()) {
+        if self
+            .plan
+            .iter()
+            .any(|plan| *plan as usize >= self.plans.len())
+        {
             return Err(MessageError::Entries("index of a plan"));
         }
         let of_plans = self.plans.iter().flat_map(|plan| [plan.rate, plan.burst]);
@@ -322,7 +344,11 @@
         check_format(self.format)?;
         let columns = [self.verdict.len(), self.units.len(), self.hold_off_ms.len()];
         check_columns(self.entries as usize, &columns)?;
-        if self.verdict.iter().any(|verdict| Verdict::try_from(*verdict).is_err()) {
+        if self
+            .verdict
+            .iter()
+            .any(|verdict| Verdict::try_from(*verdict).is_err())
+        {
             return Err(MessageError::Entries("verdict"));
         }
         check_units(self.units.iter().copied())
@@ -382,7 +408,10 @@
     if entries > MAX_ENTRIES {
         return Err(MessageError::Entries("too many"));
     }
-    if columns.iter().any(|length| *length != entries && *length != 0) {
+    if columns
+        .iter()
+        .any(|length| *length != entries && *length != 0)
+    {
         return Err(MessageError::Entries("columns of different lengths"));
     }
     Ok(())
--- a/src/quota_lease/ownership.rs
+++ b/src/quota_lease/ownership.rs
@@ -31,7 +31,13 @@
     /// Of the allocator with this number; it holds no lease yet.
     pub fn new(number: u32, allocators: u32) -> Self {
         let given_since = [0; MAX_ALLOCATORS as usize];
-        Self { number, allocators, current: Ownership::default(), lease_since: 0, given_since }
+        Self {
+            number,
+            allocators,
+            current: Ownership::default(),
+            lease_since: 0,
+            given_since,
+        }
     }
 
     /// Takes what is true from now on. What had run out before begins anew.
@@ -39,7 +45,11 @@
         if now >= self.current.until {
             self.lease_since = now;
         }
-        let still = if now < self.current.given_until { self.current.given_away } else { 0 };
+        let still = if now < self.current.given_until {
+            self.current.given_away
+        } else {
+            0
+        };
         let begun = ownership.given_away & !still;
         for (number, since) in self.given_since.iter_mut().enumerate() {
             if begun >> number & 1 == 1 {
@@ -74,7 +84,14 @@
         if before & !given_away != 0 || given_away & own != 0 {
             return None;
         }
-        let given = self.given_since.iter().enumerate().filter(|(number, _)| before >> number & 1 == 1);
-        given.map(|(_, since)| *since).max().max(Some(self.lease_since))
+        let given = self
+            .given_since
+            .iter()
+            .enumerate()
+            .filter(|(number, _)| before >> number & 1 == 1);
+        given
+            .map(|(_, since)| *since)
+            .max()
+            .max(Some(self.lease_since))
     }
 }
--- a/src/quota_lease/server.rs
+++ b/src/quota_lease/server.rs
@@ -38,7 +38,10 @@
 /// What the thread that owns the allocator is told. A connection has one report at most in this queue, so the number of
 /// connections bounds it.
 enum Input {
-    Report { report: Box<Report>, answer: Sender<Result<Grant, MessageError>> },
+    Report {
+        report: Box<Report>,
+        answer: Sender<Result<Grant, MessageError>>,
+    },
     Unreadable(MessageError),
     Ownership(Ownership),
     Stop(Sender<()>),
@@ -81,11 +84,16 @@
         spawn("allocator", move || owner.run(&inputs))?;
         spawn("accept", move || connections.accept(&listener))?;
         let to_owner = queue.clone();
-        let told = move |standing: Standing| _ = to_owner.send(Input::Ownership(ownership(&standing)));
+        let told =
+            move |standing: Standing| _ = to_owner.send(Input::Ownership(ownership(&standing)));
         let fleet = Fleet::start(config.fleet, clock, told, log.new(o!("part" => "fleet")))?;
         fleet.speak(true);
         info!(log, "listening"; "at" => %address, "allocator" => config.number, "of" => config.allocators);
-        Ok(Self { address, queue, fleet })
+        Ok(Self {
+            address,
+            queue,
+            fleet,
+        })
     }
 
     /// Ends in order: what has been received is answered, nothing is granted after that, and the other allocators are told.
@@ -109,7 +117,10 @@
 /// Each connection takes a file descriptor.
 fn warn_of_few_descriptors(config: &AllocatorConfig, log: &Logger) {
     let wanted = (config.connections + OTHER_DESCRIPTORS) as u64;
-    if let Some(allowed) = getrlimit(Resource::Nofile).current.filter(|allowed| *allowed < wanted) {
+    if let Some(allowed) = getrlimit(Resource::Nofile)
+        .current
+        .filter(|allowed| *allowed < wanted)
+    {
         warn!(log, "fewer file descriptors than connections"; "allowed" => allowed, "wanted" => wanted);
     }
 }
@@ -130,7 +141,11 @@
 
 /// What the fleet's leases say of the ownership of accounts.
 fn ownership(standing: &Standing) -> Ownership {
-    let given = standing.given_away.iter().enumerate().filter(|(_, given)| **given);
+    let given = standing
+        .given_away
+        .iter()
+        .enumerate()
+        .filter(|(_, given)| **given);
     Ownership {
         given_away: given.fold(0, |bits, (number, _)| bits | 1 << number),
         given_until: standing.given_until,
@@ -171,8 +186,11 @@
     fn run(mut self, inputs: &Receiver<Input>) {
         let mut next_line = Instant::now() + self.log_interval;
         loop {
-            let wake =
-                if self.lease.held { next_line.min(self.clock.moment(self.lease.until)) } else { next_line };
+            let wake = if self.lease.held {
+                next_line.min(self.clock.moment(self.lease.until))
+            } else {
+                next_line
+            };
             match inputs.recv_deadline(wake) {
                 Ok(Input::Stop(done)) => {
                     self.log_figures();
@@ -345,7 +363,10 @@
         if let ConnectionError::Frame(fault) = fault {
             self.closed.count(fault);
         }
-        if !matches!(fault, ConnectionError::Frame(FrameError::Closed) | ConnectionError::Ending) {
+        if !matches!(
+            fault,
+            ConnectionError::Frame(FrameError::Closed) | ConnectionError::Ending
+        ) {
             self.log_closed(Some(from), &fault.to_string());
         }
     }
@@ -368,10 +389,19 @@
             _ = self.queue.send(Input::Unreadable(reason.clone()));
         })?;
         let (answer, answered) = bounded(1);
-        let input = Input::Report { report: Box::new(report), answer };
-        self.queue.send(input).map_err(|_| ConnectionError::Ending)?;
+        let input = Input::Report {
+            report: Box::new(report),
+            answer,
+        };
+        self.queue
+            .send(input)
+            .map_err(|_| ConnectionError::Ending)?;
         match answered.recv().map_err(|_| ConnectionError::Ending)? {
-            Ok(grant) => Ok(frame::write(stream, &grant.encode_to_vec(), self.timeouts.frame)?),
+            Ok(grant) => Ok(frame::write(
+                stream,
+                &grant.encode_to_vec(),
+                self.timeouts.frame,
+            )?),
             // Sent before what was answered last: the limiter waits for no answer to it.
             Err(MessageError::Outdated(_)) => Ok(()),
             Err(reason) => Err(reason.into()),
--- a/src/state.rs
+++ b/src/state.rs
@@ -158,7 +158,17 @@
         tag: (u64, u64),
     ) -> Self {
         let attempts = Vec::new();
-        Self { request, worth, charge, aim_at, deadline, tag, attempts, streaming: false, leased: false }
+        Self {
+            request,
+            worth,
+            charge,
+            aim_at,
+            deadline,
+            tag,
+            attempts,
+            streaming: false,
+            leased: false,
+        }
     }
 
     pub(crate) fn is_out(&self) -> bool {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -41,7 +41,9 @@
     }
 
     fn int(&self, at: usize) -> Result<u64, Fault> {
-        self.get(at).and_then(Value::as_u64).ok_or_else(|| self.bad(at, "a whole number"))
+        self.get(at)
+            .and_then(Value::as_u64)
+            .ok_or_else(|| self.bad(at, "a whole number"))
     }
 
     fn int_or(&self, at: usize, absent: u64) -> Result<u64, Fault> {
@@ -49,7 +51,9 @@
     }
 
     fn num(&self, at: usize) -> Result<f64, Fault> {
-        self.get(at).and_then(Value::as_f64).ok_or_else(|| self.bad(at, "a number"))
+        self.get(at)
+            .and_then(Value::as_f64)
+            .ok_or_else(|| self.bad(at, "a number"))
     }
 
     fn num_or(&self, at: usize, absent: f64) -> Result<f64, Fault> {
@@ -57,26 +61,38 @@
     }
 
     fn text(&self, at: usize) -> Result<&'a str, Fault> {
-        self.get(at).and_then(Value::as_str).ok_or_else(|| self.bad(at, "text"))
+        self.get(at)
+            .and_then(Value::as_str)
+            .ok_or_else(|| self.bad(at, "text"))
     }
 
     fn flag(&self, at: usize) -> Result<bool, Fault> {
-        self.get(at).map_or(Ok(false), |v| v.as_bool().ok_or_else(|| self.bad(at, "true or false")))
+        self.get(at).map_or(Ok(false), |v| {
+            v.as_bool().ok_or_else(|| self.bad(at, "true or false"))
+        })
     }
 
     fn list(&self, at: usize) -> Result<&'a [Value], Fault> {
         match self.get(at) {
             None => Ok(&[]),
-            Some(v) => v.as_array().map(Vec::as_slice).ok_or_else(|| self.bad(at, "a list")),
+            Some(v) => v
+                .as_array()
+                .map(Vec::as_slice)
+                .ok_or_else(|| self.bad(at, "a list")),
         }
     }
 
     fn bytes(&self, at: usize) -> Result<Vec<u8>, Fault> {
-        STANDARD.decode(self.text(at)?).map_err(|_| self.bad(at, "base64"))
+        STANDARD
+            .decode(self.text(at)?)
+            .map_err(|_| self.bad(at, "base64"))
     }
 
     fn load(&self, at: usize) -> Result<Vec<f64>, Fault> {
-        self.list(at)?.iter().map(|v| v.as_f64().ok_or_else(|| self.bad(at, "a load report"))).collect()
+        self.list(at)?
+            .iter()
+            .map(|v| v.as_f64().ok_or_else(|| self.bad(at, "a load report")))
+            .collect()
     }
 
     fn outcome(&self, at: usize) -> Result<Outcome, Fault> {
@@ -111,14 +127,24 @@
 pub fn parse(line: &str, lookup: &impl Lookup) -> Result<Line, Fault> {
     let value: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
     let values = value.as_array().ok_or("not a list")?;
-    let name = values.first().and_then(Value::as_str).ok_or("no message name")?;
+    let name = values
+        .first()
+        .and_then(Value::as_str)
+        .ok_or("no message name")?;
     let row = Row { name, values };
     match name {
         "batch" => return Ok(Line::Batch(row.int(1)?)),
         "end" => return Ok(Line::End),
         "provision" => {
-            let facts = row.get(3).filter(|v| v.is_object()).ok_or_else(|| row.bad(3, "settings"))?;
-            return Ok(Line::Start(row.int(1)?, row.int(2)?, Box::new(settings(facts)?)));
+            let facts = row
+                .get(3)
+                .filter(|v| v.is_object())
+                .ok_or_else(|| row.bad(3, "settings"))?;
+            return Ok(Line::Start(
+                row.int(1)?,
+                row.int(2)?,
+                Box::new(settings(facts)?),
+            ));
         }
         "destroy" => return Ok(Line::Stop(row.int(1)?)),
         _ => {}
@@ -127,10 +153,16 @@
     let event = match name {
         "fleet" => members(&row)?,
         "workItem" => request(&row, lookup)?,
-        "opened" => Event::First { id: row.text(2)?.into() },
+        "opened" => Event::First {
+            id: row.text(2)?.into(),
+        },
         "resolved" => Event::Outcome(Ended {
             id: row.text(2)?.into(),
-            settled: row.get(3).map(|_| row.num(3)).transpose()?.filter(|units| *units > 0.0),
+            settled: row
+                .get(3)
+                .map(|_| row.num(3))
+                .transpose()?
+                .filter(|units| *units > 0.0),
             took: row.int_or(5, 0)?,
             server: row.text(6)?.into(),
             outcome: row.outcome(7)?,
@@ -138,7 +170,9 @@
             last: row.flag(9)?,
             load: row.load(10)?,
         }),
-        "withdrawn" => Event::Gone { id: row.text(2)?.into() },
+        "withdrawn" => Event::Gone {
+            id: row.text(2)?.into(),
+        },
         "deadlineHit" => Event::Timer { token: row.int(2)? },
         "checkResult" => Event::Probed {
             took: row.int_or(2, 0)?,
@@ -146,23 +180,34 @@
             server: row.text(4)?.into(),
             load: row.load(5)?,
         },
-        "mail" => Event::Peer { from: row.int(2)? as u32, body: row.bytes(3)? },
-        "reckoned" => {
-            Event::Counted { total: row.num_or(2, 0.0)?, outcome: row.outcome(3)?, name: row.int(5)? }
-        }
+        "mail" => Event::Peer {
+            from: row.int(2)? as u32,
+            body: row.bytes(3)?,
+        },
+        "reckoned" => Event::Counted {
+            total: row.num_or(2, 0.0)?,
+            outcome: row.outcome(3)?,
+            name: row.int(5)?,
+        },
         _ => return Err(format!("unknown message {name}")),
     };
     let instance = instance?;
-    lookup.names(instance).ok_or_else(|| format!("{name}: no instance {instance} runs"))?;
+    lookup
+        .names(instance)
+        .ok_or_else(|| format!("{name}: no instance {instance} runs"))?;
     Ok(Line::Event(instance, event))
 }
 
 fn request(row: &Row, lookup: &impl Lookup) -> Result<Event, Fault> {
     let instance = row.int(1)?;
-    let names = lookup.names(instance).ok_or_else(|| format!("{}: no instance {instance} runs", row.name))?;
+    let names = lookup
+        .names(instance)
+        .ok_or_else(|| format!("{}: no instance {instance} runs", row.name))?;
     let index = |list: &[String], at: usize, what: &str| {
         let name = row.text(at)?;
-        list.iter().position(|n| n == name).ok_or_else(|| format!("{}: unknown {what} {name}", row.name))
+        list.iter()
+            .position(|n| n == name)
+            .ok_or_else(|| format!("{}: unknown {what} {name}", row.name))
     };
     Ok(Event::Request(Request {
         id: row.text(2)?.into(),
@@ -185,8 +230,13 @@
         _ => return Err(row.bad(2, "a scope")),
     };
     let member = |value: &Value| {
-        let values = value.as_array().ok_or_else(|| row.bad(4, "a list of entries"))?;
-        let entry = Row { name: "fleet entry", values };
+        let values = value
+            .as_array()
+            .ok_or_else(|| row.bad(4, "a list of entries"))?;
+        let entry = Row {
+            name: "fleet entry",
+            values,
+        };
         let readiness = match entry.text(4)? {
             "Ready" => Readiness::Ready,
             "Terminating" => Readiness::Draining,
@@ -202,7 +252,11 @@
             started: entry.int_or(6, 0)?,
         })
     };
-    let members = row.list(4)?.iter().map(member).collect::<Result<_, Fault>>()?;
+    let members = row
+        .list(4)?
+        .iter()
+        .map(member)
+        .collect::<Result<_, Fault>>()?;
     Ok(Event::Members { scope, members })
 }
 
@@ -223,7 +277,9 @@
     ) -> Result<T, Fault> {
         match &self.0[key] {
             Value::Null => Ok(absent),
-            v => read(v).ok_or_else(|| format!("provision: {}.{key} is {v}, wanted {want}", self.1)),
+            v => {
+                read(v).ok_or_else(|| format!("provision: {}.{key} is {v}, wanted {want}", self.1))
+            }
         }
     }
 
@@ -246,7 +302,11 @@
     fn list(&self, key: &str) -> Result<Vec<Facts<'a>>, Fault> {
         let values = self.read(key, None, "a list", |v| v.as_array().map(Some))?;
         let path = format!("{}.{key}", self.1);
-        Ok(values.into_iter().flatten().map(|v| Facts(v, path.clone())).collect())
+        Ok(values
+            .into_iter()
+            .flatten()
+            .map(|v| Facts(v, path.clone()))
+            .collect())
     }
 }
 
@@ -261,9 +321,14 @@
     pub fn from_settings(facts: &Value) -> Names {
         let names = |key: &str| {
             let list = facts[key].as_array().map(Vec::as_slice).unwrap_or_default();
-            list.iter().map(|v| v["name"].as_str().unwrap_or_default().to_owned()).collect()
+            list.iter()
+                .map(|v| v["name"].as_str().unwrap_or_default().to_owned())
+                .collect()
         };
-        Names { classes: names("classes"), plans: names("tariffs") }
+        Names {
+            classes: names("classes"),
+            plans: names("tariffs"),
+        }
     }
 
     /// The names of the classes, in the order of their numbers.
@@ -321,7 +386,11 @@
 /// Reads the settings of an instance; unknown keys are passed over.
 pub fn settings(value: &Value) -> Result<Settings, Fault> {
     let facts = Facts(value, "facts".into());
-    let (limits, safety, prices) = (facts.part("limits"), facts.part("safety"), facts.part("prices"));
+    let (limits, safety, prices) = (
+        facts.part("limits"),
+        facts.part("safety"),
+        facts.part("prices"),
+    );
     let (load, kind) = (facts.part("loadInfo"), facts.part("specifics"));
     let field = |v: &Value| {
         Some(match v.as_str()? {
@@ -332,16 +401,29 @@
         })
     };
     let fields = load.read("fields", Vec::new(), "a list of names", |v| {
-        v.as_array().and_then(|list| list.iter().map(field).collect())
+        v.as_array()
+            .and_then(|list| list.iter().map(field).collect())
     })?;
-    let advice = if limits.flag("retryAfter")? { limits.int("maxRetryAfter")? } else { 0 };
+    let advice = if limits.flag("retryAfter")? {
+        limits.int("maxRetryAfter")?
+    } else {
+        0
+    };
     Ok(Settings {
         me: facts.int("me")? as u32,
         gateways: facts.int("balancers")? as u32,
         zone: facts.text("az")?.to_owned(),
         tick: facts.int("tick")?,
-        classes: facts.list("classes")?.iter().map(class).collect::<Result<_, _>>()?,
-        plans: facts.list("tariffs")?.iter().map(plan).collect::<Result<_, _>>()?,
+        classes: facts
+            .list("classes")?
+            .iter()
+            .map(class)
+            .collect::<Result<_, _>>()?,
+        plans: facts
+            .list("tariffs")?
+            .iter()
+            .map(plan)
+            .collect::<Result<_, _>>()?,
         limits: Limits {
             max_attempts: limits.int("maxAttempts")? as u32,
             cancel: limits.flag("mayCancel")?,
@@ -376,7 +458,12 @@
 /// Writes one action of an instance as a line.
 pub fn write(instance: u64, action: &Action) -> String {
     match action {
-        Action::Send { id, server, timeout, .. } => {
+        Action::Send {
+            id,
+            server,
+            timeout,
+            ..
+        } => {
             json!(["submitTo", instance, &*id.0, timeout, &*server.0])
         }
         Action::Cancel { id, attempt } => json!(["dropAttempt", instance, &*id.0, attempt]),
