--- a/benches/capacity/page/steady.rs
+++ b/benches/capacity/page/steady.rs
@@ -3,7 +3,7 @@
 use super::run::{PageError, Run};
 use super::target::*;
 use super::{Amount, Line};
-use mossrill::fleet::datagram::MOST_LIMITERS;
+use mossrill::membership::datagram::MOST_LIMITERS;
 
 /// Timer events a second: 64 in the shortest aim of half a second.
 const TIMERS: f64 = 128.0;
--- a/benches/capacity/statistics.rs
+++ b/benches/capacity/statistics.rs
@@ -3,8 +3,8 @@
 use super::arguments::Plan;
 use super::measure::Costs;
 use super::report::{Axis, Experiment, Figure, Quantity};
-use mossrill::control::stat;
-use mossrill::figures::Figures;
+use mossrill::admin::stat;
+use mossrill::metrics::Figures;
 
 /// One answer to `show-stat`, with a class of requests for each service.
 fn measure(services: u64, times: u64) -> Vec<Figure> {
--- a/benches/fleet/main.rs
+++ b/benches/fleet/main.rs
@@ -9,7 +9,7 @@
 mod net;
 
 use clap::Parser;
-use mossrill::fleet::datagram::State;
+use mossrill::membership::datagram::State;
 use net::{Meter, Net, Work, SECOND};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -184,7 +184,7 @@
         all.datagrams.push(of(net.sent.iter().sum(), sent));
         all.bytes.push(of(net.bytes.iter().sum(), bytes));
         // Told of by its finder; what others make of the same word counts once.
-        let found = |c: &&(u64, usize, mossrill::fleet::view::Change)| {
+        let found = |c: &&(u64, usize, mossrill::membership::view::Change)| {
             c.2.state == State::Dead && c.2.by as usize == c.1
         };
         let falsely = net.changes[before..].iter().filter(found).count();
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{Command, Reply};
 use crate::stand_in::{self, ZoneCounters};
-use mossrill::net::http::{Broken, Reader};
+use mossrill::protocol::http::{Broken, Reader};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::TcpStream;
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::scenario::Scenario;
 use crate::server_list::ServerList;
 use crate::stand_in::{self, ZoneCounters};
-use mossrill::net::http::{Broken, Reader};
+use mossrill::protocol::http::{Broken, Reader};
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
--- a/lab/src/hollow.rs
+++ b/lab/src/hollow.rs
@@ -1,5 +1,5 @@
 //! The hollow limiters of a zone in one process: each watches the server list through the real reader
-//! (`mossrill::net::node_list`) over TCP and applies it to a compact list of its own; if wanted, each also decides
+//! (`mossrill::discovery`) over TCP and applies it to a compact list of its own; if wanted, each also decides
 //! drawn requests in a real `mossrill::Gateway` and calls the counter through its real codec. None has client traffic.
 
 use crate::clock;
@@ -10,10 +10,10 @@
 use crate::stand_in;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender};
 use mossrill::config::NodeNews;
+use mossrill::counter::http::QuotaCounter;
+use mossrill::counter::{Addition, CounterProtocol};
+use mossrill::discovery;
 use mossrill::interface::{Outcome, Readiness};
-use mossrill::net::count_lines::{Addition, CounterProtocol};
-use mossrill::net::node_list;
-use mossrill::net::quota_counter::QuotaCounter;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use slog::{o, Discard, Logger};
@@ -171,7 +171,7 @@
                 .wrapping_mul(1_000_003)
                 .wrapping_add(u64::from(limiter));
             let waits = (fleet.clone(), DRAIN_GRACE, seed);
-            node_list::watch(from, 0, waits, apply, log.clone())
+            discovery::watch(from, 0, waits, apply, log.clone())
                 .map_err(|fault| fault.to_string())?;
             Ok(list)
         })
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -6,7 +6,7 @@
 use crate::upstream::SERVICE_HEADER;
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use hdrhistogram::Histogram;
-use mossrill::net::http::{header, Reader};
+use mossrill::protocol::http::{header, Reader};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/lab/src/membership_play.rs
+++ b/lab/src/membership_play.rs
@@ -1,4 +1,4 @@
-//! Plays the fleet's membership in virtual time: real views (`mossrill::fleet::view`) on a network of hand-made time.
+//! Plays the fleet's membership in virtual time: real views (`mossrill::membership::view`) on a network of hand-made time.
 
 use crate::net::{Net, SECOND};
 use crate::scenario::{Event, Membership, Scenario};
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -441,7 +441,7 @@
         if membership.members < 2 {
             return refuse("membership.members", "must be 2 at least");
         }
-        let most = mossrill::fleet::datagram::MOST_LIMITERS;
+        let most = mossrill::membership::datagram::MOST_LIMITERS;
         if membership.members > most {
             return refuse(
                 "membership.members",
--- a/lab/src/upstream.rs
+++ b/lab/src/upstream.rs
@@ -3,7 +3,7 @@
 
 use crate::messages::{Command, Reply};
 use crate::stand_in::{self, ZoneCounters};
-use mossrill::net::http::{Broken, Reader};
+use mossrill::protocol::http::{Broken, Reader};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::io::Write;
--- a/src/control/line.rs
+++ b/src/admin/line.rs
@@ -1,11 +1,11 @@
 //! Where operators call: threads of its own, few callers at a time, each for a short time.
 
 use super::{stat, word, Call, LONGEST_CALL};
-use crate::figures::Figures;
-use crate::fleet::link::Fleet;
+use crate::core::AdminCommand;
 use crate::interface::ServerId;
-use crate::limiter::AdminCommand;
-use crate::net::{lock, spawn};
+use crate::membership::link::Fleet;
+use crate::metrics::Figures;
+use crate::threads::{lock, spawn};
 use crossbeam_channel::{bounded, Sender};
 use slog::{info, warn, Logger};
 use std::collections::VecDeque;
--- a/src/control/mod.rs
+++ b/src/admin/mod.rs
@@ -5,8 +5,8 @@
 
 pub mod line;
 
-use crate::figures::Figures;
 use crate::interface::ServerId;
+use crate::metrics::Figures;
 use std::fmt::Write;
 
 /// The longest call that makes sense: the longest word, a blank and the id of a ticket node.
--- a/src/bin/mossrill-simhost.rs
+++ b/src/bin/mossrill-simhost.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use mossrill::interface::Action;
-use mossrill::wire::{self, Line, Lookup, Names};
+use mossrill::simulator::{self, Line, Lookup, Names};
 use mossrill::Gateway;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -32,7 +32,7 @@
 impl Host {
     /// Takes one line; true when the batch is whole and its reply is due.
     fn take(&mut self, text: &str) -> Result<bool, String> {
-        match wire::parse(text, self)? {
+        match simulator::parse(text, self)? {
             Line::Batch(now) => self.now = now,
             Line::End => return Ok(true),
             Line::Start(number, seed, settings) => {
@@ -43,7 +43,7 @@
                     }
                     Err(_) => self
                         .reply
-                        .push(wire::write_fault(number, "panic at the start")),
+                        .push(simulator::write_fault(number, "panic at the start")),
                 }
             }
             Line::Stop(number) => {
@@ -61,11 +61,11 @@
                     let text = text
                         .or(panic.downcast_ref::<&str>().copied())
                         .unwrap_or("panic");
-                    self.reply.push(wire::write_fault(number, text));
+                    self.reply.push(simulator::write_fault(number, text));
                     actions.clear();
                 }
                 self.reply
-                    .extend(actions.drain(..).map(|a| wire::write(number, &a)));
+                    .extend(actions.drain(..).map(|a| simulator::write(number, &a)));
             }
         }
         Ok(false)
--- a/src/cli/start.rs
+++ b/src/cli/start.rs
@@ -1,10 +1,11 @@
 //! Starting a limiter, and the signals that stop it or have it read its configuration again.
 
 use super::configuration::{self, ConfigurationError};
-use mossrill::net::front::ClientProtocol;
-use mossrill::net::wiring::{Limiter, Reload};
-use mossrill::net::{platform, spawn};
+use mossrill::client::ClientProtocol;
 use mossrill::openapi;
+use mossrill::platform;
+use mossrill::process::{Limiter, Reload};
+use mossrill::threads::spawn;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use slog::{crit, error, info, o, Drain, Logger};
--- a/src/net/front/accept.rs
+++ b/src/client/accept.rs
@@ -3,7 +3,7 @@
 use super::connection::{ClientConnection, ConnectionState};
 use super::protocol::ClientProtocol;
 use super::Front;
-use crate::net::{lock, spawn};
+use crate::threads::{lock, spawn};
 use slog::warn;
 use std::io;
 use std::net::{TcpListener, TcpStream};
--- a/src/net/front/connection.rs
+++ b/src/client/connection.rs
@@ -1,9 +1,9 @@
 //! One connection of an agent: what it owes, what may still come on it and when it ends.
 
 use super::protocol::{ClientProtocol, Reply, ValueOf};
-use crate::figures::InFlightRequest;
-use crate::net::lock;
-use crate::net::ticket_nodes::Presence;
+use crate::metrics::InFlightRequest;
+use crate::threads::lock;
+use crate::upstream::Presence;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::collections::VecDeque;
 use std::net::{Shutdown, TcpStream};
--- a/src/net/front/hand_over.rs
+++ b/src/client/hand_over.rs
@@ -3,7 +3,7 @@
 use super::connection::ClientConnection;
 use super::protocol::ClientProtocol;
 use super::Front;
-use crate::net::lock;
+use crate::threads::lock;
 use slog::warn;
 use std::net::TcpStream;
 use std::sync::{Arc, PoisonError};
--- a/src/net/interruptible.rs
+++ b/src/client/interruptible.rs
@@ -26,7 +26,7 @@
 
     /// Wakes those that wait now or later, or no longer.
     pub fn set(&self, woken: bool) {
-        let mut set = super::lock(&self.set);
+        let mut set = crate::threads::lock(&self.set);
         while (&self.sign).read(&mut [0; 8]).is_ok_and(|read| read > 0) {}
         if woken {
             _ = set.write_all(&[1]);
--- a/src/net/front/mod.rs
+++ b/src/client/mod.rs
@@ -10,6 +10,7 @@
 mod accept;
 mod connection;
 mod hand_over;
+pub mod interruptible;
 mod protocol;
 mod reader;
 mod session;
@@ -20,12 +21,12 @@
 pub use protocol::{ClientProtocol, CloseReason, Reply, ReplySlot};
 pub use session::Session;
 
-use super::interruptible::ReadInterrupt;
-use super::wiring::Queue;
-use super::{lock, spawn};
-use crate::figures::Figures;
-use crate::limiter::Input;
+use crate::client::interruptible::ReadInterrupt;
+use crate::core::Input;
 use crate::log_throttle::LogThrottle;
+use crate::metrics::Figures;
+use crate::process::Queue;
+use crate::threads::{lock, spawn};
 use connection::ClientConnection;
 use slog::Logger;
 use std::collections::HashMap;
--- a/src/net/front/protocol.rs
+++ b/src/client/protocol.rs
@@ -1,9 +1,9 @@
 //! The protocol of a front: how commands are read, and how replies are written.
 
-use super::super::interruptible::InterruptibleReader;
-use super::super::ticket_nodes::{Presence, UpstreamProtocol};
 use super::session::Session;
-use crate::limiter::Answer;
+use crate::client::interruptible::InterruptibleReader;
+use crate::core::Answer;
+use crate::upstream::{Presence, UpstreamProtocol};
 use std::io;
 use std::net::TcpStream;
 use std::sync::Arc;
--- a/src/net/front/watchdog.rs
+++ b/src/client/watchdog.rs
@@ -4,7 +4,7 @@
 use super::connection::{peer_hung_up, ClientConnection, SHORT_IDLE};
 use super::protocol::ClientProtocol;
 use super::Front;
-use crate::net::lock;
+use crate::threads::lock;
 use std::collections::HashMap;
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -1,13 +1,13 @@
 //! The one place where configuration is read, checked and given defaults. Faults name the key.
 
-use crate::fleet::datagram::{version, Key as FleetKey, MOST_LIMITERS};
-use crate::fleet::link::Place;
-use crate::fleet::released::Encoding;
-use crate::fleet::view::Setup;
 use crate::interface::*;
+use crate::membership::datagram::{version, Key as FleetKey, MOST_LIMITERS};
+use crate::membership::link::Place;
+use crate::membership::released::Encoding;
+use crate::membership::view::Setup;
 use crate::openapi::description::Description;
 use crate::quota_lease::config::LimiterLeases;
-use crate::wire::{self, Names};
+use crate::simulator::{self, Names};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::{SocketAddr, SocketAddrV4, ToSocketAddrs};
@@ -201,7 +201,7 @@
     }
     let root = Key::new(&value, "");
     let facts = root.must("settings", "an object", |v| v.is_object().then_some(v))?;
-    let settings = wire::settings(facts).map_err(|e| format!("key \"settings\": {e}"))?;
+    let settings = simulator::settings(facts).map_err(|e| format!("key \"settings\": {e}"))?;
     check(&settings)?;
     let part = |key: &str| facts.get(key).unwrap_or(&Value::Null);
     let limits = Key::new(part("limits"), "settings.limits");
--- a/src/limiter/messages.rs
+++ b/src/core/messages.rs
@@ -1,8 +1,8 @@
 //! The messages of the core: what reaches it, and what it wants done outside.
 
-use crate::fleet::parts::Standing;
 use crate::handover::message::Body;
 use crate::interface::*;
+use crate::membership::parts::Standing;
 use crate::quota_lease::link::LinkEvent;
 use crate::quota_lease::message::Report;
 use std::sync::Arc;
--- a/src/net/quota_counter.rs
+++ b/src/counter/http.rs
@@ -1,8 +1,8 @@
 //! The platform's quota counter, over HTTP.
 
-use super::count_lines::{Addition, CounterProtocol};
-use super::http::Reader;
+use crate::counter::{Addition, CounterProtocol};
 use crate::interface::Outcome;
+use crate::protocol::http::Reader;
 use std::net::{SocketAddr, TcpStream};
 
 const LONGEST_BODY: usize = 1_024;
--- a/src/net/count_lines.rs
+++ b/src/counter/mod.rs
@@ -1,7 +1,10 @@
 //! Calls of a counter, written one behind another on a few kept connections.
 
-use super::{lock, spawn};
+pub mod http;
+pub mod redis;
+
 use crate::interface::Outcome;
+use crate::threads::{lock, spawn};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use slog::{warn, Logger};
 use std::collections::VecDeque;
--- a/src/net/redis_counter.rs
+++ b/src/counter/redis.rs
@@ -1,10 +1,10 @@
 //! A Redis server as the counter: one transaction a call, on the codec that the platform's front uses.
 
-use super::buffers::{Buffer, SIZE};
-use super::count_lines::{Addition, CounterProtocol};
-use super::quota_counter::total;
-use super::resp::{self, Reply};
+use crate::counter::http::total;
+use crate::counter::{Addition, CounterProtocol};
 use crate::interface::Outcome;
+use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::resp::{self, Reply};
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 
--- a/src/net/node_list.rs
+++ b/src/discovery/mod.rs
@@ -1,11 +1,13 @@
 //! Watches the node list: what is known first, then every change, over broken watches too.
 
-use super::http::{Body, Broken, Reader};
-use super::lock;
-use super::node_list_waits::{
+pub mod poll_wait;
+
+use crate::config::{self, NodeNews};
+use crate::discovery::poll_wait::{
     answer_timeout, first_wait, next_wait, spread, turns, Call, CONNECT_TIMEOUT, WATCH_TIMEOUT,
 };
-use crate::config::{self, NodeNews};
+use crate::protocol::http::{Body, Broken, Reader};
+use crate::threads::lock;
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use serde_json::Value;
 use slog::{info, warn, Logger};
@@ -67,7 +69,7 @@
         news,
         log,
     };
-    super::spawn("node-list", move || follower.run())?;
+    crate::threads::spawn("node-list", move || follower.run())?;
     Ok(watch)
 }
 
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -72,7 +72,7 @@
         let mut text = Vec::with_capacity(size + 4);
         text.extend_from_slice(&(size as u32).to_be_bytes());
         frame.encode(&mut text).map_err(io::Error::other)?;
-        let _turn = crate::net::lock(&self.saying);
+        let _turn = crate::threads::lock(&self.saying);
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut with = SendAncillaryBuffer::new(&mut space);
         let given: Vec<BorrowedFd> = descriptor.into_iter().collect();
@@ -101,7 +101,7 @@
 
     /// Hears the next frame, waiting for its beginning for so long.
     pub fn hear(&self, wait: Option<Duration>) -> Result<(Body, Option<OwnedFd>), Deaf> {
-        let mut hearing = crate::net::lock(&self.hearing);
+        let mut hearing = crate::threads::lock(&self.hearing);
         if wait == Some(Duration::ZERO) || self.stream.set_read_timeout(wait).is_err() {
             return Err(Deaf::Overdue);
         }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -9,7 +9,7 @@
 pub mod message;
 pub mod stage;
 
-use crate::net::{lock, spawn};
+use crate::threads::{lock, spawn};
 use crossbeam_channel::{unbounded, Sender};
 use link::{Deaf, Link};
 use message::{Body, FinalReport, LearnedState};
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here decides anything, and nothing here knows how events travel.
 
-use crate::fleet::parts::Standing;
+use crate::membership::parts::Standing;
 use std::sync::Arc;
 
 /// A span or a point of time in microseconds.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! A quota limiter for a fleet of API gateways: keeps each agent account of a shared back end to its plan.
 //!
-//! [`limiter`] is the core, [`net`] what speaks to the platform, [`config`] what a limiter is told. The
+//! [`core`](crate::core) is the event loop, [`process`] assembles a limiter, [`config`] reads its configuration. The
 //! decisions are in [`policy`].
 //!
 //! A [`Gateway`] is a state machine without input or output of its own: a host hands it events with the
@@ -46,19 +46,26 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod admin;
+pub mod client;
 pub mod config;
-pub mod control;
-pub mod figures;
-pub mod fleet;
+pub mod core;
+pub mod counter;
+pub mod discovery;
 pub mod handover;
 pub mod interface;
-pub mod limiter;
 pub mod log_throttle;
-pub mod net;
+pub mod membership;
+pub mod metrics;
 pub mod openapi;
+pub mod platform;
 pub mod policy;
+pub mod process;
+pub mod protocol;
 pub mod quota_lease;
+pub mod simulator;
 mod state;
-pub mod wire;
+pub mod threads;
+pub mod upstream;
 
 pub use policy::Gateway;
--- a/src/fleet/link.rs
+++ b/src/membership/link.rs
@@ -3,10 +3,10 @@
 use super::datagram::{version_text, Fault, Key, State};
 use super::parts::Standing;
 use super::view::{Action, Setup, View};
+use crate::core::Clock;
 use crate::interface::Micros;
-use crate::limiter::Clock;
 use crate::log_throttle::LogThrottle;
-use crate::net::{lock, spawn};
+use crate::threads::{lock, spawn};
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender};
 use slog::{info, warn, Logger};
 use std::fmt::Write;
--- a/src/fleet/view/gossip.rs
+++ b/src/membership/view/gossip.rs
@@ -2,9 +2,9 @@
 
 use super::member::{Member, SEND_TIMES};
 use super::{Action, View};
-use crate::fleet::datagram::{Datagram, News, State, Word, LONGEST};
-use crate::fleet::released::{Encoding, ReleasedPart};
 use crate::interface::Micros;
+use crate::membership::datagram::{Datagram, News, State, Word, LONGEST};
+use crate::membership::released::{Encoding, ReleasedPart};
 use std::net::SocketAddrV4;
 
 /// Living members that are told of what is new, twice in each period.
--- a/src/fleet/view/member.rs
+++ b/src/membership/view/member.rs
@@ -1,8 +1,8 @@
 //! What is known of one member, and which of its datagrams were heard.
 
 use super::suspicion::Suspicion;
-use crate::fleet::datagram::State;
 use crate::interface::Micros;
+use crate::membership::datagram::State;
 use std::net::SocketAddrV4;
 
 /// Send times kept for each peer.
--- a/src/fleet/view/probe.rs
+++ b/src/membership/view/probe.rs
@@ -2,8 +2,8 @@
 
 use super::table::Update;
 use super::{Action, View};
-use crate::fleet::datagram::{Fault, State, Word};
 use crate::interface::Micros;
+use crate::membership::datagram::{Fault, State, Word};
 
 /// Others that are asked to ask for one who does not answer.
 const INDIRECT_PROBES: usize = 3;
--- a/src/fleet/view/receive.rs
+++ b/src/membership/view/receive.rs
@@ -4,9 +4,9 @@
 use super::member::Window;
 use super::table::Update;
 use super::{Action, Setup, View};
-use crate::fleet::datagram::{Datagram, Fault, State, Word};
-use crate::fleet::released::{Encoding, SaidPart};
 use crate::interface::Micros;
+use crate::membership::datagram::{Datagram, Fault, State, Word};
+use crate::membership::released::{Encoding, SaidPart};
 
 impl View {
     /// Takes a datagram that was opened with the fleet's key.
--- a/src/fleet/view/suspicion.rs
+++ b/src/membership/view/suspicion.rs
@@ -2,8 +2,8 @@
 
 use super::table::Update;
 use super::{Action, View};
-use crate::fleet::datagram::{State, Word};
 use crate::interface::Micros;
+use crate::membership::datagram::{State, Word};
 
 /// Further accusers that bring a suspicion down to its shortest time.
 pub(super) const CONFIRMATIONS: usize = 3;
--- a/src/fleet/view/table.rs
+++ b/src/membership/view/table.rs
@@ -2,8 +2,8 @@
 
 use super::suspicion::{Suspicion, CONFIRMATIONS};
 use super::{Action, Change, View};
-use crate::fleet::datagram::State;
 use crate::interface::Micros;
+use crate::membership::datagram::State;
 use std::net::SocketAddrV4;
 
 /// What is said of a member.
--- a/src/openapi/agents.rs
+++ b/src/openapi/client_protocol.rs
@@ -1,13 +1,15 @@
 //! The HTTP front: requests matched with the description, answers as HTTP says.
 
-use super::description::{Description, Found, Operation};
-use super::node_calls::{write_headers, HttpBody, HttpCall, HttpServed, HttpUpstreamProtocol};
+use crate::client::interruptible::InterruptibleReader;
+use crate::client::{ClientProtocol, CloseReason, Reply, Session};
 use crate::config::Account;
+use crate::core::{Answer, Incoming};
 use crate::interface::CustomerId;
-use crate::limiter::{Answer, Incoming};
-use crate::net::front::{ClientProtocol, CloseReason, Reply, Session};
-use crate::net::http::{header, Ask, Body, Broken, Reader};
-use crate::net::interruptible::InterruptibleReader;
+use crate::openapi::description::{Description, Found, Operation};
+use crate::openapi::upstream_protocol::{
+    write_headers, HttpBody, HttpCall, HttpServed, HttpUpstreamProtocol,
+};
+use crate::protocol::http::{header, Ask, Body, Broken, Reader};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::TcpStream;
--- a/src/openapi/mod.rs
+++ b/src/openapi/mod.rs
@@ -2,21 +2,21 @@
 //!
 //! It stands before the same core, decisions and quotas as the platform's front.
 
-pub mod agents;
+pub mod client_protocol;
 pub mod description;
-pub mod node_calls;
 mod strict;
+pub mod upstream_protocol;
 
 use crate::config::{OpenApi, Store};
-use crate::net::count_lines::CountLines;
-use crate::net::quota_counter::QuotaCounter;
-use crate::net::redis_counter::RedisCounter;
-use crate::net::wiring::{Limiter, Reload};
-use agents::HttpClientProtocol;
-use node_calls::HttpUpstreamProtocol;
+use crate::counter::http::QuotaCounter;
+use crate::counter::redis::RedisCounter;
+use crate::counter::CountLines;
+use crate::process::{Limiter, Reload};
+use client_protocol::HttpClientProtocol;
 use slog::{info, o, warn, Logger};
 use std::io;
 use std::time::Duration;
+use upstream_protocol::HttpUpstreamProtocol;
 
 /// Starts a limiter with an OpenAPI front, all but its core. The second is what a new file is given to: it may move
 /// ticket nodes and store; all else waits for the next start.
--- a/src/openapi/node_calls.rs
+++ b/src/openapi/upstream_protocol.rs
@@ -1,10 +1,10 @@
 //! Attempts at ticket nodes over HTTP: the request goes on as it came, with the time left beside it.
 
-use super::description::Operation;
 use crate::interface::Outcome;
-use crate::net::http::{Body, Broken, Head, Headers, Reader};
-use crate::net::node_calls::STALLED;
-use crate::net::ticket_nodes::{Connection, Exchange, Source, UpstreamProtocol};
+use crate::openapi::description::Operation;
+use crate::platform::upstream_protocol::STALLED;
+use crate::protocol::http::{Body, Broken, Head, Headers, Reader};
+use crate::upstream::{Connection, Exchange, Source, UpstreamProtocol};
 use crossbeam_channel::{bounded, Sender};
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
--- a/src/net/agents.rs
+++ b/src/platform/client_protocol.rs
@@ -1,13 +1,13 @@
 //! The platform's front: agents' commands in RESP, each passed on as it came but for the time left.
 
-use super::buffers::{Buffer, SIZE};
-use super::front::{ClientProtocol, CloseReason, Reply, Session};
-use super::interruptible::InterruptibleReader;
-use super::node_calls::{PlatformCall, PlatformUpstreamProtocol, Served, FIELDS};
-use super::resp;
+use crate::client::interruptible::InterruptibleReader;
+use crate::client::{ClientProtocol, CloseReason, Reply, Session};
+use crate::core::{Answer, Incoming};
 use crate::interface::{CustomerId, Effect, RequestId};
-use crate::limiter::{Answer, Incoming};
-use crate::wire::Names;
+use crate::platform::upstream_protocol::{PlatformCall, PlatformUpstreamProtocol, Served, FIELDS};
+use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::resp;
+use crate::simulator::Names;
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::ops::Range;
--- a/src/net/platform.rs
+++ b/src/platform/mod.rs
@@ -1,12 +1,15 @@
 //! A limiter on the platform: what it is told joined to what it speaks.
 
-use super::agents::PlatformClientProtocol;
-use super::count_lines::CountLines;
-use super::node_calls::PlatformUpstreamProtocol;
-use super::node_list;
-use super::quota_counter::QuotaCounter;
-use super::wiring::{Limiter, Reload};
+pub mod client_protocol;
+pub mod upstream_protocol;
+
 use crate::config::Platform;
+use crate::counter::http::QuotaCounter;
+use crate::counter::CountLines;
+use crate::discovery;
+use crate::platform::client_protocol::PlatformClientProtocol;
+use crate::platform::upstream_protocol::PlatformUpstreamProtocol;
+use crate::process::{Limiter, Reload};
 use slog::{info, o, warn, Logger};
 use std::io;
 use std::time::Duration;
@@ -41,7 +44,7 @@
     };
     let limiter = Limiter::start(config.common, agents, protocol, counter, log)?;
     let list_log = log.new(o!("part" => "node-list"));
-    let watch = node_list::watch(
+    let watch = discovery::watch(
         list_at,
         generation,
         (limiter.limiters(), grace, seed),
--- a/src/net/node_calls.rs
+++ b/src/platform/upstream_protocol.rs
@@ -1,9 +1,9 @@
 //! How the platform words an attempt, and what its ticket nodes answer.
 
-use super::buffers::{Buffer, SIZE};
-use super::resp::{self, Reply};
-use super::ticket_nodes::{Connection, Exchange, UpstreamProtocol};
 use crate::interface::Outcome;
+use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::resp::{self, Reply};
+use crate::upstream::{Connection, Exchange, UpstreamProtocol};
 use crossbeam_channel::{bounded, Sender};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,8 +4,8 @@
 //! In order: admit, dispatch, pick server, outcome, counts, members, timers. "Paper" is "Proportional-Share
 //! Scheduling for Distributed Storage Systems"; departures from it are listed in `docs/design.md`.
 
-use crate::fleet::parts::Standing;
 use crate::interface::*;
+use crate::membership::parts::Standing;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/net/wiring.rs
+++ b/src/process/mod.rs
@@ -1,25 +1,27 @@
 //! Joins a front, the core, ticket nodes and a counter into one limiter, whatever they speak.
 
-use super::count_lines::{Addition, CountLines};
-use super::front::{ClientProtocol, ConnectionHandOver, Front, Reply, ReplySlot};
-use super::interruptible::ReadInterrupt;
-use super::shutdown::{last_requests, LAST_ANSWERS, LAST_COMMANDS, STILL_COMING, STILL_WRITTEN};
-use super::ticket_nodes::{TicketNodes, UpstreamProtocol};
+pub mod shutdown;
+
+use crate::admin::line::{self, AdminContext};
+use crate::client::interruptible::ReadInterrupt;
+use crate::client::{ClientProtocol, ConnectionHandOver, Front, Reply, ReplySlot};
 use crate::config::{Common, NodeNews};
-use crate::control::line::{self, AdminContext};
-use crate::figures::Figures;
-use crate::fleet::link::Fleet;
-use crate::fleet::parts::Standing;
+use crate::core::{Answer, AttemptId, Clock, Command, Core, Edges, HandOverCommand, Input, Wait};
+use crate::counter::{Addition, CountLines};
 use crate::handover::link::Link;
 use crate::handover::message::{Body, LearnedState};
 use crate::handover::{Beside, Limiting};
 use crate::interface::{Scope, ServerId};
-use crate::limiter::{
-    Answer, AttemptId, Clock, Command, Core, Edges, HandOverCommand, Input, Wait,
+use crate::membership::link::Fleet;
+use crate::membership::parts::Standing;
+use crate::metrics::Figures;
+use crate::process::shutdown::{
+    last_requests, LAST_ANSWERS, LAST_COMMANDS, STILL_COMING, STILL_WRITTEN,
 };
 use crate::quota_lease::config::LimiterLeases;
 use crate::quota_lease::link::{AllocatorLinks, Told};
 use crate::quota_lease::message::Report;
+use crate::upstream::{TicketNodes, UpstreamProtocol};
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use slog::{info, o, warn, Logger};
 use socket2::{Domain, Socket, Type};
@@ -151,7 +153,7 @@
         common: Common,
         client_protocol: P,
         upstream_protocol: P::Upstream,
-        counter: impl FnOnce(super::count_lines::Counted) -> io::Result<Option<CountLines>>,
+        counter: impl FnOnce(crate::counter::Counted) -> io::Result<Option<CountLines>>,
         log: &Logger,
     ) -> io::Result<Self> {
         let ((queue, inputs), (to_core, commands)) = (unbounded(), unbounded());
@@ -257,7 +259,7 @@
         let listed = move |wait| first_list.recv_timeout(wait).is_ok();
         match &beside {
             Some(beside) => beside.start(joined, listed, Arc::new(change))?,
-            None => super::spawn("ready", move || {
+            None => crate::threads::spawn("ready", move || {
                 while !listed(Duration::MAX) {}
                 change.serving();
             })?,
--- a/src/net/http.rs
+++ b/src/protocol/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 messages over blocking sockets: heads by httparse, bodies by length or in chunks.
 
-use super::buffers::{Buffer, SIZE};
+use crate::protocol::buffers::{Buffer, SIZE};
 use std::io::{self, Read};
 
 /// How long a body is.
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -5,7 +5,7 @@
 
 use super::frame::{self, FrameError, Timeouts};
 use super::message::{Grant, MessageError, Report};
-use crate::net::spawn;
+use crate::threads::spawn;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use prost::Message;
 use slog::{info, warn, Logger};
--- a/src/net/mod.rs
+++ b/src/threads.rs
@@ -1,23 +1,4 @@
-//! What speaks to the platform: agents in front, ticket nodes behind, the node list and the quota counter.
-//!
-//! Each connection has a small thread of its own; all of them reach the core through its queue.
-
-pub mod agents;
-pub mod buffers;
-pub mod count_lines;
-pub mod front;
-pub mod http;
-pub mod interruptible;
-pub mod node_calls;
-pub mod node_list;
-pub mod node_list_waits;
-pub mod platform;
-pub mod quota_counter;
-pub mod redis_counter;
-pub mod resp;
-pub mod shutdown;
-pub mod ticket_nodes;
-pub mod wiring;
+//! Threads with small stacks that are used again, and locks.
 
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
--- a/src/net/ticket_nodes.rs
+++ b/src/upstream/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! Connections that wait hold no thread: hundreds of limiters on one machine would need more than a system gives.
 
-use super::wiring::Queue;
-use super::{lock, spawn};
 use crate::config::{Links, NodeNews};
-use crate::figures::Figures;
+use crate::core::{AttemptId, Input, Wait};
 use crate::interface::{Outcome, Readiness, ServerId};
-use crate::limiter::{AttemptId, Input, Wait};
 use crate::log_throttle::LogThrottle;
+use crate::metrics::Figures;
+use crate::process::Queue;
+use crate::threads::{lock, spawn};
 use slog::{warn, Logger};
 use socket2::SockRef;
 use std::collections::HashMap;
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,11 +1,11 @@
 //! Views of a fleet on a network of hand-made time: datagrams that are lost, late, repeated and cut off, processes
 //! that die, stand still and come back.
 
-use mossrill::fleet::datagram::Datagram;
-use mossrill::fleet::parts::Standing;
-use mossrill::fleet::released::Encoding;
-use mossrill::fleet::view::{Action, Change, Setup, View};
 use mossrill::interface::Micros;
+use mossrill::membership::datagram::Datagram;
+use mossrill::membership::parts::Standing;
+use mossrill::membership::released::Encoding;
+use mossrill::membership::view::{Action, Change, Setup, View};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Ordering;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,8 +1,8 @@
 //! Stories of the core alone: its edges are played by the test, nothing goes over a socket.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
+use mossrill::core::{Answer, AttemptId, Clock, Core, Edges, Incoming, Input, Wait};
 use mossrill::interface::*;
-use mossrill::limiter::{Answer, AttemptId, Clock, Core, Edges, Incoming, Input, Wait};
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
 use std::thread;
@@ -192,7 +192,7 @@
     let mut seen = std::collections::HashSet::new();
     loop {
         let tell = tell.clone();
-        mossrill::net::spawn("work", move || _ = tell.send(thread::current().id()))
+        mossrill::threads::spawn("work", move || _ = tell.send(thread::current().id()))
             .expect("a thread");
         if !seen.insert(
             told.recv_timeout(Duration::from_secs(20))
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -3,9 +3,9 @@
 
 mod peers;
 
-use mossrill::net::count_lines::{Addition, CountLines};
-use mossrill::net::http::{Body, Broken, Reader};
-use mossrill::net::quota_counter::QuotaCounter;
+use mossrill::counter::http::QuotaCounter;
+use mossrill::counter::{Addition, CountLines};
+use mossrill::protocol::http::{Body, Broken, Reader};
 use peers::*;
 use serde_json::Value;
 use slog::{o, Discard, Logger};
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -1,7 +1,7 @@
 //! Datagrams between limiters: what opens and what does not, and the parts of the set of released leases.
 
-use mossrill::fleet::datagram::*;
-use mossrill::fleet::released::{
+use mossrill::membership::datagram::*;
+use mossrill::membership::released::{
     insert, parts, Encoding, ReleasedPart, SaidPart, MOST_BY_BIT, WINDOW,
 };
 use proptest::prelude::*;
@@ -90,7 +90,7 @@
     let mut numbers = Vec::new();
     for (index, bits) in part.windows.iter().enumerate() {
         let first = (part.first_window + index) * window;
-        let has = |n: &usize| mossrill::fleet::released::has(bits, *n);
+        let has = |n: &usize| mossrill::membership::released::has(bits, *n);
         numbers.extend((0..bits.len() * 8).filter(has).map(|n| (first + n) as u32));
     }
     numbers
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -7,7 +7,7 @@
 mod relay;
 mod rig;
 
-use mossrill::fleet::datagram::{Datagram, Word, FORMAT};
+use mossrill::membership::datagram::{Datagram, Word, FORMAT};
 use rig::{Plan, Rig};
 use std::net::UdpSocket;
 use std::thread;
--- a/tests/fleet/relay.rs
+++ b/tests/fleet/relay.rs
@@ -1,7 +1,7 @@
 //! The network between the processes of a fleet: every datagram goes through here, and by script is lost, late, out of
 //! order, repeated or cut off, one way or both ways.
 
-use mossrill::fleet::datagram::Key;
+use mossrill::membership::datagram::Key;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
--- a/tests/golden/hosts.rs
+++ b/tests/golden/hosts.rs
@@ -1,7 +1,7 @@
 //! What hosts the decision engine: the program on the simulator's wire, or the library itself.
 
 use mossrill::interface::{Action, Event};
-use mossrill::wire::{self, Line, Lookup, Names};
+use mossrill::simulator::{self, Line, Lookup, Names};
 use mossrill::Gateway;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
                 );
                 continue;
             }
-            match wire::parse(line, self).expect("a line of the wire") {
+            match simulator::parse(line, self).expect("a line of the wire") {
                 Line::Batch(now) => self.now = now,
                 Line::End => {}
                 Line::Start(number, seed, mut settings) => {
@@ -135,6 +135,6 @@
             spread,
             units,
         } => json!(["lease", number, &*id.0, &*customer.0, plan, spread, units]).to_string(),
-        other => wire::write(number, other),
+        other => simulator::write(number, other),
     }
 }
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -3,11 +3,11 @@
 //! Each recorded message is read and written again, and compared with the message that it was recorded from.
 
 use crate::golden::{assert_matches, hex, recorded};
-use mossrill::fleet::datagram::{Datagram, Key, News, Word, FORMAT, PARTS_FORMAT};
-use mossrill::fleet::released::ReleasedPart;
 use mossrill::handover::message::{
     Account, Ban, Body, Fails, FinalReport, Frame, LearnedState, Node, UnreportedUnits,
 };
+use mossrill::membership::datagram::{Datagram, Key, News, Word, FORMAT, PARTS_FORMAT};
+use mossrill::membership::released::ReleasedPart;
 use mossrill::quota_lease::message::{
     AccountKey, Grant, GrantEntry, PlanLimits, Report, ReportEntry, Verdict, FORMAT as LEASE_FORMAT,
 };
--- a/tests/golden/wire_texts.rs
+++ b/tests/golden/wire_texts.rs
@@ -1,29 +1,29 @@
 //! Golden bytes of the text protocols: RESP, HTTP, service discovery, counter calls and frames on a connection.
 
 use crate::golden::assert_matches;
-use mossrill::figures::{Figures, RequestOutcome};
+use mossrill::client::{ClientProtocol, CloseReason};
+use mossrill::core::Answer;
+use mossrill::counter::http::QuotaCounter;
+use mossrill::counter::redis::RedisCounter;
+use mossrill::counter::{Addition, CounterProtocol};
+use mossrill::discovery;
 use mossrill::handover::link::Link;
 use mossrill::handover::message::Body;
 use mossrill::interface::{Effect, Outcome};
-use mossrill::limiter::Answer;
-use mossrill::net::agents::PlatformClientProtocol;
-use mossrill::net::buffers::Buffer;
-use mossrill::net::count_lines::{Addition, CounterProtocol};
-use mossrill::net::front::{ClientProtocol, CloseReason};
-use mossrill::net::http::Body as HttpForm;
-use mossrill::net::http::Head;
-use mossrill::net::node_calls::{PlatformCall, PlatformUpstreamProtocol, Served};
-use mossrill::net::node_list;
-use mossrill::net::quota_counter::QuotaCounter;
-use mossrill::net::redis_counter::RedisCounter;
-use mossrill::net::resp;
-use mossrill::net::ticket_nodes::UpstreamProtocol;
-use mossrill::openapi::agents::HttpClientProtocol;
+use mossrill::metrics::{Figures, RequestOutcome};
+use mossrill::openapi::client_protocol::HttpClientProtocol;
 use mossrill::openapi::description::{Description, Operation};
-use mossrill::openapi::node_calls::{HttpBody, HttpCall, HttpServed, HttpUpstreamProtocol};
+use mossrill::openapi::upstream_protocol::{HttpBody, HttpCall, HttpServed, HttpUpstreamProtocol};
+use mossrill::platform::client_protocol::PlatformClientProtocol;
+use mossrill::platform::upstream_protocol::{PlatformCall, PlatformUpstreamProtocol, Served};
+use mossrill::protocol::buffers::Buffer;
+use mossrill::protocol::http::Body as HttpForm;
+use mossrill::protocol::http::Head;
+use mossrill::protocol::resp;
 use mossrill::quota_lease::frame;
-use mossrill::wire::Names;
-use mossrill::{control, interface::ServerId};
+use mossrill::simulator::Names;
+use mossrill::upstream::UpstreamProtocol;
+use mossrill::{admin, interface::ServerId};
 use slog::{o, Discard, Logger};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -323,7 +323,7 @@
     let moved = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (limiters, grace) = (Arc::new(AtomicU32::new(1)), Duration::from_millis(10));
     let log = Logger::root(Discard, o!());
-    let watch = node_list::watch(address, 41, (limiters, grace, 7), |_| {}, log).expect("a watch");
+    let watch = discovery::watch(address, 41, (limiters, grace, 7), |_| {}, log).expect("a watch");
     let (watching, open) = asked(
         &listener,
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -371,10 +371,10 @@
     figures.servers(5, 2);
     let mut text = line(
         "show-stat",
-        control::stat(&figures, vec![("fleet.alive".into(), 3)]).as_bytes(),
+        admin::stat(&figures, vec![("fleet.alive".into(), 3)]).as_bytes(),
     );
-    text += &line("yes", control::word(Ok(())).as_bytes());
-    text += &line("no", control::word(Err("why")).as_bytes());
+    text += &line("yes", admin::word(Ok(())).as_bytes());
+    text += &line("no", admin::word(Err("why")).as_bytes());
     for call in [
         "ready",
         "show-stat",
@@ -383,11 +383,11 @@
         "enable-server a",
     ] {
         assert!(
-            control::Call::parse(call.as_bytes()).is_ok(),
+            admin::Call::parse(call.as_bytes()).is_ok(),
             "{call} is not understood"
         );
     }
-    let disabled = control::Call::DisableServer(ServerId::from("a"));
-    assert_eq!(control::Call::parse(b"disable-server a"), Ok(disabled));
+    let disabled = admin::Call::DisableServer(ServerId::from("a"));
+    assert_eq!(admin::Call::parse(b"disable-server a"), Ok(disabled));
     assert_matches("admin-replies.txt", &text);
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,8 +1,8 @@
 //! Every reachable state of the leases of three limiters, one of which is cut off: whatever the others believe of it at
 //! any moment, whatever is said, heard late or lost, and whenever a core looks, nobody shares out what is still held.
 
-use mossrill::fleet::parts::{PeerLease, Released, Standing};
-use mossrill::fleet::released::{Encoding, SaidPart};
+use mossrill::membership::parts::{PeerLease, Released, Standing};
+use mossrill::membership::released::{Encoding, SaidPart};
 use stateright::{Checker, Model, Property};
 
 /// A lease lasts a step of time, and a tenth longer where clocks may drift.
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,9 +1,10 @@
 //! Scripted peers on loopback for the stories: agents, ticket nodes, node list and counters.
 #![allow(dead_code)]
 
-use mossrill::net::front::ClientProtocol;
-use mossrill::net::wiring::{Limiter, Reload, Stopper};
-use mossrill::net::{platform, resp};
+use mossrill::client::ClientProtocol;
+use mossrill::platform;
+use mossrill::process::{Limiter, Reload, Stopper};
+use mossrill::protocol::resp;
 use mossrill::{config, openapi};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 
-use mossrill::net::ticket_nodes::stands;
+use mossrill::upstream::stands;
 use peers::*;
 use std::collections::VecDeque;
 use std::io::Write;
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -1,5 +1,5 @@
 //! Limiters and allocators on a network of hand-made time that loses, delays and doubles messages, and a fleet of allocators
-//! whose leases obey the rule of `mossrill::fleet::parts`: nobody is given away while it holds its lease, and nobody's lease is
+//! whose leases obey the rule of `mossrill::membership::parts`: nobody is given away while it holds its lease, and nobody's lease is
 //! renewed while somebody may still count it as given away.
 
 use std::cmp::Reverse;
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -1,8 +1,8 @@
 //! The core with a holder of leases: its edges are played by the test, and so are the allocators.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
+use mossrill::core::{Answer, AttemptId, Clock, Core, Edges, Incoming, Input, Wait};
 use mossrill::interface::*;
-use mossrill::limiter::{Answer, AttemptId, Clock, Core, Edges, Incoming, Input, Wait};
 use mossrill::quota_lease::holder::{Holder, HolderSettings};
 use mossrill::quota_lease::link::LinkEvent;
 use mossrill::quota_lease::message::{Grant, GrantEntry, Report, Verdict, FORMAT};
--- a/tests/units/admin_calls.rs
+++ b/tests/units/admin_calls.rs
@@ -1,9 +1,9 @@
 //! Admin calls as text: what is read from a line, and what is answered.
 
-use mossrill::control::{stat, word, Call};
-use mossrill::figures::Figures;
-use mossrill::figures::RequestOutcome;
+use mossrill::admin::{stat, word, Call};
 use mossrill::interface::ServerId;
+use mossrill::metrics::Figures;
+use mossrill::metrics::RequestOutcome;
 
 #[test]
 fn calls_are_read_to_the_word() {
--- a/tests/units/bans.rs
+++ b/tests/units/bans.rs
@@ -1,7 +1,7 @@
 //! Upstream servers taken out by operators, over whatever service discovery says.
 
+use mossrill::core::bans::Bans;
 use mossrill::interface::*;
-use mossrill::limiter::bans::Bans;
 fn node(id: &str, readiness: Readiness) -> Member {
     Member {
         id: id.into(),
--- a/tests/units/node_list_waits.rs
+++ b/tests/units/node_list_waits.rs
@@ -1,6 +1,6 @@
 //! Waits between calls of the node list.
 
-use mossrill::net::node_list_waits::{
+use mossrill::discovery::poll_wait::{
     answer_timeout, first_wait, next_wait, spread, turns, Call, CONNECT_TIMEOUT, LONGEST_WAIT,
     TURN, WATCH_TIMEOUT,
 };
--- a/tests/units/shutdown.rs
+++ b/tests/units/shutdown.rs
@@ -1,6 +1,8 @@
 //! Times of an orderly end.
 
-use mossrill::net::shutdown::{last_requests, KILLED, LAST_ANSWERS, LONGEST_COUNTED, STILL_COMING};
+use mossrill::process::shutdown::{
+    last_requests, KILLED, LAST_ANSWERS, LONGEST_COUNTED, STILL_COMING,
+};
 use std::time::Duration;
 #[test]
 fn all_is_answered_before_the_limiter_is_killed_whatever_the_deadlines() {
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -3,9 +3,11 @@
 #[path = "common/net.rs"]
 mod net;
 
-use mossrill::fleet::datagram::{Datagram, Fault, Key, State, Word, FORMAT, PARTS_FORMAT, TAG};
-use mossrill::fleet::released::{Encoding, ReleasedPart};
-use mossrill::fleet::view::{Action, View};
+use mossrill::membership::datagram::{
+    Datagram, Fault, Key, State, Word, FORMAT, PARTS_FORMAT, TAG,
+};
+use mossrill::membership::released::{Encoding, ReleasedPart};
+use mossrill::membership::view::{Action, View};
 use net::*;
 use proptest::prelude::*;
 
@@ -199,7 +201,7 @@
     assert_eq!(view.state(4), State::Unknown);
     let row = view.rows().remove(4);
     assert_eq!(row.address, None);
-    let old = mossrill::fleet::datagram::News {
+    let old = mossrill::membership::datagram::News {
         who: 4,
         state: State::Alive.number(),
         incarnation: row.incarnation,
@@ -219,7 +221,7 @@
     for state in [State::Alive, State::Suspect, State::Dead] {
         let mut word = caught.clone();
         word.number += 100 + u64::from(state.number());
-        word.news = vec![mossrill::fleet::datagram::News {
+        word.news = vec![mossrill::membership::datagram::News {
             state: state.number(),
             ..old.clone()
         }];
@@ -228,7 +230,7 @@
     }
     let mut word = caught;
     word.number += 200;
-    word.news = vec![mossrill::fleet::datagram::News {
+    word.news = vec![mossrill::membership::datagram::News {
         incarnation: old.incarnation + 1,
         ..old
     }];
@@ -549,7 +551,7 @@
     fn all_parts_together_stay_within_the_whole_where_released_leases_are_told_in_parts(
         size in 9usize..18, seed in any::<u64>(), kept in prop::sample::select(vec![0.1, 0.5]), steps in steps(17),
     ) {
-        let change = |setup: &mut mossrill::fleet::view::Setup| (setup.kept, setup.encoding) = (kept, SMALL_PARTS);
+        let change = |setup: &mut mossrill::membership::view::Setup| (setup.kept, setup.encoding) = (kept, SMALL_PARTS);
         let net = Net::new(size as u32, seed).with(change);
         all_parts_stay_within_the_whole(net, steps)?;
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: what is read, what is written, and plain words on bad input.
 
 use mossrill::interface::*;
-use mossrill::wire::{parse, write, Line, Lookup, Names};
+use mossrill::simulator::{parse, write, Line, Lookup, Names};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
