--- a/src/quota_lease/server.rs
+++ b/src/quota_lease/server.rs
@@ -9,10 +9,10 @@
 use super::frame::{self, FrameError, Timeouts};
 use super::message::{Grant, MessageError, Report, Verdict};
 use crate::core::Clock;
-use crate::interface::Micros;
+use crate::decision::Micros;
+use crate::decision::QuotaShares;
 use crate::log_throttle::LogThrottle;
 use crate::membership::link::Fleet;
-use crate::membership::parts::Standing;
 use crate::threads::spawn;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender};
 use prost::Message;
@@ -76,7 +76,7 @@
             allocator: new_allocator(&config, clock),
             clock,
             connections: connections.clone(),
-            figures: Figures::default(),
+            figures: Metrics::default(),
             lease: Lease::default(),
             log_interval: config.log_interval,
             log: log.new(o!("part" => "allocator")),
@@ -85,10 +85,15 @@
         spawn("accept", move || connections.accept(&listener))?;
         let to_owner = queue.clone();
         let told =
-            move |standing: Standing| _ = to_owner.send(Input::Ownership(ownership(&standing)));
-        let fleet = Fleet::start(config.fleet, clock, told, log.new(o!("part" => "fleet")))?;
+            move |standing: QuotaShares| _ = to_owner.send(Input::Ownership(ownership(&standing)));
+        let fleet = Fleet::start(
+            config.fleet,
+            clock,
+            told,
+            log.new(o!("part" => "membership")),
+        )?;
         fleet.speak(true);
-        info!(log, "listening"; "at" => %address, "allocator" => config.number, "of" => config.allocators);
+        info!(log, "listening"; "address" => %address, "allocator" => config.number, "of" => config.allocators);
         Ok(Self {
             address,
             queue,
@@ -140,22 +145,22 @@
 }
 
 /// What the fleet's leases say of the ownership of accounts.
-fn ownership(standing: &Standing) -> Ownership {
+fn ownership(standing: &QuotaShares) -> Ownership {
     let given = standing
-        .given_away
+        .reassigned
         .iter()
         .enumerate()
         .filter(|(_, given)| **given);
     Ownership {
         given_away: given.fold(0, |bits, (number, _)| bits | 1 << number),
-        given_until: standing.given_until,
-        until: standing.until,
+        given_until: standing.reassigned_until,
+        until: standing.lease_ends,
     }
 }
 
 /// Counted since the start.
 #[derive(Default)]
-struct Figures {
+struct Metrics {
     reports: u64,
     entries: u64,
     /// In thousandths of a unit.
@@ -169,7 +174,7 @@
     allocator: Allocator,
     clock: Clock,
     connections: Arc<Connections>,
-    figures: Figures,
+    figures: Metrics,
     lease: Lease,
     log_interval: Duration,
     log: Logger,
@@ -410,7 +415,7 @@
 
     fn log_closed(&self, from: Option<SocketAddr>, fault: &str) {
         if let Some(more) = self.closed_log.permit() {
-            warn!(self.log, "connection closed"; "from" => ?from, "fault" => fault, "unlogged" => more);
+            warn!(self.log, "connection closed"; "from" => ?from, "error" => fault, "suppressed" => more);
         }
     }
 }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,6 +1,9 @@
 //! The simulator's wire: lines of JSON in, lines of JSON out. Translates and decides nothing.
 
-use crate::interface::*;
+use crate::decision::{
+    Action, AttemptResult, Endpoint, Event, Idempotency, KeyScope, Limits, LoadField, Micros,
+    Outcome, Plan, Prices, Readiness, Request, RequestClass, Safety, Settings, UpdateScope,
+};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use serde_json::{json, Value};
 
@@ -99,12 +102,12 @@
         Ok(match self.int(at)? {
             100 => Outcome::Ok,
             301 => Outcome::Error,
-            302 => Outcome::Full,
+            302 => Outcome::Rejected,
             303 => Outcome::Timeout,
             304 => Outcome::ConnectFailed,
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
-            307 => Outcome::Moot,
+            307 => Outcome::Superseded,
             _ => return Err(self.bad(at, "an outcome code")),
         })
     }
@@ -153,41 +156,41 @@
     let event = match name {
         "fleet" => members(&row)?,
         "workItem" => request(&row, lookup)?,
-        "opened" => Event::First {
+        "opened" => Event::ResponseStarted {
             id: row.text(2)?.into(),
         },
-        "resolved" => Event::Outcome(Ended {
+        "resolved" => Event::AttemptEnded(AttemptResult {
             id: row.text(2)?.into(),
-            settled: row
+            settled_units: row
                 .get(3)
                 .map(|_| row.num(3))
                 .transpose()?
                 .filter(|units| *units > 0.0),
-            took: row.int_or(5, 0)?,
+            latency: row.int_or(5, 0)?,
             server: row.text(6)?.into(),
             outcome: row.outcome(7)?,
             attempt: row.int(8)? as usize,
-            last: row.flag(9)?,
+            is_final: row.flag(9)?,
             load: row.load(10)?,
         }),
-        "withdrawn" => Event::Gone {
+        "withdrawn" => Event::ClientDisconnected {
             id: row.text(2)?.into(),
         },
-        "deadlineHit" => Event::Timer { token: row.int(2)? },
-        "checkResult" => Event::Probed {
-            took: row.int_or(2, 0)?,
+        "deadlineHit" => Event::TimerExpired { token: row.int(2)? },
+        "checkResult" => Event::HealthChecked {
+            latency: row.int_or(2, 0)?,
             outcome: row.outcome(3)?,
             server: row.text(4)?.into(),
             load: row.load(5)?,
         },
-        "mail" => Event::Peer {
+        "mail" => Event::PeerMessage {
             from: row.int(2)? as u32,
             body: row.bytes(3)?,
         },
-        "reckoned" => Event::Counted {
+        "reckoned" => Event::CounterReply {
             total: row.num_or(2, 0.0)?,
             outcome: row.outcome(3)?,
-            name: row.int(5)?,
+            key: row.int(5)?,
         },
         _ => return Err(format!("unknown message {name}")),
     };
@@ -213,20 +216,20 @@
         id: row.text(2)?.into(),
         class: index(&names.classes, 3, "class")?,
         plan: index(&names.plans, 4, "plan")?,
-        customer: row.text(5)?.into(),
-        budget: row.int(6)?,
+        account: row.text(5)?.into(),
+        timeout: row.int(6)?,
         units: row.num_or(7, 1.0)?,
-        spread: row.int_or(8, 1)? as u32,
-        first: row.int_or(9, 0)? as u32,
+        limiter_count: row.int_or(8, 1)? as u32,
+        first_limiter: row.int_or(9, 0)? as u32,
     }))
 }
 
 fn members(row: &Row) -> Result<Event, Fault> {
     let scope = match row.text(2)? {
-        "Partial" => Scope::Changes,
-        "Complete" => Scope::Full,
-        "Persisted" => Scope::Kept,
-        "Error" => Scope::Failed,
+        "Partial" => UpdateScope::Delta,
+        "Complete" => UpdateScope::Snapshot,
+        "Persisted" => UpdateScope::Cached,
+        "Error" => UpdateScope::Failed,
         _ => return Err(row.bad(2, "a scope")),
     };
     let member = |value: &Value| {
@@ -240,16 +243,16 @@
         let readiness = match entry.text(4)? {
             "Ready" => Readiness::Ready,
             "Terminating" => Readiness::Draining,
-            "Gone" => Readiness::Gone,
+            "Gone" => Readiness::Removed,
             _ => return Err(entry.bad(4, "a readiness")),
         };
-        Ok(Member {
+        Ok(Endpoint {
             id: entry.text(0)?.into(),
             zone: entry.text(1)?.into(),
             cell: entry.int_or(3, 0)?,
             readiness,
             weight: entry.num_or(5, 1.0)?,
-            started: entry.int_or(6, 0)?,
+            started_at: entry.int_or(6, 0)?,
         })
     };
     let members = row
@@ -257,7 +260,10 @@
         .iter()
         .map(member)
         .collect::<Result<_, Fault>>()?;
-    Ok(Event::Members { scope, members })
+    Ok(Event::EndpointUpdate {
+        scope,
+        endpoints: members,
+    })
 }
 
 /// A part of the settings, with its path for faults.
@@ -347,25 +353,25 @@
     }
 }
 
-fn class(facts: &Facts) -> Result<Class, Fault> {
+fn class(facts: &Facts) -> Result<RequestClass, Fault> {
     let group = match facts.text("group")? {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+        "zone" => KeyScope::Zone,
+        "cell" => KeyScope::Cell,
+        _ => KeyScope::AllServers,
     };
     let effect = match facts.text("semantics")? {
-        "read_like" => Effect::Safe,
-        "idempotency_key" => Effect::Keyed(group),
-        "non_idempotent" => Effect::Unsafe,
+        "read_like" => Idempotency::Idempotent,
+        "idempotency_key" => Idempotency::Keyed(group),
+        "non_idempotent" => Idempotency::NonIdempotent,
         other => return Err(format!("provision: {}.semantics is {other:?}", facts.1)),
     };
-    Ok(Class {
-        aim: facts.int("slo")?,
+    Ok(RequestClass {
+        latency_objective: facts.int("slo")?,
         deadline: facts.int("deadline")?,
-        effect,
-        window: facts.int("memorySpan")?,
-        worth: facts.num("importance")?,
-        late_worth: facts.num("lateWorth")?,
+        idempotency: effect,
+        idempotency_window: facts.int("memorySpan")?,
+        priority_weight: facts.num("importance")?,
+        late_weight: facts.num("lateWorth")?,
     })
 }
 
@@ -373,10 +379,10 @@
     Ok(Plan {
         rate: facts.num("refill")?,
         burst: facts.num("peakUnits")?,
-        open: facts.int("parallel")? as u32,
-        price: facts.num("worthFactor")?,
-        over_worth: facts.num("excessWorth")?,
-        over_cost: facts.num("excessCost")?,
+        max_concurrent: facts.int("parallel")? as u32,
+        weight_factor: facts.num("worthFactor")?,
+        over_quota_weight: facts.num("excessWorth")?,
+        over_quota_cost: facts.num("excessCost")?,
         ceiling_rate: facts.num("hardRate")?,
         ceiling_burst: facts.num("ceilingBurst")?,
         ceiling_slack: facts.num("capSlack")?,
@@ -410,8 +416,8 @@
         0
     };
     Ok(Settings {
-        me: facts.int("me")? as u32,
-        gateways: facts.int("balancers")? as u32,
+        limiter: facts.int("me")? as u32,
+        limiters: facts.int("balancers")? as u32,
         zone: facts.text("az")?.to_owned(),
         tick: facts.int("tick")?,
         classes: facts
@@ -427,31 +433,31 @@
         limits: Limits {
             max_attempts: limits.int("maxAttempts")? as u32,
             cancel: limits.flag("mayCancel")?,
-            probes: limits.flag("mayProbe")?,
-            peers: limits.flag("peers")?,
-            second_copies: limits.flag("secondCopies")?,
+            health_checks: limits.flag("mayProbe")?,
+            peer_messages: limits.flag("peers")?,
+            hedging: limits.flag("secondCopies")?,
             max_retry_after: advice,
         },
         safety: Safety {
             drain_grace: safety.int("drainGrace")?,
-            cold_share: safety.num("coldShare")?,
-            warm_within: safety.int("warmWithin")?,
-            fall_multiple: safety.num("fallMultiple")?,
-            fall: safety.int("fall")?,
+            initial_capacity: safety.num("coldShare")?,
+            slow_start: safety.int("warmWithin")?,
+            overload_multiple: safety.num("fallMultiple")?,
+            overload_window: safety.int("fall")?,
         },
         prices: Prices {
             cross_zone: prices.num("crossZone")?,
             waste: prices.num("waste")?,
-            probe: prices.num("probe")?,
-            count: kind.num("countFee")?,
+            health_check: prices.num("probe")?,
+            counter_call: kind.num("countFee")?,
         },
         load_fields: fields,
-        load_by_probe: load.text("source")? == "pull",
-        must_ask: facts.text("discovery")? == "ask",
+        load_by_health_check: load.text("source")? == "pull",
+        polls_discovery: facts.text("discovery")? == "ask",
         counter: kind.flag("mayCount")?,
         counter_timeout: kind.int("counterTimeout")?,
-        weights: !matches!(facts.text("weightSource")?, "" | "silent"),
-        leased: false,
+        server_weights: !matches!(facts.text("weightSource")?, "" | "silent"),
+        quota_leases: false,
     })
 }
 
@@ -467,14 +473,24 @@
             json!(["submitTo", instance, &*id.0, timeout, &*server.0])
         }
         Action::Cancel { id, attempt } => json!(["dropAttempt", instance, &*id.0, attempt]),
-        Action::Refuse { id, after } => json!(["bounce", instance, &*id.0, after]),
+        Action::Reject {
+            id,
+            retry_after: after,
+        } => json!(["bounce", instance, &*id.0, after]),
         Action::Fail { id } => json!(["abort", instance, &*id.0]),
-        Action::Timer { after, token } => json!(["defer", instance, after, token]),
-        Action::Probe { server } => json!(["poll", instance, &*server.0]),
-        Action::Tell { to, body } => json!(["signal", instance, to, STANDARD.encode(body)]),
-        Action::Count { name, by, ttl } => json!(["addAndGet", instance, name, by, ttl]),
-        Action::Watch => json!(["tail", instance, true]),
-        Action::Lease { .. } => return write_fault(instance, "the platform has no leases"),
+        Action::SetTimer {
+            delay: after,
+            token,
+        } => json!(["defer", instance, after, token]),
+        Action::CheckHealth { server } => json!(["poll", instance, &*server.0]),
+        Action::SendToPeer { to, body } => json!(["signal", instance, to, STANDARD.encode(body)]),
+        Action::AddToCounter {
+            key: name,
+            amount: by,
+            ttl,
+        } => json!(["addAndGet", instance, name, by, ttl]),
+        Action::WatchEndpoints => json!(["tail", instance, true]),
+        Action::RequestLease { .. } => return write_fault(instance, "the platform has no leases"),
     }
     .to_string()
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! Connections that wait hold no thread: hundreds of limiters on one machine would need more than a system gives.
 
-use crate::config::{Links, NodeNews};
-use crate::core::{AttemptId, Input, Wait};
-use crate::interface::{Outcome, Readiness, ServerId};
+use crate::config::{EndpointUpdate, Links};
+use crate::core::{AttemptDeadlines, AttemptId, Input};
+use crate::decision::{Outcome, Readiness, ServerId};
 use crate::log_throttle::LogThrottle;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::process::Queue;
 use crate::threads::{lock, spawn};
 use slog::{warn, Logger};
@@ -78,11 +78,11 @@
 }
 
 /// The ticket nodes and the connections to them.
-pub struct TicketNodes<S: UpstreamProtocol> {
+pub struct UpstreamPool<S: UpstreamProtocol> {
     shared: Arc<Shared<S>>,
 }
 
-impl<S: UpstreamProtocol> Clone for TicketNodes<S> {
+impl<S: UpstreamProtocol> Clone for UpstreamPool<S> {
     fn clone(&self) -> Self {
         Self {
             shared: self.shared.clone(),
@@ -97,7 +97,7 @@
     lines: Arc<AtomicUsize>,
     protocol: S,
     queue: Queue<S>,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
     log: Logger,
     full: LogThrottle,
 }
@@ -178,21 +178,21 @@
     Attempt {
         attempt: AttemptId,
         call: Arc<C>,
-        wait: Wait,
+        wait: AttemptDeadlines,
         line: Arc<Line>,
         client: Arc<dyn Presence>,
     },
     Probe,
 }
 
-impl<S: UpstreamProtocol> TicketNodes<S> {
+impl<S: UpstreamProtocol> UpstreamPool<S> {
     /// Ticket nodes, none known yet; `most` connections to all of them together.
     pub fn new(
         links: Links,
         most: usize,
         protocol: S,
         queue: Queue<S>,
-        figures: Arc<Figures>,
+        figures: Arc<Metrics>,
         log: Logger,
     ) -> Self {
         let book = Mutex::new(Book {
@@ -230,14 +230,14 @@
     }
 
     /// Takes news of the node list. A node that is gone or absent from a full list loses its idle connections.
-    pub fn learn(&self, news: &NodeNews) {
+    pub fn learn(&self, news: &EndpointUpdate) {
         let mut book = lock(&self.shared.book);
         if news.full {
             book.nodes
                 .retain(|id, _| news.nodes.iter().any(|(m, _)| m.id == *id));
         }
         for (member, address) in &news.nodes {
-            if member.readiness == Readiness::Gone {
+            if member.readiness == Readiness::Removed {
                 book.nodes.remove(&member.id);
                 continue;
             }
@@ -258,7 +258,7 @@
         attempt: AttemptId,
         node: &ServerId,
         call: Arc<S::Call>,
-        wait: Wait,
+        wait: AttemptDeadlines,
         client: Arc<dyn Presence>,
     ) {
         let line = Arc::new(Line {
@@ -279,7 +279,7 @@
             },
         ) {
             lock(&self.shared.book).running.remove(&attempt);
-            _ = self.shared.queue.send(Input::Ended {
+            _ = self.shared.queue.send(Input::AttemptEnded {
                 attempt,
                 outcome,
                 load: Vec::new(),
@@ -329,10 +329,10 @@
     pub fn probe(&self, node: &ServerId) {
         if let Err(outcome) = self.give(node, Job::Probe) {
             let (node, took) = (node.clone(), Duration::ZERO);
-            _ = self.shared.queue.send(Input::Probed {
-                node,
+            _ = self.shared.queue.send(Input::HealthChecked {
+                server: node,
                 outcome,
-                took,
+                latency: took,
                 load: Vec::new(),
             });
         }
@@ -358,9 +358,9 @@
             // No judgement on the node: it never got the attempt.
             if let Some(more) = shared.full.permit() {
                 let lines = shared.lines.load(Ordering::SeqCst);
-                warn!(shared.log, "no descriptor left for a ticket node"; "lines" => lines, "unlogged" => more);
+                warn!(shared.log, "no file descriptor left for an upstream connection"; "connections" => lines, "suppressed" => more);
             }
-            return Err(Outcome::Moot);
+            return Err(Outcome::Superseded);
         }
         let counted = kept.is_none().then(|| Counted::new(&shared.lines));
         drop(book);
@@ -377,8 +377,8 @@
             .carry_out(job)
         };
         if let Err(fault) = spawn("node", work) {
-            warn!(shared.log, "no thread for a ticket node"; "fault" => %fault);
-            return Err(Outcome::Moot);
+            warn!(shared.log, "no thread for an attempt"; "error" => %fault);
+            return Err(Outcome::Superseded);
         }
         Ok(())
     }
@@ -446,7 +446,7 @@
                 client,
             } => {
                 let queue = self.shared.queue.clone();
-                let begins = move |value| _ = queue.send(Input::Began { attempt, value });
+                let begins = move |value| _ = queue.send(Input::ResponseStarted { attempt, value });
                 let Exchange {
                     outcome,
                     load,
@@ -459,7 +459,7 @@
                     let keep = book.running.remove(&attempt).is_some() && keep;
                     self.rest(&mut book, keep);
                 }
-                _ = self.shared.queue.send(Input::Ended {
+                _ = self.shared.queue.send(Input::AttemptEnded {
                     attempt,
                     outcome,
                     load,
@@ -476,10 +476,10 @@
                 } = self.probe();
                 self.rest(&mut lock(&self.shared.book), keep);
                 let (node, took) = (self.id.clone(), began.elapsed());
-                _ = self.shared.queue.send(Input::Probed {
-                    node,
+                _ = self.shared.queue.send(Input::HealthChecked {
+                    server: node,
                     outcome,
-                    took,
+                    latency: took,
                     load,
                 });
             }
@@ -495,7 +495,7 @@
     fn attempt(
         &mut self,
         call: &S::Call,
-        wait: Wait,
+        wait: AttemptDeadlines,
         line: &Line,
         client: &dyn Presence,
         begins: &dyn Fn(S::Value),
@@ -508,7 +508,7 @@
         if client.has_left() {
             return Exchange {
                 keep: true,
-                ..Exchange::broke(Outcome::Moot)
+                ..Exchange::broke(Outcome::Superseded)
             };
         }
         {
@@ -517,12 +517,12 @@
                 return Exchange::broke(Outcome::Cancelled);
             }
             // Its connection may have come up late.
-            if state.barred || Instant::now() >= wait.by {
+            if state.barred || Instant::now() >= wait.write {
                 return Exchange::broke(Outcome::ConnectFailed);
             }
             state.connection = Some(connection.clone());
         }
-        let left = wait.ends.saturating_duration_since(Instant::now());
+        let left = wait.answer.saturating_duration_since(Instant::now());
         match self.shared.protocol.write(call, &connection.stream, left) {
             Ok(()) => {
                 self.shared.figures.attempt();
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -6,8 +6,8 @@
 
 mod common;
 use common::*;
-use mossrill::interface::*;
-use mossrill::Gateway;
+use mossrill::decision::*;
+use mossrill::Engine;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -47,7 +47,7 @@
 
 struct Fleet {
     settings: Settings,
-    gateways: Vec<Gateway>,
+    gateways: Vec<Engine>,
     rng: StdRng,
 }
 
@@ -58,29 +58,29 @@
         plans: vec![Plan {
             rate: 1e6,
             burst: 1e6,
-            price: 1.0,
+            weight_factor: 1.0,
             ..Plan::default()
         }],
         safety: Safety {
             drain_grace: SECOND,
-            cold_share: 0.18,
-            warm_within: 13 * SECOND,
-            fall_multiple: 4.0,
-            fall: 3 * SECOND,
+            initial_capacity: 0.18,
+            slow_start: 13 * SECOND,
+            overload_multiple: 4.0,
+            overload_window: 3 * SECOND,
         },
         ..settings()
     }
 }
 
-fn servers(restarted: bool) -> Vec<Member> {
+fn servers(restarted: bool) -> Vec<Endpoint> {
     let server = |number: usize| {
         let started = if restarted && number < COLD {
             RESTART
         } else {
             0
         };
-        Member {
-            started,
+        Endpoint {
+            started_at: started,
             ..member(&format!("s{number:02}"), "z0")
         }
     };
@@ -90,7 +90,7 @@
 impl Fleet {
     fn new(limiters: u32, seed: u64) -> Self {
         let settings = Settings {
-            gateways: limiters,
+            limiters,
             ..ramp_settings()
         };
         let mut fleet = Self {
@@ -104,15 +104,15 @@
         fleet
     }
 
-    fn start_limiter(&mut self, number: u32, now: Micros, restarted: bool) -> Gateway {
+    fn start_limiter(&mut self, number: u32, now: Micros, restarted: bool) -> Engine {
         let settings = Settings {
-            me: number,
+            limiter: number,
             ..self.settings.clone()
         };
-        let mut gateway = Gateway::new(settings, self.rng.random());
-        let list = Event::Members {
-            scope: Scope::Full,
-            members: servers(restarted),
+        let mut gateway = Engine::new(settings, self.rng.random());
+        let list = Event::EndpointUpdate {
+            scope: UpdateScope::Snapshot,
+            endpoints: servers(restarted),
         };
         gateway.on_event(now, list, &mut Vec::new());
         gateway
@@ -126,15 +126,15 @@
             self.gateways[limiter].on_event(now, event, &mut actions);
             for (id, server) in sends(&actions) {
                 sent.push(server.0[1..].parse().expect("a number"));
-                events.push(Event::Outcome(Ended {
+                events.push(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt: 0,
                     server,
                     outcome: Outcome::Ok,
-                    took: SECOND / 8,
-                    last: true,
+                    latency: SECOND / 8,
+                    is_final: true,
                     load: Vec::new(),
-                    settled: None,
+                    settled_units: None,
                 }));
             }
         }
@@ -154,11 +154,11 @@
         id: format!("r{number}").as_str().into(),
         class: 0,
         plan: 0,
-        customer: format!("c{}", number % 50).as_str().into(),
-        budget: 2 * SECOND,
+        account: format!("c{}", number % 50).as_str().into(),
+        timeout: 2 * SECOND,
         units: 1.0,
-        spread: limiters,
-        first: 0,
+        limiter_count: limiters,
+        first_limiter: 0,
     }
 }
 
@@ -193,13 +193,13 @@
                     fleet.give(
                         limiter,
                         timers,
-                        Event::Members {
-                            scope: Scope::Changes,
-                            members,
+                        Event::EndpointUpdate {
+                            scope: UpdateScope::Delta,
+                            endpoints: members,
                         },
                     );
                 }
-                fleet.give(limiter, timers, Event::Timer { token: 0 });
+                fleet.give(limiter, timers, Event::TimerExpired { token: 0 });
             }
             if trouble.limiters_restart && timers >= RESTART + RESTART_STEP * (tenth + 1) {
                 for limiter in (0..count).filter(|limiter| *limiter as u64 % 10 == tenth % 10) {
@@ -225,11 +225,11 @@
 
 /// Requests that the settings allow a server within the window of `safety.fall` that ends at `end`.
 fn budget(safety: &Safety, end: Micros) -> f64 {
-    let begin = end.saturating_sub(safety.fall).max(RESTART);
+    let begin = end.saturating_sub(safety.overload_window).max(RESTART);
     let middle = (begin + end) / 2 - RESTART;
-    let capacity =
-        safety.cold_share + (1.0 - safety.cold_share) * middle as f64 / safety.warm_within as f64;
-    safety.fall_multiple * capacity * WARM_RATE * safety.fall as f64 / SECOND as f64
+    let capacity = safety.initial_capacity
+        + (1.0 - safety.initial_capacity) * middle as f64 / safety.slow_start as f64;
+    safety.overload_multiple * capacity * WARM_RATE * safety.overload_window as f64 / SECOND as f64
 }
 
 /// The most that a cold server got in a window, as a part of what topples it: by all, and by those told of the start.
@@ -237,7 +237,9 @@
     let safety = ramp_settings().safety;
     let part = |of: &dyn Fn(&Arrival) -> bool, last: &Arrival| {
         let window = arrivals.iter().filter(|other| {
-            other.server == last.server && other.at <= last.at && other.at + safety.fall > last.at
+            other.server == last.server
+                && other.at <= last.at
+                && other.at + safety.overload_window > last.at
         });
         let allowed = budget(&safety, last.at);
         window.filter(|other| of(other)).count() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,56 +1,56 @@
 //! Short-hand for tests that drive a gateway by hand.
 #![allow(dead_code)]
 
-use mossrill::interface::*;
-use mossrill::Gateway;
+use mossrill::decision::*;
+use mossrill::Engine;
 
 /// A gateway with its clock and the actions of its last event.
 pub struct Bench {
-    pub gateway: Gateway,
+    pub gateway: Engine,
     pub now: Micros,
     pub acts: Vec<Action>,
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class {
-        aim: 500_000,
+pub fn class(effect: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: 500_000,
         deadline: 2_000_000,
-        effect,
-        window: 1_000_000,
-        worth: 1.0,
-        late_worth: 0.0,
+        idempotency: effect,
+        idempotency_window: 1_000_000,
+        priority_weight: 1.0,
+        late_weight: 0.0,
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        gateways: 2,
+        limiters: 2,
         zone: "z0".into(),
         tick: 1_000,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Keyed(Group::Zone)),
-            class(Effect::Unsafe),
-            class(Effect::Keyed(Group::All)),
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed(KeyScope::Zone)),
+            class(Idempotency::NonIdempotent),
+            class(Idempotency::Keyed(KeyScope::AllServers)),
         ],
         plans: vec![
             Plan {
                 rate: 10.0,
                 burst: 20.0,
-                price: 1.0,
-                over_cost: 1.0,
+                weight_factor: 1.0,
+                over_quota_cost: 1.0,
                 ..Plan::default()
             },
             Plan {
-                open: 4,
-                price: 1.0,
-                over_cost: 1.0,
+                max_concurrent: 4,
+                weight_factor: 1.0,
+                over_quota_cost: 1.0,
                 ..Plan::default()
             },
             Plan {
                 rate: 1e6,
                 burst: 1e6,
-                price: 1.0,
+                weight_factor: 1.0,
                 ceiling_rate: 4.0,
                 ceiling_burst: 8.0,
                 ceiling_slack: 1.0,
@@ -60,15 +60,15 @@
         limits: Limits {
             max_attempts: 3,
             cancel: true,
-            second_copies: true,
+            hedging: true,
             ..Limits::default()
         },
         safety: Safety {
             drain_grace: 500_000,
-            cold_share: 0.2,
-            warm_within: 10_000_000,
-            fall_multiple: 3.0,
-            fall: 2_000_000,
+            initial_capacity: 0.2,
+            slow_start: 10_000_000,
+            overload_multiple: 3.0,
+            overload_window: 2_000_000,
         },
         counter: true,
         counter_timeout: 50_000,
@@ -76,30 +76,30 @@
     }
 }
 
-pub fn member(name: &str, zone: &str) -> Member {
-    Member {
+pub fn member(name: &str, zone: &str) -> Endpoint {
+    Endpoint {
         id: name.into(),
         zone: zone.into(),
         cell: 0,
         readiness: Readiness::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     }
 }
 
 impl Bench {
     pub fn new(settings: Settings, servers: usize) -> Self {
         let mut bench = Bench {
-            gateway: Gateway::new(settings, 7),
+            gateway: Engine::new(settings, 7),
             now: 1_000_000,
             acts: Vec::new(),
         };
         let members = (0..servers)
             .map(|n| member(&format!("s{n}"), &format!("z{}", n % 2)))
             .collect();
-        bench.on(Event::Members {
-            scope: Scope::Full,
-            members,
+        bench.on(Event::EndpointUpdate {
+            scope: UpdateScope::Snapshot,
+            endpoints: members,
         });
         bench
     }
@@ -115,7 +115,7 @@
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now = (self.now + 5_000).min(end);
-            all.extend(self.on(Event::Timer { token: 0 }));
+            all.extend(self.on(Event::TimerExpired { token: 0 }));
         }
         all
     }
@@ -125,11 +125,11 @@
             id: id.into(),
             class,
             plan,
-            customer: customer.into(),
-            budget: 2_000_000,
+            account: customer.into(),
+            timeout: 2_000_000,
             units: 1.0,
-            spread: 2,
-            first: 0,
+            limiter_count: 2,
+            first_limiter: 0,
         }))
     }
 
@@ -140,15 +140,15 @@
         server: &ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.on(Event::Outcome(Ended {
+        self.on(Event::AttemptEnded(AttemptResult {
             id: id.into(),
             attempt,
             server: server.clone(),
             outcome,
-            took: 20_000,
-            last: outcome == Outcome::Ok,
+            latency: 20_000,
+            is_final: outcome == Outcome::Ok,
             load: Vec::new(),
-            settled: None,
+            settled_units: None,
         }))
     }
 
@@ -156,9 +156,9 @@
     pub fn count(&mut self, actions: &[Action], total: f64, outcome: Outcome) -> Vec<Action> {
         let mut all = Vec::new();
         for action in actions {
-            if let Action::Count { name, .. } = action {
-                all.extend(self.on(Event::Counted {
-                    name: *name,
+            if let Action::AddToCounter { key: name, .. } = action {
+                all.extend(self.on(Event::CounterReply {
+                    key: *name,
                     total,
                     outcome,
                 }));
@@ -179,14 +179,14 @@
 pub fn counts(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Count { .. }))
+        .filter(|a| matches!(a, Action::AddToCounter { .. }))
         .count()
 }
 
 pub fn refused(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .count()
 }
 
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,9 +1,9 @@
 //! Views of a fleet on a network of hand-made time: datagrams that are lost, late, repeated and cut off, processes
 //! that die, stand still and come back.
 
-use mossrill::interface::Micros;
+use mossrill::decision::Micros;
+use mossrill::decision::QuotaShares;
 use mossrill::membership::datagram::Datagram;
-use mossrill::membership::parts::Standing;
 use mossrill::membership::released::Encoding;
 use mossrill::membership::view::{Action, Change, Setup, View};
 use rand::rngs::StdRng;
@@ -49,7 +49,7 @@
     /// Stands still until then; what comes meanwhile waits.
     still: Micros,
     /// What its core was told last, and what stands for the way there.
-    pub told: Standing,
+    pub told: QuotaShares,
 }
 
 /// Processor time that views took for one kind of event.
@@ -333,7 +333,7 @@
     /// What all processes together take of what these limiters share, as their cores have it.
     pub fn taken(&self, set: impl Iterator<Item = u32> + Clone) -> f64 {
         self.up()
-            .filter_map(|(_, p)| p.told.part(self.now, set.clone()))
+            .filter_map(|(_, p)| p.told.share(self.now, set.clone()))
             .sum()
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,8 +1,10 @@
 //! Stories of the core alone: its edges are played by the test, nothing goes over a socket.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
-use mossrill::core::{Answer, AttemptId, Clock, Core, Edges, Incoming, Input, Wait};
-use mossrill::interface::*;
+use mossrill::core::{
+    Answer, AttemptDeadlines, AttemptId, Clock, Core, IncomingRequest, Input, Transport,
+};
+use mossrill::decision::*;
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
 use std::thread;
@@ -14,7 +16,7 @@
     started: Sender<AttemptId>,
 }
 
-impl Edges for Played {
+impl Transport for Played {
     type Client = u64;
     type Call = ();
     type Value = &'static str;
@@ -23,7 +25,14 @@
         _ = self.answers.send((client, format!("{answer:?}")));
     }
 
-    fn start(&mut self, attempt: AttemptId, _: &ServerId, _: &Arc<()>, _: Wait, _: &Self::Client) {
+    fn start_attempt(
+        &mut self,
+        attempt: AttemptId,
+        _: &ServerId,
+        _: &Arc<()>,
+        _: AttemptDeadlines,
+        _: &Self::Client,
+    ) {
         _ = self.started.send(attempt);
     }
 
@@ -35,17 +44,17 @@
         false
     }
 
-    fn probe(&mut self, _: &ServerId) {}
+    fn check_health(&mut self, _: &ServerId) {}
 
-    fn bar(&mut self, _: &ServerId) {}
+    fn block_server(&mut self, _: &ServerId) {}
 
-    fn tell(&mut self, _: mossrill::handover::message::Body) {}
+    fn notify_peer_process(&mut self, _: mossrill::handover::message::Body) {}
 
-    fn listed(&mut self, _: usize, _: usize) {}
+    fn report_endpoints(&mut self, _: usize, _: usize) {}
 
-    fn add(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn add_to_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
 
-    fn agents(&self) -> bool {
+    fn has_clients(&self) -> bool {
         false
     }
 }
@@ -58,22 +67,22 @@
 
 /// A core that finds these inputs in its queue when it starts.
 fn core(max_open: usize, inputs: Vec<Input<Played>>) -> Story {
-    let class = Class {
-        aim: 800_000,
+    let class = RequestClass {
+        latency_objective: 800_000,
         deadline: 2_000_000,
-        worth: 1.0,
-        ..Class::default()
+        priority_weight: 1.0,
+        ..RequestClass::default()
     };
     let settings = Settings {
-        gateways: 1,
-        classes: vec![Class {
-            effect: Effect::Unsafe,
+        limiters: 1,
+        classes: vec![RequestClass {
+            idempotency: Idempotency::NonIdempotent,
             ..class
         }],
         plans: vec![Plan {
             rate: 100.0,
             burst: 200.0,
-            price: 1.0,
+            weight_factor: 1.0,
             ..Plan::default()
         }],
         limits: Limits {
@@ -86,16 +95,16 @@
     };
     let ((queue, taken), (answers, told), (started, attempts)) =
         (unbounded(), unbounded(), unbounded());
-    let node = |name: &str| Member {
+    let node = |name: &str| Endpoint {
         id: name.into(),
         zone: String::new(),
         cell: 0,
         readiness: Readiness::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     };
-    _ = queue.send(Input::Nodes(
-        Scope::Full,
+    _ = queue.send(Input::EndpointUpdate(
+        UpdateScope::Snapshot,
         vec![node("a"), node("b"), node("c")],
     ));
     inputs.into_iter().for_each(|input| _ = queue.send(input));
@@ -116,24 +125,24 @@
 }
 
 fn request(number: u64) -> Input<Played> {
-    Input::Request(Incoming {
+    Input::Request(IncomingRequest {
         number,
         id: None,
         arrived: Instant::now(),
-        budget: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
         class: 0,
         plan: 0,
         account: "agent".into(),
         units: 1.0,
-        spread: 1,
-        first: 0,
+        limiter_count: 1,
+        first_limiter: 0,
         client: number,
         call: (),
     })
 }
 
 fn ended(attempt: AttemptId, outcome: Outcome, value: Option<&'static str>) -> Input<Played> {
-    Input::Ended {
+    Input::AttemptEnded {
         attempt,
         outcome,
         load: Vec::new(),
@@ -144,7 +153,7 @@
 #[test]
 fn a_request_behind_the_word_to_stop_is_answered_before_the_end() {
     let by = Instant::now() + Duration::from_secs(30);
-    let (queue, told, attempts) = core(10, vec![Input::Stop(by), request(1)]);
+    let (queue, told, attempts) = core(10, vec![Input::Shutdown(by), request(1)]);
     let attempt = attempts.recv().expect("an attempt, and no end before it");
     _ = queue.send(ended(attempt, Outcome::Ok, Some("ticket")));
     assert_eq!(told.recv(), Ok((1, "Served(\"ticket\")".into())));
@@ -156,7 +165,7 @@
 fn only_the_first_end_of_an_attempt_counts() {
     let (queue, told, attempts) = core(10, vec![request(1)]);
     let first = attempts.recv().expect("an attempt");
-    _ = queue.send(ended(first, Outcome::Full, None));
+    _ = queue.send(ended(first, Outcome::Rejected, None));
     let second = attempts.recv().expect("another, as the first never ran");
     // What comes late of the first is dropped.
     _ = queue.send(ended(first, Outcome::Ok, Some("late")));
@@ -169,7 +178,7 @@
     let (_queue, told, _attempts) = core(2, vec![request(1), request(2), request(3)]);
     assert_eq!(
         told.recv(),
-        Ok((3, "Refused { after: 400ms, late: false }".into()))
+        Ok((3, "Rejected { retry_after: 400ms, timed_out: false }".into()))
     );
 }
 
@@ -180,7 +189,7 @@
     assert_eq!(told.recv().map(|(number, _)| number), Ok(21));
     let out = attempts.try_iter().count();
     assert!(out > 0 && out < 20, "{out} are out, the others wait");
-    _ = queue.send(Input::Stop(Instant::now()));
+    _ = queue.send(Input::Shutdown(Instant::now()));
     assert_eq!(told.iter().count(), 20);
     assert_eq!(attempts.iter().count(), 0);
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -962,7 +962,7 @@
     let after = program
         .log()
         .into_iter()
-        .filter(|line| line.contains("node list news"));
+        .filter(|line| line.contains("endpoint update"));
     assert_eq!(after.collect::<Vec<_>>(), Vec::<String>::new());
 }
 
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -384,7 +384,7 @@
     let log = rig.limiters[0].as_ref().expect("running").log();
     let death = log
         .iter()
-        .find(|line| line.contains("member") && line.contains("state: dead"));
+        .find(|line| line.contains("member state changed") && line.contains("state: dead"));
     assert!(
         death.is_some_and(|line| line.contains("limiter: 2") && line.contains("by: ")),
         "{log:?}"
--- a/tests/golden/hosts.rs
+++ b/tests/golden/hosts.rs
@@ -1,8 +1,8 @@
 //! What hosts the decision engine: the program on the simulator's wire, or the library itself.
 
-use mossrill::interface::{Action, Event};
+use mossrill::decision::{Action, Event};
 use mossrill::simulator::{self, Line, Lookup, Names};
-use mossrill::Gateway;
+use mossrill::Engine;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, BufWriter, Write};
@@ -70,7 +70,7 @@
 /// The library with leased quotas, which the simulator's wire does not have.
 #[derive(Default)]
 pub struct LeasedHost {
-    instances: BTreeMap<u64, (Gateway, Names)>,
+    instances: BTreeMap<u64, (Engine, Names)>,
     now: u64,
 }
 
@@ -101,7 +101,7 @@
                 let granted = value[3].as_bool().expect("granted or not");
                 self.on_event(
                     value[1].as_u64().expect("a number"),
-                    Event::Leased { id, granted },
+                    Event::LeaseReply { id, granted },
                     &mut reply,
                 );
                 continue;
@@ -110,11 +110,11 @@
                 Line::Batch(now) => self.now = now,
                 Line::End => {}
                 Line::Start(number, seed, mut settings) => {
-                    settings.leased = true;
+                    settings.quota_leases = true;
                     settings.counter = false;
                     self.instances.insert(
                         number,
-                        (Gateway::new(*settings, seed), Names::from_line(line)),
+                        (Engine::new(*settings, seed), Names::from_line(line)),
                     );
                 }
                 Line::Stop(number) => drop(self.instances.remove(&number)),
@@ -128,11 +128,11 @@
 
 fn write(number: u64, action: &Action) -> String {
     match action {
-        Action::Lease {
+        Action::RequestLease {
             id,
-            customer,
+            account: customer,
             plan,
-            spread,
+            limiter_count: spread,
             units,
         } => json!(["lease", number, &*id.0, &*customer.0, plan, spread, units]).to_string(),
         other => simulator::write(number, other),
--- a/tests/golden/wire_texts.rs
+++ b/tests/golden/wire_texts.rs
@@ -1,16 +1,17 @@
 //! Golden bytes of the text protocols: RESP, HTTP, service discovery, counter calls and frames on a connection.
 
 use crate::golden::assert_matches;
+use mossrill::admin;
 use mossrill::client::{ClientProtocol, CloseReason};
 use mossrill::core::Answer;
 use mossrill::counter::http::QuotaCounter;
 use mossrill::counter::redis::RedisCounter;
 use mossrill::counter::{Addition, CounterProtocol};
+use mossrill::decision::{Idempotency, Outcome, ServerId};
 use mossrill::discovery;
 use mossrill::handover::link::Link;
 use mossrill::handover::message::Body;
-use mossrill::interface::{Effect, Outcome};
-use mossrill::metrics::{Figures, RequestOutcome};
+use mossrill::metrics::{Metrics, RequestOutcome};
 use mossrill::openapi::client_protocol::HttpClientProtocol;
 use mossrill::openapi::description::{Description, Operation};
 use mossrill::openapi::upstream_protocol::{HttpBody, HttpCall, HttpServed, HttpUpstreamProtocol};
@@ -23,7 +24,6 @@
 use mossrill::quota_lease::frame;
 use mossrill::simulator::Names;
 use mossrill::upstream::UpstreamProtocol;
-use mossrill::{admin, interface::ServerId};
 use slog::{o, Discard, Logger};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -151,7 +151,7 @@
     let names = Names::from_settings(
         &serde_json::json!({"classes": [{"name": "a"}], "tariffs": [{"name": "p"}]}),
     );
-    let classes = vec![(Duration::from_secs(2), Effect::Safe)];
+    let classes = vec![(Duration::from_secs(2), Idempotency::Idempotent)];
     let protocol = PlatformClientProtocol {
         names,
         classes,
@@ -160,9 +160,9 @@
     };
     let mut buffer = Buffer::take();
     buffer[..16].copy_from_slice(b"*3\r\n$5\r\nvalue\r\n$");
-    let refused = |after, late| Answer::Refused {
-        after: Duration::from_micros(after),
-        late,
+    let refused = |after, late| Answer::Rejected {
+        retry_after: Duration::from_micros(after),
+        timed_out: late,
     };
     let answers = [
         (
@@ -175,8 +175,8 @@
         ("refused", refused(0, false)),
         ("refused-later", refused(1_001, false)),
         ("refused-late", refused(250_000, true)),
-        ("failed", Answer::Failed { late: false }),
-        ("failed-late", Answer::Failed { late: true }),
+        ("failed", Answer::Failed { timed_out: false }),
+        ("failed-late", Answer::Failed { timed_out: true }),
     ];
     let mut text = String::new();
     for (name, answer) in answers {
@@ -235,9 +235,9 @@
 #[test]
 fn replies_to_http_clients_are_those_recorded() {
     let protocol = http_protocol();
-    let refused = |after, late| Answer::Refused {
-        after: Duration::from_micros(after),
-        late,
+    let refused = |after, late| Answer::Rejected {
+        retry_after: Duration::from_micros(after),
+        timed_out: late,
     };
     let answers = [
         ("served", Answer::Served(served(200, b"body"))),
@@ -245,8 +245,8 @@
         ("refused", refused(0, false)),
         ("refused-later", refused(1_000_001, false)),
         ("refused-late", refused(250_000, true)),
-        ("failed", Answer::Failed { late: false }),
-        ("failed-late", Answer::Failed { late: true }),
+        ("failed", Answer::Failed { timed_out: false }),
+        ("failed-late", Answer::Failed { timed_out: true }),
     ];
     let mut text = String::new();
     for (name, answer) in answers {
@@ -362,9 +362,9 @@
 
 #[test]
 fn admin_replies_are_those_recorded() {
-    let figures = Figures::new(vec!["a".into(), "b".into()]);
+    let figures = Metrics::new(vec!["a".into(), "b".into()]);
     figures.taken(1).finish(RequestOutcome::Served);
-    figures.taken(1).finish(RequestOutcome::Refused);
+    figures.taken(1).finish(RequestOutcome::Rejected);
     drop(figures.taken(0));
     let _open = figures.taken(0);
     figures.attempt();
--- a/tests/jam.rs
+++ b/tests/jam.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use mossrill::interface::*;
-use mossrill::Gateway;
+use mossrill::decision::*;
+use mossrill::Engine;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1};
@@ -70,7 +70,7 @@
     events: BinaryHeap<Reverse<(Micros, u64)>>,
     what: BTreeMap<u64, Happens>,
     settings: Settings,
-    gateways: Vec<Gateway>,
+    gateways: Vec<Engine>,
     nodes: Vec<Node>,
     tries: Vec<Try>,
     slow: f64,
@@ -83,27 +83,30 @@
 
 impl World {
     fn new(gateways: u32, nodes: usize, seed: u64) -> Self {
-        let class = |effect| Class {
-            aim: AIM,
+        let class = |effect| RequestClass {
+            latency_objective: AIM,
             deadline: DEADLINE,
-            worth: 1.0,
+            priority_weight: 1.0,
             ..class(effect)
         };
         let settings = Settings {
-            gateways,
+            limiters: gateways,
             counter: false,
-            classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
+            classes: vec![
+                class(Idempotency::Idempotent),
+                class(Idempotency::NonIdempotent),
+            ],
             plans: vec![Plan {
                 rate: 1e6,
                 burst: 1e6,
-                price: 1.0,
+                weight_factor: 1.0,
                 ..Plan::default()
             }],
             safety: Safety {
-                cold_share: 0.16,
-                warm_within: 18_000 * MS,
-                fall_multiple: 2.5,
-                fall: 3_000 * MS,
+                initial_capacity: 0.16,
+                slow_start: 18_000 * MS,
+                overload_multiple: 2.5,
+                overload_window: 3_000 * MS,
                 drain_grace: 250 * MS,
             },
             limits: Limits {
@@ -121,7 +124,7 @@
             events: BinaryHeap::new(),
             what: BTreeMap::new(),
             gateways: (0..gateways)
-                .map(|_| Gateway::new(Settings::default(), 0))
+                .map(|_| Engine::new(Settings::default(), 0))
                 .collect(),
             nodes: (0..nodes)
                 .map(|_| Node {
@@ -140,10 +143,10 @@
         world
     }
 
-    fn members(&self, nodes: std::ops::Range<usize>) -> Vec<Member> {
+    fn members(&self, nodes: std::ops::Range<usize>) -> Vec<Endpoint> {
         nodes
-            .map(|n| Member {
-                started: self.nodes[n].started,
+            .map(|n| Endpoint {
+                started_at: self.nodes[n].started,
                 ..member(&n.to_string(), "z0")
             })
             .collect()
@@ -152,11 +155,11 @@
     /// A gateway that knows nothing but the list.
     fn start(&mut self, me: usize) {
         let settings = Settings {
-            me: me as u32,
+            limiter: me as u32,
             ..self.settings.clone()
         };
         let seed = self.rng.random();
-        self.gateways[me] = Gateway::new(settings, seed);
+        self.gateways[me] = Engine::new(settings, seed);
         self.tries
             .iter_mut()
             .filter(|t| t.gateway == me)
@@ -164,9 +167,9 @@
         let members = self.members(0..self.nodes.len());
         self.give(
             me,
-            Event::Members {
-                scope: Scope::Full,
-                members,
+            Event::EndpointUpdate {
+                scope: UpdateScope::Snapshot,
+                endpoints: members,
             },
         );
     }
@@ -205,7 +208,7 @@
                     }
                     self.ask(if asked == 0 { now } else { asked }, left);
                 }
-                Some(Happens::Timer(me)) => self.give(me, Event::Timer { token: 0 }),
+                Some(Happens::Timer(me)) => self.give(me, Event::TimerExpired { token: 0 }),
                 Some(Happens::Done { node, of }) => self.done(node, of),
                 Some(Happens::Ends { of }) => self.over(of, Outcome::Timeout),
                 Some(Happens::Gives(number)) => self.gives_up(number),
@@ -217,9 +220,9 @@
                         let members = members.clone();
                         self.give(
                             me,
-                            Event::Members {
-                                scope: Scope::Changes,
-                                members,
+                            Event::EndpointUpdate {
+                                scope: UpdateScope::Delta,
+                                endpoints: members,
                             },
                         );
                     }
@@ -261,11 +264,11 @@
             id,
             class,
             plan: 0,
-            customer,
-            budget,
+            account: customer,
+            timeout: budget,
             units: 1.0,
-            spread: 2,
-            first: 0,
+            limiter_count: 2,
+            first_limiter: 0,
         };
         self.give(gateway, Event::Request(request));
     }
@@ -275,7 +278,7 @@
         self.gateways[me].on_event(self.now, event, &mut acts);
         for act in acts {
             match act {
-                Action::Timer { after, .. } => self.at(after, Happens::Timer(me)),
+                Action::SetTimer { delay: after, .. } => self.at(after, Happens::Timer(me)),
                 Action::Send {
                     id,
                     server,
@@ -288,14 +291,17 @@
                     self.at(timeout, Happens::Ends { of });
                     self.nodes[node].sent.push(self.now);
                     if self.nodes[node].waiting.len() >= 40 {
-                        self.over(of, Outcome::Full);
+                        self.over(of, Outcome::Rejected);
                     } else {
                         self.nodes[node].waiting.push_back(of);
                         self.work(node);
                     }
                 }
                 Action::Cancel { id, attempt } => self.drop(id.0.parse().unwrap(), attempt),
-                Action::Refuse { id, after } => self.again(id.0.parse().unwrap(), after),
+                Action::Reject {
+                    id,
+                    retry_after: after,
+                } => self.again(id.0.parse().unwrap(), after),
                 Action::Fail { id } => self.again(id.0.parse().unwrap(), 100 * MS),
                 _ => {}
             }
@@ -348,17 +354,17 @@
         );
         let took = self.now - sent;
         let (last, load) = (self.tries[number].done, Vec::new());
-        let ended = Ended {
+        let ended = AttemptResult {
             id,
             attempt,
             server,
             outcome,
-            took,
-            last,
+            latency: took,
+            is_final: last,
             load,
-            settled: None,
+            settled_units: None,
         };
-        self.give(self.tries[number].gateway, Event::Outcome(ended));
+        self.give(self.tries[number].gateway, Event::AttemptEnded(ended));
     }
 
     fn again(&mut self, number: usize, after: Micros) {
@@ -385,7 +391,7 @@
     fn gives_up(&mut self, number: usize) {
         if !self.tries[number].done {
             let id = number.to_string().as_str().into();
-            self.give(self.tries[number].gateway, Event::Gone { id });
+            self.give(self.tries[number].gateway, Event::ClientDisconnected { id });
             self.again(number, 100 * MS);
         }
     }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,7 +1,8 @@
 //! Every reachable state of the leases of three limiters, one of which is cut off: whatever the others believe of it at
 //! any moment, whatever is said, heard late or lost, and whenever a core looks, nobody shares out what is still held.
 
-use mossrill::membership::parts::{PeerLease, Released, Standing};
+use mossrill::decision::QuotaShares;
+use mossrill::membership::parts::{quota_shares, PeerLease, Released};
 use mossrill::membership::released::{Encoding, SaidPart};
 use stateright::{Checker, Model, Property};
 
@@ -57,11 +58,11 @@
 struct Leases(Without);
 
 impl State {
-    fn standing(&self, who: usize) -> Standing {
+    fn standing(&self, who: usize) -> QuotaShares {
         let living: Vec<bool> = (0..3)
             .map(|other| who == CUT || other != CUT || self.lives[who])
             .collect();
-        Standing::new(
+        quota_shares(
             self.now,
             (who as u32, 0.5),
             &living,
@@ -73,9 +74,9 @@
     fn tell(&mut self) {
         let standing = self.standing(0);
         self.told = (
-            standing.until,
-            standing.given_away[CUT],
-            standing.given_until,
+            standing.lease_ends,
+            standing.reassigned[CUT],
+            standing.reassigned_until,
         );
     }
 
@@ -87,7 +88,7 @@
 
     /// Number 2 holds its lease.
     fn holds(&self) -> bool {
-        self.now < self.standing(CUT).until
+        self.now < self.standing(CUT).lease_ends
     }
 }
 
@@ -233,7 +234,7 @@
     ];
     let released = nobody();
     let until =
-        |ways: &[PeerLease]| Standing::new(100, (0, 0.5), &[true; 3], ways, &released).until;
+        |ways: &[PeerLease]| quota_shares(100, (0, 0.5), &[true; 3], ways, &released).lease_ends;
     assert_eq!(until(&ways), 0);
     ways[1].told(90, true, whole(&[]).as_ref());
     assert_eq!(until(&ways), 100);
@@ -262,21 +263,21 @@
     released.scan(31, &ways);
     assert_eq!(released.bits(), [4]);
     let standing = |now, ways: &[PeerLease], released: &Released| {
-        Standing::new(now, (0, 0.5), &[true, true, false], ways, released)
+        quota_shares(now, (0, 0.5), &[true, true, false], ways, released)
     };
     ways[1].told(30, true, whole(&[]).as_ref());
-    assert_eq!(standing(32, &ways, &released).given_away, [false; 3]);
+    assert_eq!(standing(32, &ways, &released).reassigned, [false; 3]);
     ways[1].told(31, true, whole(&[4]).as_ref());
     let now = standing(32, &ways, &released);
-    assert_eq!(now.given_away, [false, false, true]);
-    assert_eq!(now.part(32, 0..3), Some(0.5 / 3.0 + 0.25));
+    assert_eq!(now.reassigned, [false, false, true]);
+    assert_eq!(now.share(32, 0..3), Some(0.5 / 3.0 + 0.25));
     // Without a lease it has what it keeps, and outside of a set nothing.
-    assert_eq!((now.until, now.given_until), (41, 41));
-    assert_eq!(now.part(41, 0..3), Some(0.5 / 3.0));
-    assert_eq!(now.part(32, 1..3), None);
-    assert_eq!(now.parts(32, 1, 2), 2.0);
+    assert_eq!((now.lease_ends, now.reassigned_until), (41, 41));
+    assert_eq!(now.share(41, 0..3), Some(0.5 / 3.0));
+    assert_eq!(now.share(32, 1..3), None);
+    assert_eq!(now.account_divisor(32, 1, 2), 2.0);
     // What was said too long ago counts no more.
-    assert_eq!(standing(41, &ways, &released).given_away, [false; 3]);
+    assert_eq!(standing(41, &ways, &released).reassigned, [false; 3]);
     // Back: renewed again only after everybody has forgotten that it was released.
     released.changed(35, 2, true, &mut ways[2]);
     assert!(released.bits().is_empty());
@@ -304,7 +305,7 @@
     let said = |turn: usize| parts[turn].read(SIZE as u32, 8);
     let standing = |now, ways: &[PeerLease]| {
         let living: Vec<bool> = (0..SIZE).map(|who| who < ALIVE).collect();
-        Standing::new(now, (0, 0.5), &living, ways, &released)
+        quota_shares(now, (0, 0.5), &living, ways, &released)
     };
     // Ten others have said so of numbers 9 to 15 at 20, and of 16 to 19 at 25.
     for way in &mut ways[1..11] {
@@ -312,7 +313,7 @@
     }
     assert_eq!(
         standing(26, &ways)
-            .given_away
+            .reassigned
             .iter()
             .filter(|given| **given)
             .count(),
@@ -323,27 +324,27 @@
     }
     let both = standing(26, &ways);
     assert_eq!(
-        both.given_away,
+        both.reassigned,
         (0..SIZE).map(|who| who >= ALIVE).collect::<Vec<_>>()
     );
-    assert_eq!(both.given_until, 30);
+    assert_eq!(both.reassigned_until, 30);
     // The younger part does not make the older one younger.
     let later = standing(30, &ways);
     assert_eq!(
-        later.given_away,
+        later.reassigned,
         (0..SIZE).map(|who| who >= 16).collect::<Vec<_>>()
     );
-    assert_eq!(later.given_until, 35);
+    assert_eq!(later.reassigned_until, 35);
     // Nor does a renewal without a part.
     ways[1..11]
         .iter_mut()
         .for_each(|way| way.told(34, true, None));
-    assert!(standing(35, &ways).given_away.iter().all(|given| !given));
+    assert!(standing(35, &ways).reassigned.iter().all(|given| !given));
     // One vote less than a majority is none.
     for way in &mut ways[1..10] {
         way.told(40, true, said(0).as_ref());
     }
-    assert!(standing(41, &ways).given_away.iter().all(|given| !given));
+    assert!(standing(41, &ways).reassigned.iter().all(|given| !given));
 }
 
 /// Each part has its turn in a row of as many, and in what a peer asks beside three parts that it answers with.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -2,21 +2,21 @@
 
 mod common;
 use common::*;
-use mossrill::interface::*;
+use mossrill::decision::*;
 
 /// Takes all servers away, so that requests queue, and the order in which they leave when enough are back.
 fn leave_order(bench: &mut Bench, asked: &[(&str, &str)]) -> Vec<String> {
-    bench.on(Event::Members {
-        scope: Scope::Full,
-        members: Vec::new(),
+    bench.on(Event::EndpointUpdate {
+        scope: UpdateScope::Snapshot,
+        endpoints: Vec::new(),
     });
     for (id, customer) in asked {
         assert!(sends(&bench.ask(id, 0, 0, customer)).is_empty());
     }
     let members = (0..12).map(|n| member(&format!("s{n}"), "z0")).collect();
-    let acts = bench.on(Event::Members {
-        scope: Scope::Full,
-        members,
+    let acts = bench.on(Event::EndpointUpdate {
+        scope: UpdateScope::Snapshot,
+        endpoints: members,
     });
     sends(&acts)
         .into_iter()
@@ -73,7 +73,7 @@
         let acts = bench.ask(&format!("r{n}"), 0, 0, "a");
         let mut all = acts.clone();
         let calls = acts.iter().filter_map(|a| match a {
-            Action::Count { by, .. } => Some(*by),
+            Action::AddToCounter { amount: by, .. } => Some(*by),
             _ => None,
         });
         total += calls.sum::<f64>();
@@ -157,11 +157,16 @@
             sent.extend(sends(&acts));
             let calls = std::mem::take(&mut acts);
             for call in calls {
-                if let Action::Count { name, by, .. } = call {
+                if let Action::AddToCounter {
+                    key: name,
+                    amount: by,
+                    ..
+                } = call
+                {
                     let total = self.totals.entry(name).or_default();
                     *total += by;
-                    let counted = Event::Counted {
-                        name,
+                    let counted = Event::CounterReply {
+                        key: name,
                         total: *total,
                         outcome: Outcome::Ok,
                     };
@@ -257,24 +262,24 @@
 #[test]
 fn a_plan_without_any_quota_never_calls_the_counter() {
     let mut settings = settings();
-    settings.plans[1].open = 0;
+    settings.plans[1].max_concurrent = 0;
     let mut bench = Bench::new(settings, 4);
     let mut acts = bench.ask("r0", 0, 1, "a");
     let (id, server) = sends(&acts).remove(0);
     acts.extend(bench.ask("r1", 0, 1, "a"));
     // Its units are settled afterwards, and there is no store to put them right in.
     let (outcome, load, settled) = (Outcome::Ok, Vec::new(), Some(4.0));
-    let ended = Ended {
+    let ended = AttemptResult {
         id,
         attempt: 0,
         server,
         outcome,
-        took: 20_000,
-        last: true,
+        latency: 20_000,
+        is_final: true,
         load,
-        settled,
+        settled_units: settled,
     };
-    acts.extend(bench.on(Event::Outcome(ended)));
+    acts.extend(bench.on(Event::AttemptEnded(ended)));
     acts.extend(bench.pass(3_000_000));
     assert_eq!(counts(&acts), 0);
 }
@@ -334,16 +339,16 @@
         id: "late".into(),
         class: 0,
         plan: 0,
-        customer: "x".into(),
-        budget: 1_000_000,
+        account: "x".into(),
+        timeout: 1_000_000,
         units: 1.0,
-        spread: 2,
-        first: 0,
+        limiter_count: 2,
+        first_limiter: 0,
     };
     // 2 s is usual here, so 1 s left means that 1 s has gone; the aim was 0.5 s.
     let acts = bench.on(Event::Request(late.clone()));
     assert_eq!((refused(&acts), sends(&acts).len()), (1, 0));
-    (late.id, late.budget) = ("first".into(), 2_000_000);
+    (late.id, late.timeout) = ("first".into(), 2_000_000);
     assert_eq!(sends(&bench.on(Event::Request(late))).len(), 1);
 }
 
@@ -354,11 +359,11 @@
         id: "r".into(),
         class: 0,
         plan: 0,
-        customer: "a".into(),
-        budget: 5_000,
+        account: "a".into(),
+        timeout: 5_000,
         units: 1.0,
-        spread: 2,
-        first: 0,
+        limiter_count: 2,
+        first_limiter: 0,
     };
     assert_eq!(refused(&bench.on(Event::Request(request))), 1);
 }
@@ -377,17 +382,17 @@
             bench.now += took;
             while let Some((id, server)) = out.pop() {
                 let (attempt, outcome, load) = (0, Outcome::Ok, Vec::new());
-                let ended = Ended {
+                let ended = AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    took,
-                    last: true,
+                    latency: took,
+                    is_final: true,
                     load,
-                    settled: None,
+                    settled_units: None,
                 };
-                out.extend(sends(&bench.on(Event::Outcome(ended))));
+                out.extend(sends(&bench.on(Event::AttemptEnded(ended))));
             }
             bench.pass(600_000);
         }
@@ -434,7 +439,7 @@
 fn senseless_settings_and_requests_do_no_harm() {
     let plan = Plan::default();
     let none = Settings {
-        classes: vec![Class::default()],
+        classes: vec![RequestClass::default()],
         plans: vec![plan],
         counter: true,
         ..Settings::default()
@@ -445,11 +450,11 @@
             id: format!("r{n}").as_str().into(),
             class: n,
             plan: n,
-            customer: "a".into(),
-            budget: 1_000_000,
+            account: "a".into(),
+            timeout: 1_000_000,
             units: 0.0,
-            spread,
-            first: 7,
+            limiter_count: spread,
+            first_limiter: 7,
         }));
     }
     bench.pass(2_000_000);
@@ -462,7 +467,7 @@
         bench
             .ask("r", 2, 0, "a")
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count(),
         0
     );
@@ -477,13 +482,13 @@
     out.readiness = Readiness::Draining;
     bench.ask("first", 0, 0, "a");
     bench.ask("waits", 0, 0, "a");
-    let acts = bench.on(Event::Members {
-        scope: Scope::Changes,
-        members: vec![out],
+    let acts = bench.on(Event::EndpointUpdate {
+        scope: UpdateScope::Delta,
+        endpoints: vec![out],
     });
     assert_eq!((refused(&acts), sends(&acts).len()), (1, 0));
     let acts = bench.ask("comes", 0, 0, "a");
-    assert!(matches!(acts[..], [Action::Refuse { .. }]), "{acts:?}");
+    assert!(matches!(acts[..], [Action::Reject { .. }]), "{acts:?}");
 }
 
 #[test]
@@ -491,7 +496,7 @@
     // A sent request that stayed among its customer's waiting ones was queued, sent and claimed once more.
     let mut bench = Bench::new(
         Settings {
-            gateways: 200,
+            limiters: 200,
             ..settings()
         },
         600,
@@ -503,17 +508,17 @@
             id,
             class: 0,
             plan: 0,
-            customer,
-            budget,
+            account: customer,
+            timeout: budget,
             units: 1.0,
-            spread,
-            first: 0,
+            limiter_count: spread,
+            first_limiter: 0,
         }))
     };
     let claims = |acts: &[Action]| -> Vec<f64> {
         acts.iter()
             .filter_map(|a| {
-                if let Action::Count { by, .. } = a {
+                if let Action::AddToCounter { amount: by, .. } = a {
                     Some(*by)
                 } else {
                     None
@@ -533,7 +538,7 @@
 fn asked(delay: Micros) -> usize {
     let mut bench = Bench::new(
         Settings {
-            gateways: 200,
+            limiters: 200,
             ..settings()
         },
         8,
@@ -549,11 +554,11 @@
             id,
             class: 0,
             plan: 0,
-            customer,
-            budget,
+            account: customer,
+            timeout: budget,
             units: 1.0,
-            spread,
-            first: 0,
+            limiter_count: spread,
+            first_limiter: 0,
         };
         let mut acts = bench.on(Event::Request(asked));
         calls.push(counts(&acts));
@@ -598,15 +603,15 @@
                 let outcome = if bad { Outcome::Error } else { Outcome::Ok };
                 let (attempt, took, load) = (0, 125_000, Vec::new());
                 let (id, last) = (id.as_str().into(), !bad);
-                bench.on(Event::Outcome(Ended {
+                bench.on(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    took,
-                    last,
+                    latency: took,
+                    is_final: last,
                     load,
-                    settled: None,
+                    settled_units: None,
                 }));
             }
         }
@@ -622,13 +627,13 @@
 fn a_gateway_that_knows_only_cold_servers_begins_to_send() {
     // Without a send there was no rate, and without a rate no cold server ever got a part of one.
     let mut bench = Bench::new(settings(), 0);
-    let cold = |n: usize| Member {
-        started: 1_000_000,
+    let cold = |n: usize| Endpoint {
+        started_at: 1_000_000,
         ..member(&format!("s{n}"), "z0")
     };
-    bench.on(Event::Members {
-        scope: Scope::Full,
-        members: (0..4).map(cold).collect(),
+    bench.on(Event::EndpointUpdate {
+        scope: UpdateScope::Snapshot,
+        endpoints: (0..4).map(cold).collect(),
     });
     let mut sent = 0;
     for n in 0..50 {
@@ -643,22 +648,22 @@
     // Where late answers earn something attempts run to the deadline: a server that left a class unanswered
     // was learned of after two seconds and took its share of sends all that time.
     let mut settings = settings();
-    settings.classes[0].late_worth = 0.2;
+    settings.classes[0].late_weight = 0.2;
     let mut bench = Bench::new(
         Settings {
-            gateways: 1,
+            limiters: 1,
             counter: false,
             ..settings
         },
         8,
     );
-    let drained = |n| Member {
+    let drained = |n| Endpoint {
         readiness: Readiness::Draining,
         ..member(&format!("s{n}"), "z0")
     };
-    bench.on(Event::Members {
-        scope: Scope::Changes,
-        members: (2..8).map(drained).collect(),
+    bench.on(Event::EndpointUpdate {
+        scope: UpdateScope::Delta,
+        endpoints: (2..8).map(drained).collect(),
     });
     let (_, silent) = sends(&bench.ask("r0", 0, 0, "a"))[0].clone();
     // Past the aim of 500 ms, long before the deadline of two seconds.
@@ -675,7 +680,7 @@
 /// Ids of the requests that got a final answer in these actions.
 fn ended(actions: &[Action]) -> Vec<String> {
     let pick = |a: &Action| match a {
-        Action::Refuse { id, .. } | Action::Fail { id } => Some(id.0.to_string()),
+        Action::Reject { id, .. } | Action::Fail { id } => Some(id.0.to_string()),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -691,11 +696,11 @@
             id,
             class,
             plan,
-            customer,
-            budget,
+            account: customer,
+            timeout: budget,
             units: 1.0,
-            spread,
-            first: 0,
+            limiter_count: spread,
+            first_limiter: 0,
         }))
     };
     let mut bench = Bench::new(settings(), 4);
@@ -724,7 +729,7 @@
     // A claim that the counter refuses: the event is the total.
     let mut bench = Bench::new(
         Settings {
-            gateways: 200,
+            limiters: 200,
             ..settings()
         },
         600,
@@ -758,7 +763,7 @@
     // D full: what waits beyond it is shed at the next look, long before its aim.
     let mut bench = Bench::new(
         Settings {
-            gateways: 300,
+            limiters: 300,
             counter: false,
             ..settings()
         },
@@ -786,7 +791,10 @@
     bench.ask("r", 2, 0, "a");
     let acts = bench.pass(500_000);
     let after = acts.iter().find_map(|a| {
-        if let Action::Refuse { after, .. } = a {
+        if let Action::Reject {
+            retry_after: after, ..
+        } = a
+        {
             Some(*after)
         } else {
             None
@@ -803,18 +811,18 @@
     // Nothing was sent yet, so nothing was to be told: the request waited for its own part to fill, and was refused
     // with the whole quota unused.
     let mut settings = settings();
-    settings.gateways = 4;
+    settings.limiters = 4;
     let mut bench = Bench::new(settings, 4);
     let (id, customer) = ("big".into(), "once".into());
     let request = Request {
         id,
         class: 0,
         plan: 0,
-        customer,
-        budget: 2_000_000,
+        account: customer,
+        timeout: 2_000_000,
         units: 6.0,
-        spread: 4,
-        first: 0,
+        limiter_count: 4,
+        first_limiter: 0,
     };
     let asked = bench.on(Event::Request(request));
     assert_eq!((sends(&asked).len(), counts(&asked)), (0, 1));
@@ -824,7 +832,7 @@
 /// Amounts of the calls in these actions.
 fn amounts(actions: &[Action]) -> Vec<f64> {
     let pick = |a: &Action| match a {
-        Action::Count { by, .. } => Some(*by),
+        Action::AddToCounter { amount: by, .. } => Some(*by),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -888,11 +896,11 @@
         id,
         class: 0,
         plan: 0,
-        customer,
-        budget: 600_000,
+        account: customer,
+        timeout: 600_000,
         units: 1.0,
-        spread: 2,
-        first: 0,
+        limiter_count: 2,
+        first_limiter: 0,
     };
     bench.on(Event::Request(request));
     assert_eq!(refused(&bench.pass(300_000)), 1);
@@ -915,11 +923,11 @@
             id,
             class: 0,
             plan: 0,
-            customer,
-            budget: 2_000_000,
+            account: customer,
+            timeout: 2_000_000,
             units: 6.0,
-            spread: 2,
-            first: 0,
+            limiter_count: 2,
+            first_limiter: 0,
         };
         turned += refused(&bench.on(Event::Request(request)));
     }
@@ -931,31 +939,31 @@
     // With every one that had gone before, D kept to one attempt a server that was no more.
     let mut bench = Bench::new(
         Settings {
-            gateways: 1,
+            limiters: 1,
             counter: false,
             ..settings()
         },
         2,
     );
     for n in 0..40 {
-        let fresh = Member {
-            started: bench.now,
+        let fresh = Endpoint {
+            started_at: bench.now,
             ..member(&format!("n{n}"), "z0")
         };
-        let gone = Member {
-            readiness: Readiness::Gone,
+        let gone = Endpoint {
+            readiness: Readiness::Removed,
             ..member(&format!("n{}", n - 1), "z0")
         };
-        bench.on(Event::Members {
-            scope: Scope::Changes,
-            members: vec![fresh, gone],
+        bench.on(Event::EndpointUpdate {
+            scope: UpdateScope::Delta,
+            endpoints: vec![fresh, gone],
         });
         bench.pass(1_000_000);
     }
     let plan = 2;
     for n in 0..60 {
         for (id, server) in sends(&bench.ask(&format!("r{n}"), 0, plan, "customer")) {
-            bench.end(&id.0, 0, &server, Outcome::Full);
+            bench.end(&id.0, 0, &server, Outcome::Rejected);
         }
         bench.pass(500_000);
     }
@@ -972,7 +980,7 @@
     for n in 0..3 {
         let asked = bench.ask(&format!("r{n}"), 0, 0, &format!("c{n}"));
         assert_eq!(counts(&asked), 1, "of account {n}");
-        bench.count(&asked, 0.0, Outcome::Full);
+        bench.count(&asked, 0.0, Outcome::Rejected);
         for (id, server) in sends(&asked) {
             bench.end(&id.0, 0, &server, Outcome::Ok);
         }
@@ -985,7 +993,7 @@
     // Every unit told to it came back and went out again at the next event: a crowd of its own making.
     let mut bench = Bench::new(
         Settings {
-            gateways: 200,
+            limiters: 200,
             ..settings()
         },
         4,
@@ -998,13 +1006,16 @@
         for (id, server) in sends(&told) {
             bench.end(&id.0, 0, &server, Outcome::Ok);
         }
-        for call in told.iter().filter(|a| matches!(a, Action::Count { .. })) {
+        for call in told
+            .iter()
+            .filter(|a| matches!(a, Action::AddToCounter { .. }))
+        {
             calls += 1;
             // One in five finds room.
             let outcome = if calls % 5 == 0 {
                 Outcome::Ok
             } else {
-                Outcome::Full
+                Outcome::Rejected
             };
             waiting.extend(bench.count(std::slice::from_ref(call), 1.0, outcome));
         }
@@ -1020,11 +1031,11 @@
         id,
         class: 0,
         plan: 0,
-        customer,
-        budget: 2_000_000,
+        account: customer,
+        timeout: 2_000_000,
         units: 1.0,
-        spread: 200,
-        first: 0,
+        limiter_count: 200,
+        first_limiter: 0,
     };
     assert_eq!(counts(&bench.on(Event::Request(asked))), 1);
 }
@@ -1055,11 +1066,11 @@
             id,
             class: 2,
             plan,
-            customer,
-            budget,
+            account: customer,
+            timeout: budget,
             units: 11.0,
-            spread: 2,
-            first: 0,
+            limiter_count: 2,
+            first_limiter: 0,
         };
         let acts = bench.on(Event::Request(request));
         assert_eq!(
@@ -1093,8 +1104,8 @@
                     let outcome = if n % 9 == 8 { Outcome::Error } else { Outcome::Ok };
                     let (last, load) = (outcome == Outcome::Ok, reports(n));
                     let took = 20_000 + 1_000 * n as Micros;
-                    let ended = Ended { id, attempt: 0, server, outcome, took, last, load, settled: None };
-                    all.extend(bench.on(Event::Outcome(ended)));
+                    let ended = AttemptResult { id, attempt: 0, server, outcome, latency: took, is_final: last, load, settled_units: None };
+                    all.extend(bench.on(Event::AttemptEnded(ended)));
                 }
                 all.extend(acts.into_iter().chain(more).chain(bench.pass(5_000)));
             }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -297,7 +297,7 @@
     fn listening(mut self) -> Self {
         let line = self.logged("listening");
         let address = line
-            .split("at: ")
+            .split("address: ")
             .nth(1)
             .and_then(|at| at.split(',').next()?.trim().parse().ok());
         self.at = address.expect("an address");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -304,7 +304,7 @@
         .into();
     settings["counter"] = counter.to_string().into();
     program.reload(&settings.to_string());
-    program.logged("node list news, nodes: 1, full: true");
+    program.logged("endpoint update, endpoints: 1, full: true");
     let mut agent = Agent::ready_at(program.at);
     agent.say(&asking("look", "id", 1500).replace("spread=1", "spread=2"));
     assert_eq!(
@@ -315,8 +315,8 @@
     settings["counter"] = "nowhere".into();
     program.reload(&settings.to_string());
     let fault = program
-        .logged("not taken")
-        .split("fault: ")
+        .logged("configuration rejected")
+        .split("error: ")
         .last()
         .map(|f| f.split("key").last().map(str::to_owned));
     agent.ask("look", "id", 1500);
--- a/tests/quota_lease/allocator.rs
+++ b/tests/quota_lease/allocator.rs
@@ -1,6 +1,6 @@
 //! One allocator, asked by hand.
 
-use mossrill::interface::Micros;
+use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
 use mossrill::quota_lease::message::{
     AccountKey, Grant, GrantEntry, MessageError, PlanLimits, Report, ReportEntry, Verdict, FORMAT,
--- a/tests/quota_lease/holder.rs
+++ b/tests/quota_lease/holder.rs
@@ -1,6 +1,6 @@
 //! One limiter, answered by hand.
 
-use mossrill::interface::Micros;
+use mossrill::decision::Micros;
 use mossrill::quota_lease::holder::{
     Answer, Holder, HolderSettings, Outcome, Receipt, Take, Ticket,
 };
--- a/tests/quota_lease/ledger.rs
+++ b/tests/quota_lease/ledger.rs
@@ -1,6 +1,6 @@
 //! What was granted and used of one account, and by how much that is more than a rate alone allows.
 
-use mossrill::interface::Micros;
+use mossrill::decision::Micros;
 
 /// Units in thousandths, by time.
 #[derive(Clone, Debug, Default)]
--- a/tests/quota_lease/properties.rs
+++ b/tests/quota_lease/properties.rs
@@ -1,6 +1,6 @@
 //! What holds for every order of requests, losses, delays, pauses, deaths and changes of the owner.
 
-use mossrill::interface::Micros;
+use mossrill::decision::Micros;
 use mossrill::quota_lease::holder::HolderSettings;
 use proptest::prelude::*;
 
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-use mossrill::interface::Micros;
+use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
 use mossrill::quota_lease::holder::{
     Answer, Holder, HolderSettings, Outcome, Receipt, Take, Ticket,
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -1,8 +1,10 @@
 //! The core with a holder of leases: its edges are played by the test, and so are the allocators.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
-use mossrill::core::{Answer, AttemptId, Clock, Core, Edges, Incoming, Input, Wait};
-use mossrill::interface::*;
+use mossrill::core::{
+    Answer, AttemptDeadlines, AttemptId, Clock, Core, IncomingRequest, Input, Transport,
+};
+use mossrill::decision::*;
 use mossrill::quota_lease::holder::{Holder, HolderSettings};
 use mossrill::quota_lease::link::LinkEvent;
 use mossrill::quota_lease::message::{Grant, GrantEntry, Report, Verdict, FORMAT};
@@ -24,7 +26,7 @@
 
 struct Played(Sender<Wanted>);
 
-impl Edges for Played {
+impl Transport for Played {
     type Client = u64;
     type Call = ();
     type Value = &'static str;
@@ -33,7 +35,14 @@
         _ = self.0.send(Wanted::Answer(client, format!("{answer:?}")));
     }
 
-    fn start(&mut self, attempt: AttemptId, _: &ServerId, _: &Arc<()>, _: Wait, _: &Self::Client) {
+    fn start_attempt(
+        &mut self,
+        attempt: AttemptId,
+        _: &ServerId,
+        _: &Arc<()>,
+        _: AttemptDeadlines,
+        _: &Self::Client,
+    ) {
         _ = self.0.send(Wanted::Start(attempt));
     }
 
@@ -45,21 +54,21 @@
         false
     }
 
-    fn probe(&mut self, _: &ServerId) {}
+    fn check_health(&mut self, _: &ServerId) {}
 
-    fn bar(&mut self, _: &ServerId) {}
+    fn block_server(&mut self, _: &ServerId) {}
 
-    fn tell(&mut self, _: mossrill::handover::message::Body) {}
+    fn notify_peer_process(&mut self, _: mossrill::handover::message::Body) {}
 
-    fn listed(&mut self, _: usize, _: usize) {}
+    fn report_endpoints(&mut self, _: usize, _: usize) {}
 
-    fn add(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
+    fn add_to_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
 
-    fn report(&mut self, allocator: u32, report: Report) {
+    fn send_lease_report(&mut self, allocator: u32, report: Report) {
         _ = self.0.send(Wanted::Report(allocator, report));
     }
 
-    fn agents(&self) -> bool {
+    fn has_clients(&self) -> bool {
         false
     }
 }
@@ -72,20 +81,20 @@
 
 impl Story {
     fn start(fallback_thousandths: u32) -> Self {
-        let class = Class {
-            aim: 15_000_000,
+        let class = RequestClass {
+            latency_objective: 15_000_000,
             deadline: 20_000_000,
-            worth: 1.0,
-            ..Class::default()
+            priority_weight: 1.0,
+            ..RequestClass::default()
         };
         let settings = Settings {
-            gateways: 1,
+            limiters: 1,
             classes: vec![class],
             plans: vec![Plan {
                 rate: 1.0,
                 burst: 10.0,
-                price: 1.0,
-                over_cost: 1.0,
+                weight_factor: 1.0,
+                over_quota_cost: 1.0,
                 ..Plan::default()
             }],
             limits: Limits {
@@ -94,19 +103,19 @@
                 max_retry_after: 400_000,
                 ..Limits::default()
             },
-            leased: true,
+            quota_leases: true,
             ..Settings::default()
         };
         let ((queue, inputs), (tell, wanted)) = (unbounded(), unbounded());
-        let node = Member {
+        let node = Endpoint {
             id: "a".into(),
             zone: String::new(),
             cell: 0,
             readiness: Readiness::Ready,
             weight: 1.0,
-            started: 0,
+            started_at: 0,
         };
-        _ = queue.send(Input::Nodes(Scope::Full, vec![node]));
+        _ = queue.send(Input::EndpointUpdate(UpdateScope::Snapshot, vec![node]));
         let (clock, log) = (Clock::start(), Logger::root(Discard, o!()));
         let holder = Holder::new(
             clock.now(),
@@ -129,17 +138,17 @@
     }
 
     fn ask(&self, number: u64) {
-        let request = Incoming {
+        let request = IncomingRequest {
             number,
             id: None,
             arrived: Instant::now(),
-            budget: PATIENCE,
+            timeout: PATIENCE,
             class: 0,
             plan: 0,
             account: "agent".into(),
             units: 1.0,
-            spread: 1,
-            first: 0,
+            limiter_count: 1,
+            first_limiter: 0,
             client: number,
             call: (),
         };
@@ -217,13 +226,13 @@
     story.grant(&story.report(), 0);
     assert_eq!(
         story.next(),
-        Wanted::Answer(1, "Refused { after: 400ms, late: false }".into())
+        Wanted::Answer(1, "Rejected { retry_after: 400ms, timed_out: false }".into())
     );
     // While the allocator has said that there are none, it is not asked.
     story.ask(2);
     assert_eq!(
         story.next(),
-        Wanted::Answer(2, "Refused { after: 400ms, late: false }".into())
+        Wanted::Answer(2, "Rejected { retry_after: 400ms, timed_out: false }".into())
     );
 }
 
@@ -233,7 +242,7 @@
     story.ask(1);
     let report = story.report();
     // Its agent leaves before the answer comes.
-    _ = story.queue.send(Input::Left(vec![1]));
+    _ = story.queue.send(Input::ClientDisconnected(vec![1]));
     story.grant(&report, 1_000);
     story.ask(2);
     assert_eq!(
@@ -275,6 +284,6 @@
         .send(Input::Allocator(LinkEvent::Lost { allocator: 0 }));
     assert_eq!(
         story.next(),
-        Wanted::Answer(1, "Refused { after: 400ms, late: false }".into())
+        Wanted::Answer(1, "Rejected { retry_after: 400ms, timed_out: false }".into())
     );
 }
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use mossrill::config;
-use mossrill::interface::*;
+use mossrill::decision::*;
 use mossrill::quota_lease::config::AllocatorConfig;
 use mossrill::quota_lease::frame::{self, FrameError, Timeouts};
 use mossrill::quota_lease::message::MAX_BYTES;
@@ -238,17 +238,17 @@
 
 fn leased(open: u32) -> Bench {
     let mut settings = Settings {
-        leased: true,
+        quota_leases: true,
         counter: false,
         ..settings()
     };
-    settings.plans[0].open = open;
+    settings.plans[0].max_concurrent = open;
     Bench::new(settings, 2)
 }
 
 fn leases(actions: &[Action]) -> Vec<(RequestId, f64)> {
     let pick = |action: &Action| match action {
-        Action::Lease { id, units, .. } => Some((id.clone(), *units)),
+        Action::RequestLease { id, units, .. } => Some((id.clone(), *units)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -263,7 +263,7 @@
     // However long that takes, it is neither sent nor asked for again before.
     let waits = bench.pass(100_000);
     assert!(sends(&waits).is_empty() && leases(&waits).is_empty() && counts(&waits) == 0);
-    let sent = bench.on(Event::Leased {
+    let sent = bench.on(Event::LeaseReply {
         id: "a".into(),
         granted: true,
     });
@@ -276,19 +276,19 @@
     let mut bench = leased(0);
     bench.ask("a", 0, 0, "c");
     bench.ask("b", 0, 0, "c");
-    let answered = bench.on(Event::Leased {
+    let answered = bench.on(Event::LeaseReply {
         id: "a".into(),
         granted: false,
     });
     assert_eq!((refused(&answered), sends(&answered).len()), (1, 0));
-    let answered = bench.on(Event::Leased {
+    let answered = bench.on(Event::LeaseReply {
         id: "b".into(),
         granted: true,
     });
     assert_eq!((refused(&answered), sends(&answered).len()), (0, 1));
     // Units for a request that has ended meanwhile change nothing.
     assert!(bench
-        .on(Event::Leased {
+        .on(Event::LeaseReply {
             id: "a".into(),
             granted: true
         })
@@ -304,7 +304,7 @@
     // Through two gateways, so one of the two places is this one's.
     let sent: usize = ["a", "b", "c"]
         .map(|id| {
-            sends(&bench.on(Event::Leased {
+            sends(&bench.on(Event::LeaseReply {
                 id: id.into(),
                 granted: true,
             }))
--- a/tests/quota_lease_processes.rs
+++ b/tests/quota_lease_processes.rs
@@ -33,7 +33,7 @@
 const AGENT_PAUSE: Duration = Duration::from_millis(12);
 /// An allocator closes a connection without a report after this time.
 const IDLE_MS: u64 = 3_000;
-/// Figures are logged so often.
+/// Metrics are logged so often.
 const FIGURES_MS: u64 = 200;
 
 /// Upstream servers' record: when each request came, counted once however often it was sent.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use mossrill::interface::*;
+use mossrill::decision::*;
 use std::collections::BTreeMap;
 
 struct Try {
@@ -29,7 +29,7 @@
         for act in acts {
             match act {
                 Action::Send { id, server, .. } => self.send(now, &id.0, server, settings),
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let t = self.tries.get_mut(&*id.0).expect("known");
                     let maybe = t
                         .attempts
@@ -64,10 +64,7 @@
             "{id} sent to a server that drains or is gone"
         );
         let out = t.attempts.iter().any(|(_, _, o)| o.is_none());
-        assert!(
-            settings.limits.second_copies || !out,
-            "{id} has two attempts out"
-        );
+        assert!(settings.limits.hedging || !out, "{id} has two attempts out");
         for (old, sent, outcome) in &t.attempts {
             if outcome.is_some_and(Outcome::never_ran) {
                 continue;
@@ -138,11 +135,11 @@
                 id,
                 class,
                 plan,
-                customer: held,
-                budget,
+                account: held,
+                timeout: budget,
                 units,
-                spread: 2,
-                first: 0,
+                limiter_count: 2,
+                first_limiter: 0,
             };
             bench.on(Event::Request(request))
         }
@@ -162,7 +159,7 @@
                 Outcome::Ok,
                 Outcome::Ok,
                 Outcome::Error,
-                Outcome::Full,
+                Outcome::Rejected,
                 Outcome::Timeout,
                 Outcome::ConnectFailed,
                 Outcome::Reset,
@@ -179,9 +176,9 @@
         }
         65..=69 => {
             let scope = if rng.bool() {
-                Scope::Changes
+                UpdateScope::Delta
             } else {
-                Scope::Full
+                UpdateScope::Snapshot
             };
             let mut members = Vec::new();
             for s in 0..6 {
@@ -191,12 +188,12 @@
                         Readiness::Ready,
                         Readiness::Ready,
                         Readiness::Draining,
-                        Readiness::Gone,
+                        Readiness::Removed,
                     ][rng.usize(0..4)];
                     members.push(m);
                 }
             }
-            if scope == Scope::Full {
+            if scope == UpdateScope::Snapshot {
                 watch.ready.clear();
             }
             for m in &members {
@@ -204,7 +201,10 @@
                     .ready
                     .insert(m.id.clone(), m.readiness == Readiness::Ready);
             }
-            bench.on(Event::Members { scope, members })
+            bench.on(Event::EndpointUpdate {
+                scope,
+                endpoints: members,
+            })
         }
         70..=74 => {
             let Some((id, t)) = watch.tries.iter_mut().find(|(_, t)| !t.answered && !t.gone) else {
@@ -212,20 +212,20 @@
             };
             t.gone = true;
             let id = id.as_str().into();
-            bench.on(Event::Gone { id })
+            bench.on(Event::ClientDisconnected { id })
         }
         75..=79 => {
-            let outcome = [Outcome::Ok, Outcome::Full, Outcome::Timeout][rng.usize(0..3)];
+            let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][rng.usize(0..3)];
             let acts = bench.acts.clone();
             bench.count(&acts, rng.f64() * 50.0, outcome)
         }
-        _ => bench.on(Event::Timer {
+        _ => bench.on(Event::TimerExpired {
             token: rng.u64(0..3),
         }),
     };
     watch.see(bench.now, &acts, settings);
     // A host's timer comes at least this often.
-    let acts = bench.on(Event::Timer { token: 0 });
+    let acts = bench.on(Event::TimerExpired { token: 0 });
     watch.see(bench.now, &acts, settings);
 }
 
@@ -235,10 +235,10 @@
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut settings = settings();
-        settings.limits.second_copies = seed % 2 == 0;
+        settings.limits.hedging = seed % 2 == 0;
         // Late answers still earn here, so attempts stay out until the client's time is up.
-        settings.classes[2].late_worth = 0.2;
-        settings.classes[3].late_worth = 0.2;
+        settings.classes[2].late_weight = 0.2;
+        settings.classes[3].late_weight = 0.2;
         let mut bench = Bench::new(settings.clone(), 6);
         let mut watch = Watch::default();
         for s in 0..6 {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use mossrill::interface::*;
-use mossrill::Gateway;
+use mossrill::decision::*;
+use mossrill::Engine;
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
@@ -15,17 +15,17 @@
         id,
         class: 0,
         plan: 0,
-        customer,
-        budget,
+        account: customer,
+        timeout: budget,
         units: 1.0,
-        spread,
-        first: 0,
+        limiter_count: spread,
+        first_limiter: 0,
     }
 }
 
 /// Gateways with a clock of their own and one exact counter between them.
 struct Fleet {
-    gateways: Vec<Gateway>,
+    gateways: Vec<Engine>,
     names: BTreeMap<u64, f64>,
     /// Whether the counter answers now.
     answers: bool,
@@ -33,21 +33,21 @@
 }
 
 impl Fleet {
-    fn new(count: u32, settings: &Settings, members: &[Member], now: Micros) -> Self {
+    fn new(count: u32, settings: &Settings, members: &[Endpoint], now: Micros) -> Self {
         let mut gateways = Vec::new();
         for me in 0..count {
             let own = Settings {
-                me,
-                gateways: count,
+                limiter: me,
+                limiters: count,
                 ..settings.clone()
             };
-            let mut gateway = Gateway::new(own, u64::from(me) * 7919 + 3);
+            let mut gateway = Engine::new(own, u64::from(me) * 7919 + 3);
             let members = members.to_vec();
             gateway.on_event(
                 now,
-                Event::Members {
-                    scope: Scope::Full,
-                    members,
+                Event::EndpointUpdate {
+                    scope: UpdateScope::Snapshot,
+                    endpoints: members,
                 },
                 &mut Vec::new(),
             );
@@ -69,17 +69,21 @@
             self.gateways[at].on_event(now, event, &mut acts);
             for act in acts {
                 match act {
-                    Action::Count { name, by, .. } => {
+                    Action::AddToCounter {
+                        key: name,
+                        amount: by,
+                        ..
+                    } => {
                         self.calls += 1;
                         let total = self.names.entry(name).or_insert(0.0);
                         *total += if self.answers { by } else { 0.0 };
                         let outcome = if self.answers {
                             Outcome::Ok
                         } else {
-                            Outcome::Full
+                            Outcome::Rejected
                         };
-                        events.push(Event::Counted {
-                            name,
+                        events.push(Event::CounterReply {
+                            key: name,
                             total: *total,
                             outcome,
                         });
@@ -88,17 +92,17 @@
                         sent.push(server.clone());
                         let (attempt, outcome) = (0, Outcome::Ok);
                         let (took, last, load, settled) = (125_000, true, Vec::new(), None);
-                        let ended = Ended {
+                        let ended = AttemptResult {
                             id,
                             attempt,
                             server,
                             outcome,
-                            took,
-                            last,
+                            latency: took,
+                            is_final: last,
                             load,
-                            settled,
+                            settled_units: settled,
                         };
-                        events.push(Event::Outcome(ended));
+                        events.push(Event::AttemptEnded(ended));
                     }
                     _ => {}
                 }
@@ -119,11 +123,11 @@
         },
     );
     let names: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
-    let mut members: Vec<Member> = names.iter().map(|n| member(n, "z0")).collect();
+    let mut members: Vec<Endpoint> = names.iter().map(|n| member(n, "z0")).collect();
     let plans = vec![Plan {
         rate: 1e6,
         burst: 1e6,
-        price: 1.0,
+        weight_factor: 1.0,
         ..Plan::default()
     }];
     let settings = Settings {
@@ -137,22 +141,22 @@
         // 1000 requests a second over all gateways; the tenth server restarts after eight seconds.
         let (at, time) = ((n * 7 % u64::from(count)) as usize, now + n * 1_000);
         if n == 8_000 {
-            members[9].started = time;
+            members[9].started_at = time;
             for gateway in 0..count as usize {
                 let members = vec![members[9].clone()];
                 fleet.on(
                     gateway,
                     time,
-                    Event::Members {
-                        scope: Scope::Changes,
-                        members,
+                    Event::EndpointUpdate {
+                        scope: UpdateScope::Delta,
+                        endpoints: members,
                     },
                 );
             }
         }
         if n % 100 == 0 {
             for gateway in 0..count as usize {
-                fleet.on(gateway, time, Event::Timer { token: 0 });
+                fleet.on(gateway, time, Event::TimerExpired { token: 0 });
             }
         }
         for server in fleet.on(at, time, Event::Request(request(format!("r{n}"), count))) {
@@ -185,11 +189,11 @@
             ..settings()
         },
     );
-    let mut members: Vec<Member> = (0..60).map(|n| member(&format!("s{n:02}"), "z0")).collect();
+    let mut members: Vec<Endpoint> = (0..60).map(|n| member(&format!("s{n:02}"), "z0")).collect();
     let plans = vec![Plan {
         rate: 1e6,
         burst: 1e6,
-        price: 1.0,
+        weight_factor: 1.0,
         ..Plan::default()
     }];
     let settings = Settings {
@@ -203,7 +207,7 @@
     for n in 0..4_500_u64 {
         let time = now + n * 2_000;
         if n == 3_000 {
-            members[24..].iter_mut().for_each(|m| m.started = time);
+            members[24..].iter_mut().for_each(|m| m.started_at = time);
         }
         for at in 0..100 {
             if n == 3_000 {
@@ -211,14 +215,14 @@
                 fleet.on(
                     at,
                     time,
-                    Event::Members {
-                        scope: Scope::Changes,
-                        members,
+                    Event::EndpointUpdate {
+                        scope: UpdateScope::Delta,
+                        endpoints: members,
                     },
                 );
             }
             if n % 50 == 0 {
-                fleet.on(at, time, Event::Timer { token: 0 });
+                fleet.on(at, time, Event::TimerExpired { token: 0 });
             }
         }
         let at = ((n + seed).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % 100;
@@ -274,7 +278,7 @@
         if n % 20 == 0 {
             // All gateways look at the time twice a second or so; few have anything to do.
             for gateway in 0..200 {
-                fleet.on(gateway, time, Event::Timer { token: 0 });
+                fleet.on(gateway, time, Event::TimerExpired { token: 0 });
             }
         }
         sent += fleet
@@ -336,7 +340,7 @@
 /// what `took` says for its time. The mean number of attempts out in each second.
 fn mean_out(seconds: u64, took: impl Fn(Micros) -> Micros) -> Vec<f64> {
     let settings = Settings {
-        gateways: 300,
+        limiters: 300,
         counter: false,
         ..settings()
     };
@@ -364,17 +368,17 @@
                 let (due, id, server) = out.swap_remove(at);
                 let (took, attempt, last, load, settled) = (took(due), 0, true, Vec::new(), None);
                 let outcome = Outcome::Ok;
-                let ended = Ended {
+                let ended = AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    took,
-                    last,
+                    latency: took,
+                    is_final: last,
                     load,
-                    settled,
+                    settled_units: settled,
                 };
-                acts.extend(bench.on(Event::Outcome(ended)));
+                acts.extend(bench.on(Event::AttemptEnded(ended)));
             }
             out.extend(
                 sends(&acts)
@@ -412,7 +416,7 @@
     for (gateways, servers, bounds) in [(300, 60, 1..=1), (3, 12, 4..=4), (1, 1, 1..=1)] {
         let mut bench = Bench::new(
             Settings {
-                gateways,
+                limiters: gateways,
                 counter: false,
                 ..settings()
             },
@@ -448,7 +452,9 @@
         }
         let mut sent = 0;
         for gateway in 0..3 {
-            sent += fleet.on(gateway, time, Event::Timer { token: 0 }).len();
+            sent += fleet
+                .on(gateway, time, Event::TimerExpired { token: 0 })
+                .len();
         }
         let at = usize::from(second >= 10);
         sent += fleet
--- a/tests/units/admin_calls.rs
+++ b/tests/units/admin_calls.rs
@@ -1,8 +1,8 @@
 //! Admin calls as text: what is read from a line, and what is answered.
 
 use mossrill::admin::{stat, word, Call};
-use mossrill::interface::ServerId;
-use mossrill::metrics::Figures;
+use mossrill::decision::ServerId;
+use mossrill::metrics::Metrics;
 use mossrill::metrics::RequestOutcome;
 
 #[test]
@@ -36,14 +36,14 @@
 
 #[test]
 fn each_request_is_counted_once_at_its_end() {
-    let figures = Figures::new(vec!["look".into(), "pay".into()]);
+    let figures = Metrics::new(vec!["look".into(), "pay".into()]);
     let (served, gone, open) = (figures.taken(0), figures.taken(1), figures.taken(1));
     served.finish(RequestOutcome::Served);
     drop(gone);
     figures.attempt();
     figures.servers(3, 1);
     insta::assert_snapshot!(stat(&figures, Vec::new()));
-    open.finish(RequestOutcome::Refused);
+    open.finish(RequestOutcome::Rejected);
     assert!(figures.all().contains(&("requests.pay.refused".into(), 1)));
     assert!(figures.all().contains(&("in_flight".into(), 0)));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -382,7 +382,7 @@
     link.say(Body::Serving(true), None).expect("said");
     old.logged("Leaving");
     old.signal("TERM");
-    old.logged("stopping");
+    old.logged("shutting down");
     drop(link);
     open.send(()).expect("a node");
     assert_eq!(first.answer(), "first");
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -110,7 +110,7 @@
     net.run(20 * SECOND);
     assert!(net.processes[3]
         .as_ref()
-        .is_some_and(|p| p.told.part(net.now, 0..7) == Some(1.0 / 7.0)));
+        .is_some_and(|p| p.told.share(net.now, 0..7) == Some(1.0 / 7.0)));
     net.cut = (0..7).map(|to| (3, to)).collect();
     net.run(20 * SECOND);
     let others = |net: &Net, state| {
@@ -121,7 +121,7 @@
     assert!(others(&net, State::Dead));
     assert!(net.processes[3]
         .as_ref()
-        .is_some_and(|p| p.told.part(net.now, 0..7) == Some(0.5 / 7.0)));
+        .is_some_and(|p| p.told.share(net.now, 0..7) == Some(0.5 / 7.0)));
     // It goes on hearing them, and holds none of them for dead.
     assert!(net.processes[3]
         .as_ref()
@@ -131,7 +131,7 @@
     net.run(20 * SECOND);
     assert!(net
         .up()
-        .all(|(_, p)| (p.told.part(net.now, 0..7).unwrap() - 1.0 / 7.0).abs() < 1e-9));
+        .all(|(_, p)| (p.told.share(net.now, 0..7).unwrap() - 1.0 / 7.0).abs() < 1e-9));
 }
 
 #[test]
@@ -167,7 +167,7 @@
     let part = |net: &Net, who: usize| {
         net.processes[who]
             .as_ref()
-            .map(|p| p.told.part(net.now, 0..5))
+            .map(|p| p.told.share(net.now, 0..5))
     };
     assert_eq!(part(&net, 0), Some(Some(0.2)));
     net.side = vec![0, 0, 0, 1, 1];
@@ -343,7 +343,7 @@
     net.run(40 * SECOND);
     let parts = |net: &Net| -> Vec<f64> {
         net.up()
-            .map(|(_, p)| p.told.part(net.now, 0..20).unwrap_or(0.0))
+            .map(|(_, p)| p.told.share(net.now, 0..20).unwrap_or(0.0))
             .collect()
     };
     let near = |parts: &[f64], part: f64| parts.iter().all(|own| (own - part).abs() < 1e-9);
@@ -517,7 +517,7 @@
     };
     prop_assert!(net.settled(), "{:#?}", seen());
     for (who, process) in net.up() {
-        let part = process.told.part(net.now, 0..size as u32).unwrap_or(0.0);
+        let part = process.told.share(net.now, 0..size as u32).unwrap_or(0.0);
         prop_assert!(
             (part - 1.0 / size as f64).abs() < 1e-9,
             "{} has {}",
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: what is read, what is written, and plain words on bad input.
 
-use mossrill::interface::*;
+use mossrill::decision::*;
 use mossrill::simulator::{parse, write, Line, Lookup, Names};
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -27,10 +27,14 @@
         panic!("not a start")
     };
     assert_eq!(
-        (settings.me, settings.plans[0].rate, settings.plans[0].open),
+        (
+            settings.limiter,
+            settings.plans[0].rate,
+            settings.plans[0].max_concurrent
+        ),
         (1, 2.5, 0)
     );
-    assert!(settings.counter && !settings.limits.second_copies);
+    assert!(settings.counter && !settings.limits.hedging);
 }
 
 #[test]
@@ -39,25 +43,28 @@
     let Ok(Line::Event(3, Event::Request(r))) = parse(line, &one()) else {
         panic!("not a request")
     };
-    assert_eq!((r.budget, r.units, r.spread, r.first), (240_000, 2.0, 3, 1));
+    assert_eq!(
+        (r.timeout, r.units, r.limiter_count, r.first_limiter),
+        (240_000, 2.0, 3, 1)
+    );
     let line = r#"["resolved",3,"rq",null,86,18500,"b",303,1,false,null]"#;
-    let Ok(Line::Event(3, Event::Outcome(e))) = parse(line, &one()) else {
+    let Ok(Line::Event(3, Event::AttemptEnded(e))) = parse(line, &one()) else {
         panic!("not an outcome")
     };
     assert_eq!(
-        (e.outcome, e.attempt, e.last, e.took),
+        (e.outcome, e.attempt, e.is_final, e.latency),
         (Outcome::Timeout, 1, false, 18_500)
     );
     let send = Action::Send {
         id: "rq".into(),
         server: "b".into(),
         timeout: 80_000,
-        by: Micros::MAX,
+        write_before: Micros::MAX,
     };
     assert_eq!(write(3, &send), r#"["submitTo",3,"rq",80000,"b"]"#);
-    let count = Action::Count {
-        name: 9,
-        by: 4.0,
+    let count = Action::AddToCounter {
+        key: 9,
+        amount: 4.0,
         ttl: 3_000_000,
     };
     assert_eq!(write(3, &count), r#"["addAndGet",3,9,4.0,3000000]"#);
