--- a/benches/capacity/page/events.rs
+++ b/benches/capacity/page/events.rs
@@ -114,7 +114,7 @@
             &[&list],
         )
         .within(IN_FORCE)
-        .by("random waits (`src/net/node_list.rs`)"),
+        .by("random waits (`src/discovery/mod.rs`)"),
         loading_memory(
             "start: all that is allocated while the list is read",
             &list_memory,
--- a/benches/capacity/shared_counter.rs
+++ b/benches/capacity/shared_counter.rs
@@ -7,7 +7,7 @@
 use super::traffic::Traffic;
 use super::world::SECOND;
 use mossrill::decision::Micros;
-use mossrill::decision::{count_name, window};
+use mossrill::decision::{counter_key, counter_window};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
@@ -52,9 +52,9 @@
 
     /// Makes the names known under which a tenant may be counted now and soon.
     pub fn expect(&mut self, now: Micros, tenant: usize) {
-        let length = window(&self.traffic.plans[self.traffic.tenants[tenant].plan]);
+        let length = counter_window(&self.traffic.plans[self.traffic.tenants[tenant].plan]);
         for number in [now / length, now / length + 1] {
-            let name = count_name(&self.traffic.tenants[tenant].customer, number);
+            let name = counter_key(&self.traffic.tenants[tenant].customer, number);
             let window_start = number * length;
             let fresh = Count {
                 tenant,
--- a/benches/quotas/fleet.rs
+++ b/benches/quotas/fleet.rs
@@ -4,7 +4,7 @@
 use crate::tables::{Cause, Tables, Way};
 use crate::world::{Account, Beyond, Kind, MEAN_UNITS, SECOND};
 use mossrill::decision::*;
-use mossrill::decision::{count_name, window};
+use mossrill::decision::{counter_key, counter_window};
 use mossrill::Engine;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -518,7 +518,7 @@
         match own.answered {
             _ if own.failed.is_some_and(|at| at >= arrived) => Cause::Unanswered,
             None => Cause::Fresh,
-            Some(_) if own.window != self.now / window(plan) => Cause::Edge,
+            Some(_) if own.window != self.now / counter_window(plan) => Cause::Edge,
             Some(at) if at < arrived && told >= lacks.min(1.0) => Cause::Unasked,
             _ if untold >= lacks.min(1.0) => Cause::Untold,
             _ => Cause::Overcount,
@@ -619,7 +619,8 @@
                 .filter_map(|at| self.known.get(&(at, number)))
                 .map(|known| known.told)
                 .sum();
-            let window = self.now / window(&self.settings.plans[self.accounts[number].plan]);
+            let window =
+                self.now / counter_window(&self.settings.plans[self.accounts[number].plan]);
             let known = self.known.entry((me, number)).or_default();
             match outcome {
                 Outcome::Ok => {
@@ -645,9 +646,9 @@
             let now = self.now + self.gateways[me].2;
             for (number, account) in self.accounts.iter().enumerate() {
                 let customer = AccountId::from(&*format!("{number:016x}"));
-                let turn = now / window(&self.settings.plans[account.plan]);
+                let turn = now / counter_window(&self.settings.plans[account.plan]);
                 self.names.extend(
-                    [turn - 1, turn, turn + 1].map(|turn| (count_name(&customer, turn), number)),
+                    [turn - 1, turn, turn + 1].map(|turn| (counter_key(&customer, turn), number)),
                 );
             }
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -130,7 +130,7 @@
         self.leases = Some(Leases::new(
             self.clock.now(),
             holder,
-            &self.gateway.cfg.plans,
+            &self.gateway.settings.plans,
         ));
         self
     }
--- /dev/null
+++ b/src/decision/dispatch.rs
@@ -0,0 +1,214 @@
+//! Dispatch: which waiting request is sent next, and whether its account's quota allows it.
+
+use super::account::{Account, MARGIN};
+use super::concurrency::TARGET_LATENCY;
+use super::counter_sync::SyncReason;
+use super::outlier::JUDGEMENT_LIFETIME;
+use super::request::OpenRequest;
+use super::settings::{Plan, SECOND};
+use super::{Action, Engine, Micros, RequestId};
+use std::collections::BTreeSet;
+
+/// Units that other limiters may have sent since the last total, in multiples of the account's rate.
+const UNSEEN_RATE: f64 = 4.0;
+/// Requests that have to fit into what surely is left of a bucket for one to be sent without a call.
+const SAFE_REQUESTS: f64 = 2.0;
+
+/// What the quota of its account says to a waiting request.
+enum QuotaDecision {
+    /// It may be sent.
+    Send,
+    /// It waits for units, a slot or a total.
+    Wait,
+    /// There are no units for it.
+    Reject,
+}
+
+impl Engine {
+    /// Sends waiting requests, those with the smallest start tag first, up to the concurrency limit.
+    pub(super) fn dispatch(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let mut blocked = BTreeSet::new();
+        let waiting: Vec<_> = self.queue.iter().cloned().collect();
+        for (tag, id) in waiting {
+            if !self.concurrency.has_capacity(now) {
+                break;
+            }
+            let open = self
+                .requests
+                .get(&id)
+                .filter(|open| !blocked.contains(&open.request.account));
+            let Some(account) = open.map(|open| open.request.account.clone()) else {
+                continue;
+            };
+            match self.check_quota(now, &id) {
+                QuotaDecision::Wait => _ = blocked.insert(account),
+                QuotaDecision::Reject => self.reject(&id, actions),
+                QuotaDecision::Send => {
+                    let Some(server) = self.choose_server(now, &id) else {
+                        continue;
+                    };
+                    self.queue.advance(tag);
+                    self.send(now, &id, server, actions);
+                }
+            }
+        }
+        self.call_counter(now, actions);
+    }
+
+    /// Checks the quota before a request is first sent. Where other limiters may have taken what seems
+    /// left, the request waits for a call of the counter.
+    fn check_quota(&mut self, now: Micros, id: &RequestId) -> QuotaDecision {
+        let Some(open) = self.requests.get(id) else {
+            return QuotaDecision::Wait;
+        };
+        let plan = &self.settings.plans[open.request.plan];
+        let since_cut = now.saturating_sub(self.concurrency.last_cut) as f64;
+        let in_flight = self.concurrency.in_flight as f64;
+        let is_calm = since_cut >= JUDGEMENT_LIFETIME && in_flight < self.servers.ready_count();
+        let mean_latency = self.mean_latency().max(1.0);
+        let Some(account) = self.accounts.get_mut(&open.request.account) else {
+            return QuotaDecision::Wait;
+        };
+        let pays_beyond_quota = plan.over_quota_weight > plan.over_quota_cost;
+        if (pays_beyond_quota && is_calm) || plan.is_unlimited() {
+            return QuotaDecision::Send;
+        }
+        let usable = self.counter.is_usable();
+        let shares_counter = usable && account.limiter_count > 1;
+        let callable = self.counter.is_callable(now);
+        let is_shared = shares_counter && callable && self.counter.is_affordable();
+        let claims_slots =
+            plan.limits_concurrency_only() && is_shared && !std::mem::take(&mut account.skip_call);
+        if !claims_slots && is_at_concurrency_limit(account, plan) {
+            return QuotaDecision::Wait;
+        }
+        if self.settings.quota_leases {
+            return if open.leased {
+                QuotaDecision::Send
+            } else {
+                QuotaDecision::Wait
+            };
+        }
+        let age = now.saturating_sub(account.synced_at) as f64;
+        account.refill(now, plan, usable);
+        // Slots turn over once a mean latency.
+        let freed = f64::from(plan.max_concurrent) * age / mean_latency;
+        if claims_slots && account.granted < 1.0 && account.tokens.max(0.0) + freed < 1.0 {
+            return QuotaDecision::Wait;
+        }
+        let claims_units = plan.rate > 0.0 && account.is_sparse(plan);
+        if self.counter.is_enabled() && (claims_slots || claims_units) {
+            return self.check_claim(id, callable);
+        }
+        self.check_bucket(id, usable, age)
+    }
+
+    /// Checks the copy of the token bucket of an account whose share is more than a unit.
+    fn check_bucket(&mut self, id: &RequestId, counter_usable: bool, age: f64) -> QuotaDecision {
+        let Some(open) = self.requests.get(id) else {
+            return QuotaDecision::Wait;
+        };
+        let request = &open.request;
+        let plan = &self.settings.plans[request.plan];
+        let Some(account) = self.accounts.get_mut(&request.account) else {
+            return QuotaDecision::Wait;
+        };
+        if plan.rate <= 0.0 || account.granted >= request.units {
+            return QuotaDecision::Send;
+        }
+        let is_new = account.total_at.is_none();
+        let is_alone = !counter_usable || account.limiter_count < 2;
+        let margin = if is_new || is_alone { 0.0 } else { MARGIN };
+        let has_enough = account.tokens >= request.units + margin;
+        // Without the counter the copy holds the own share alone, which needs no total.
+        if is_alone || (has_enough && (is_new || std::mem::take(&mut account.skip_call))) {
+            return if has_enough {
+                QuotaDecision::Send
+            } else {
+                QuotaDecision::Wait
+            };
+        }
+        let others = 1.0 - 1.0 / f64::from(account.limiter_count);
+        let unseen = UNSEEN_RATE * plan.rate * others * age / SECOND;
+        if !is_new && account.tokens - unseen >= SAFE_REQUESTS * request.units {
+            return QuotaDecision::Send;
+        }
+        // Near the end of a bucket all limiters see the same units come: with a total alone each of
+        // them would send. Whether the bucket holds the first request of a new account, the total tells.
+        if (is_new || has_enough) && account.call.is_none() {
+            account.needs_total = true;
+            account.to_claim = (request.units - account.granted - account.unconfirmed).max(0.0);
+            let synced_at = account.synced_at;
+            self.counter
+                .schedule(SyncReason::RequestWaits, synced_at, request.account.clone());
+        }
+        QuotaDecision::Wait
+    }
+
+    /// Checks a request whose units are claimed on the counter, in the call that reads the total: where
+    /// a share of the bucket is under one unit, what a limiter knows of it is always outdated. Where a
+    /// call costs more than it is worth, the request goes by how claims of its plan have fared.
+    fn check_claim(&mut self, id: &RequestId, callable: bool) -> QuotaDecision {
+        let Some(open) = self.requests.get(id) else {
+            return QuotaDecision::Wait;
+        };
+        let plan_index = open.request.plan;
+        let plan = &self.settings.plans[plan_index];
+        let Some(account) = self.accounts.get_mut(&open.request.account) else {
+            return QuotaDecision::Wait;
+        };
+        if account.granted >= open.charge {
+            return QuotaDecision::Send;
+        }
+        if account.call.is_some() {
+            return QuotaDecision::Wait;
+        }
+        let claims_slots = plan.limits_concurrency_only();
+        if !claims_slots && account.total_at.is_some() && account.tokens < open.charge {
+            return QuotaDecision::Reject;
+        }
+        let odds = self.counter.odds(plan_index, account.claim_history);
+        let beyond = plan.over_quota_weight - plan.over_quota_cost;
+        let skips_call = std::mem::take(&mut account.skip_call) || !callable;
+        let value = claim_value(open.weight, odds, beyond);
+        if claims_slots || (!skips_call && 2.0 * self.random.f64() * value > self.counter.price) {
+            self.counter.count_claimed(plan_index);
+            account.needs_total = true;
+            let synced_at = account.synced_at;
+            self.counter.schedule(
+                SyncReason::RequestWaits,
+                synced_at,
+                open.request.account.clone(),
+            );
+            return QuotaDecision::Wait;
+        }
+        let load = (self.concurrency.relative_latency / TARGET_LATENCY).min(1.0);
+        let least_value = load.powi(2) * self.counter.mean_weight / 2.0;
+        if (odds + (1.0 - odds) * beyond) * open.weight > least_value {
+            self.counter.count_unclaimed(plan_index);
+            account.granted += open.charge;
+            return QuotaDecision::Send;
+        }
+        QuotaDecision::Reject
+    }
+
+    /// Whether a request that waits for its account's quota may be answered in time all the same.
+    pub(super) fn has_units(&self, open: &OpenRequest) -> bool {
+        let account = self.accounts.get(&open.request.account);
+        let tokens = account.map_or(0.0, |account| account.tokens);
+        let plan = &self.settings.plans[open.request.plan];
+        open.leased || plan.rate <= 0.0 || tokens >= open.request.units
+    }
+}
+
+/// Whether as many attempts are in flight as the own share of the concurrency limit allows.
+fn is_at_concurrency_limit(account: &Account, plan: &Plan) -> bool {
+    let own_share = ((f64::from(plan.max_concurrent) / account.share_divisor) as u32).max(1);
+    plan.max_concurrent > 0 && account.in_flight >= own_share
+}
+
+/// What a claim is worth: it saves an attempt beyond the quota, or finds units. A claim that is not
+/// granted costs a second call.
+fn claim_value(weight: f64, odds: f64, beyond: f64) -> f64 {
+    odds.min((1.0 - odds) * (1.0 - beyond)) * weight / (2.0 - odds)
+}
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -2,22 +2,49 @@
 //!
 //! An [`Engine`] is a state machine: its host notifies it of [`Event`]s with the time, and carries out
 //! the [`Action`]s that come back. The same events give the same actions.
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | `admission` | which requests are queued |
+//! | `fair_queue` | the order in which they are sent |
+//! | `dispatch`, `account` | whether an account's quota allows one |
+//! | `counter_sync`, `counter_calls` | which accounts need a call of the shared counter |
+//! | `concurrency` | how many attempts are in flight |
+//! | `load_balancing`, `slow_start`, `outlier` | which server gets an attempt |
+//! | `sending` | whether an attempt keeps all rules |
+//! | `completion`, `retry_budget` | retries and final answers |
 
+pub mod account;
 mod action;
+mod admission;
+mod completion;
+pub mod concurrency;
+mod counter_calls;
+pub mod counter_sync;
+mod dispatch;
+mod endpoints;
 mod engine;
 mod event;
+pub mod fair_queue;
 mod identifiers;
+pub mod latency;
+mod load_balancing;
+pub mod outlier;
 mod quota_shares;
+mod request;
+pub mod retry_budget;
+mod sending;
+mod server;
 mod settings;
-mod state;
+pub mod slow_start;
+mod timers;
 
+pub use account::{counter_key, counter_window};
 pub use action::Action;
-pub use engine::{count_name, window, Engine};
+pub use engine::Engine;
 pub use event::{AttemptResult, Endpoint, Event, Outcome, Readiness, Request, UpdateScope};
 pub use identifiers::{AccountId, Micros, RequestId, ServerId};
 pub use quota_shares::QuotaShares;
 pub use settings::{
     Idempotency, KeyScope, Limits, LoadField, Plan, Prices, RequestClass, Safety, Settings,
 };
-
-pub(crate) use state::{Customer, Held};
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -2,6 +2,13 @@
 
 use super::identifiers::Micros;
 
+/// Length of the second in which rates are quoted, in microseconds.
+pub(crate) const SECOND: f64 = 1e6;
+/// Time between two looks at waiting requests, as a fraction of the shortest latency objective.
+const TICKS_PER_OBJECTIVE: Micros = 64;
+/// The shortest time between two looks at waiting requests.
+const SHORTEST_TICK: Micros = 1_000;
+
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
@@ -70,6 +77,11 @@
     pub fn limits_concurrency_only(&self) -> bool {
         self.rate <= 0.0 && self.max_concurrent > 0
     }
+
+    /// Whether there is no quota at all.
+    pub(crate) fn is_unlimited(&self) -> bool {
+        self.rate <= 0.0 && self.max_concurrent == 0
+    }
 }
 
 /// What the deployment allows.
@@ -166,3 +178,61 @@
     /// Whether the units of a request are leased before it is sent. The counter is not called then.
     pub quota_leases: bool,
 }
+
+impl Settings {
+    /// The shortest latency objective of all classes in microseconds.
+    pub(super) fn shortest_objective(&self) -> f64 {
+        self.classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or(0) as f64
+    }
+
+    /// Time between two looks at waiting requests: a small part of the shortest latency objective.
+    pub(super) fn tick_interval(&self) -> Micros {
+        let part = self.shortest_objective() as Micros / TICKS_PER_OBJECTIVE;
+        part.max(self.tick).max(SHORTEST_TICK)
+    }
+
+    /// The longest idempotency window of all classes.
+    pub(super) fn longest_idempotency_window(&self) -> Micros {
+        self.classes
+            .iter()
+            .map(|class| class.idempotency_window)
+            .max()
+            .unwrap_or(0)
+    }
+
+    /// Weight of a plan in the fair queue: the rate of its quota, or its concurrency limit used once a latency objective.
+    pub(super) fn fair_weight(&self, plan: usize) -> f64 {
+        let plan = &self.plans[plan];
+        if plan.rate > 0.0 {
+            return plan.rate;
+        }
+        let objective = self
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .max()
+            .unwrap_or(0)
+            .max(1) as f64;
+        (f64::from(plan.max_concurrent) * SECOND / objective).max(1e-3)
+    }
+
+    /// Mean priority weight of the classes.
+    pub(super) fn mean_class_weight(&self) -> f64 {
+        self.classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .sum::<f64>()
+            / self.classes.len().max(1) as f64
+    }
+
+    /// Gives plans with a concurrency limit alone a token bucket of that many slots.
+    pub(super) fn fill_slot_buckets(&mut self) {
+        for plan in self.plans.iter_mut().filter(|plan| plan.rate <= 0.0) {
+            plan.burst = f64::from(plan.max_concurrent);
+        }
+    }
+}
--- a/src/handover/knowledge.rs
+++ b/src/handover/knowledge.rs
@@ -1,212 +1,263 @@
-//! What a gateway knows, given to its successor and taken from its predecessor. Copies records and decides nothing.
+//! What a decision engine has learned, given to a successor process and taken from a predecessor.
+//!
+//! Copies records between the engine and the messages of a hand-over, and decides nothing.
 
-use super::message::{Account, Fails, FinalReport, LearnedState, Node, UnreportedUnits};
-use crate::decision::Engine;
-use crate::decision::{AccountId, Micros, RequestId, ServerId};
-use crate::decision::{Customer, Held};
-use std::collections::HashMap;
+use super::message::{
+    Account as AccountRecord, Fails, FinalReport, LearnedState, Node, UnreportedUnits,
+};
+use crate::decision::account::Account;
+use crate::decision::counter_sync::SyncReason;
+use crate::decision::outlier::FailureRate;
+use crate::decision::slow_start::SlowStart;
+use crate::decision::{AccountId, Engine, Micros, ServerId};
+use std::collections::{BTreeMap, HashMap};
 
 impl Engine {
-    /// Gives away what it knows. Units not yet told go along and are told by the successor alone; what the requests
-    /// waiting here may take of a store stays here.
+    /// Gives away what was learned.
+    ///
+    /// Units that the counter was not told of go along and are reported by the successor alone. The
+    /// units that waiting requests may take from a token bucket stay here.
     pub fn learned_state(&mut self) -> LearnedState {
-        let mut state = LearnedState {
-            paces: self.paces.iter().map(|p| p.mean).collect(),
-            fails: self.paces.iter().map(|p| p.fail).collect(),
-            virtual_time: self.virtual_time,
-            depth: self.depth,
-            depth_cut: self.depth_cut,
-            send_rate: self.send_rate,
-            price: self.price,
-            calls: self.calls,
-            mean_worth: self.mean_worth,
-            ..LearnedState::default()
+        LearnedState {
+            accounts: self.give_accounts(),
+            nodes: self.server_records(),
+            bans: Vec::new(),
+            paces: self.latencies.iter().map(|class| class.mean).collect(),
+            fails: self
+                .latencies
+                .iter()
+                .map(|class| class.failure_rate)
+                .collect(),
+            virtual_time: self.queue.virtual_time,
+            depth: self.concurrency.limit,
+            depth_cut: self.concurrency.last_cut,
+            send_rate: self.servers.send_rate,
+            price: self.counter.price,
+            calls: self.counter.max_calls,
+            mean_worth: self.counter.mean_weight,
+        }
+    }
+
+    fn give_accounts(&mut self) -> Vec<AccountRecord> {
+        let requests = &self.requests;
+        let waiting_units = |account: &Account| -> f64 {
+            let open = account.waiting.iter().filter_map(|id| requests.get(id));
+            open.map(|open| open.request.units).sum()
         };
-        for (id, customer) in &mut self.customers {
-            let kept = waiting(customer, &self.held).min(customer.level.max(0.0));
-            // A call that is out has its end here; what it tells stands in the count all the same.
-            let out = customer
+        let mut records = Vec::new();
+        for (id, account) in &mut self.accounts {
+            let kept = waiting_units(account).min(account.tokens.max(0.0));
+            // The counter has the units of a call in flight, though its reply won't be seen.
+            let in_call = account
                 .call
                 .as_ref()
-                .map_or(0.0, |call| call.by + call.claim);
-            state.accounts.push(Account {
+                .map_or(0.0, |call| call.reported + call.claimed);
+            records.push(AccountRecord {
                 id: id.0.to_string(),
-                plan: customer.plan as u32,
-                spread: customer.spread,
-                finish: customer.finish,
-                level: customer.level - kept,
-                filled: customer.filled,
-                pending: std::mem::take(&mut customer.pending),
-                window: customer.window,
-                told: customer.told + out,
-                seen: customer.seen,
-                answered: customer.answered.unwrap_or(0),
-                last_seen: customer.last_seen,
-                open: customer.open,
+                plan: account.plan as u32,
+                spread: account.limiter_count,
+                finish: account.finish_tag,
+                level: account.tokens - kept,
+                filled: account.refilled_at,
+                pending: std::mem::take(&mut account.unreported),
+                window: account.window,
+                told: account.reported + in_call,
+                seen: account.seen_elsewhere,
+                answered: account.total_at.unwrap_or(0),
+                last_seen: account.last_request_at,
+                open: account.in_flight,
             });
-            customer.level = kept;
+            account.tokens = kept;
         }
-        for (id, server) in &self.servers {
-            let fails = server.fails.iter();
-            let fails = fails.map(|(class, (part, at))| Fails {
+        records
+    }
+
+    fn server_records(&self) -> Vec<Node> {
+        let failures = |failures: &BTreeMap<usize, FailureRate>| {
+            let record = |(class, failure): (&usize, &FailureRate)| Fails {
                 class: *class as u32,
-                part: *part,
-                at: *at,
-            });
-            state.nodes.push(Node {
+                part: failure.rate,
+                at: failure.updated_at,
+            };
+            failures.iter().map(record).collect()
+        };
+        let servers = self.servers.servers.iter();
+        servers
+            .map(|(id, server)| Node {
                 id: id.0.to_string(),
-                started: server.started,
-                ratio: server.ratio,
-                judged: server.judged,
-                fails: fails.collect(),
-            });
-        }
-        state
+                started: server.started_at,
+                ratio: server.health.relative_latency,
+                judged: server.health.judged_at,
+                fails: failures(&server.health.failures),
+            })
+            .collect()
     }
 
-    /// The successor never served: what it was given goes on here.
+    /// Takes back what was given to a successor that never served.
     pub fn reclaim_state(&mut self, state: LearnedState) {
-        for account in state.accounts {
-            let id = AccountId::from(&*account.id);
-            if let Some(customer) = self.customers.get_mut(&id) {
-                let burst = self.cfg.plans[customer.plan].burst;
-                customer.level = (customer.level + account.level).min(burst);
-                customer.pending += account.pending;
-                self.due.insert((true, customer.checked, id));
+        for record in state.accounts {
+            let id = AccountId::from(&*record.id);
+            if let Some(account) = self.accounts.get_mut(&id) {
+                let burst = self.settings.plans[account.plan].burst;
+                account.tokens = (account.tokens + record.level).min(burst);
+                account.unreported += record.pending;
+                let synced_at = account.synced_at;
+                self.counter
+                    .schedule(SyncReason::UnitsToReport, synced_at, id);
             }
         }
     }
 
-    /// Takes what a predecessor knew, and knows of its attempts that are still out; these come back as the accounts
-    /// that they count against.
+    /// Takes what a predecessor has learned. Returns the predecessor's attempts in flight by account.
     pub fn adopt_state(&mut self, now: Micros, state: LearnedState) -> HashMap<AccountId, u32> {
-        let sound = |v: f64| v.is_finite() && v >= 0.0;
-        for (pace, (mean, fail)) in self
-            .paces
-            .iter_mut()
-            .zip(state.paces.iter().zip(&state.fails))
-        {
-            if sound(*mean) && *mean > 0.0 && sound(*fail) {
-                (pace.mean, pace.fail) = (*mean, fail.min(1.0));
+        self.adopt_averages(now, &state);
+        for node in state.nodes {
+            self.adopt_server(now, node);
+        }
+        let mut in_flight = HashMap::new();
+        for record in state.accounts {
+            let id = AccountId::from(&*record.id);
+            let attempts = record.open;
+            if self.adopt_account(now, &id, record) && attempts > 0 {
+                in_flight.insert(id, attempts);
             }
         }
-        for (own, was) in [
-            (&mut self.virtual_time, state.virtual_time),
-            (&mut self.send_rate, state.send_rate),
-            (&mut self.price, state.price),
-            (&mut self.mean_worth, state.mean_worth),
-        ] {
-            *own = if sound(was) { was } else { *own };
+        in_flight
+    }
+
+    fn adopt_averages(&mut self, now: Micros, state: &LearnedState) {
+        let records = state.paces.iter().zip(&state.fails);
+        for (class, (mean, failure_rate)) in self.latencies.iter_mut().zip(records) {
+            if is_sound(*mean) && *mean > 0.0 && is_sound(*failure_rate) {
+                class.mean = *mean;
+                class.failure_rate = failure_rate.min(1.0);
+            }
         }
-        if sound(state.depth) && state.depth > 0.0 {
-            (self.depth, self.depth_cut) = (state.depth, state.depth_cut.min(now));
+        adopt(&mut self.queue.virtual_time, state.virtual_time);
+        adopt(&mut self.servers.send_rate, state.send_rate);
+        adopt(&mut self.counter.price, state.price);
+        adopt(&mut self.counter.mean_weight, state.mean_worth);
+        if is_sound(state.depth) && state.depth > 0.0 {
+            self.concurrency.limit = state.depth;
+            self.concurrency.last_cut = state.depth_cut.min(now);
         }
-        self.calls = if sound(state.calls) {
-            state.calls.max(1.0)
-        } else {
-            self.calls
+        if is_sound(state.calls) {
+            self.counter.max_calls = state.calls.max(1.0);
+        }
+    }
+
+    fn adopt_server(&mut self, now: Micros, node: Node) {
+        let Some(server) = self.servers.servers.get_mut(&ServerId::from(&*node.id)) else {
+            return;
         };
-        for node in state.nodes {
-            let Some(server) = self.servers.get_mut(&ServerId::from(&*node.id)) else {
-                continue;
-            };
-            // Of what a cold node may be sent, the predecessor has given out what there was.
-            (server.cold_store, server.cold_filled) = (0.0, now);
-            if server.started == node.started && sound(node.ratio) && node.ratio > 0.0 {
-                (server.ratio, server.judged) = (node.ratio, node.judged.min(now));
-                let fails = node.fails.into_iter().filter(|f| sound(f.part));
-                server.fails = fails
-                    .map(|f| (f.class as usize, (f.part.min(1.0), f.at.min(now))))
-                    .collect();
-            }
+        // The predecessor has sent what a server in slow start may be sent.
+        server.slow_start = SlowStart::new(now, 0.0);
+        if server.started_at != node.started || !is_sound(node.ratio) || node.ratio <= 0.0 {
+            return;
         }
-        let mut out = HashMap::new();
-        for account in state.accounts {
-            let Some(plan) = self.cfg.plans.get(account.plan as usize) else {
-                continue;
-            };
-            let figures = [
-                account.finish,
-                account.level,
-                account.pending,
-                account.told,
-                account.seen,
-            ];
-            if !figures.iter().all(|figure| figure.is_finite()) {
-                continue;
-            }
-            let id = AccountId::from(&*account.id);
-            if account.open > 0 {
-                out.insert(id.clone(), account.open);
-            }
-            let customer = Customer {
-                plan: account.plan as usize,
-                spread: account.spread.clamp(1, self.cfg.limiters.max(1)),
-                parts: f64::from(account.spread.clamp(1, self.cfg.limiters.max(1))),
-                finish: account.finish,
-                level: account.level.min(plan.burst),
-                filled: account.filled.min(now),
-                pending: account.pending,
-                window: account.window,
-                told: account.told,
-                seen: account.seen,
-                checked: account.answered.min(now),
-                answered: Some(account.answered.min(now)).filter(|at| *at > 0),
-                last_seen: account.last_seen.min(now),
-                ceiling_filled: now,
-                open: account.open,
-                ..Customer::default()
+        server.health.relative_latency = node.ratio;
+        server.health.judged_at = node.judged.min(now);
+        let sound = node
+            .fails
+            .into_iter()
+            .filter(|record| is_sound(record.part));
+        let failure = |record: Fails| {
+            let rate = FailureRate {
+                rate: record.part.min(1.0),
+                updated_at: record.at.min(now),
             };
-            if customer.pending != 0.0 {
-                self.due.insert((true, customer.checked, id.clone()));
-            }
-            self.customers.insert(id, customer);
+            (record.class as usize, rate)
+        };
+        server.health.failures = sound.map(failure).collect();
+    }
+
+    /// Returns false if the record can't be used.
+    fn adopt_account(&mut self, now: Micros, id: &AccountId, record: AccountRecord) -> bool {
+        let Some(plan) = self.settings.plans.get(record.plan as usize) else {
+            return false;
+        };
+        let figures = [
+            record.finish,
+            record.level,
+            record.pending,
+            record.told,
+            record.seen,
+        ];
+        if !figures.iter().all(|figure| figure.is_finite()) {
+            return false;
         }
-        out
+        let limiter_count = record.spread.clamp(1, self.settings.limiters.max(1));
+        let account = Account {
+            plan: record.plan as usize,
+            limiter_count,
+            share_divisor: f64::from(limiter_count),
+            finish_tag: record.finish,
+            tokens: record.level.min(plan.burst),
+            refilled_at: record.filled.min(now),
+            unreported: record.pending,
+            window: record.window,
+            reported: record.told,
+            seen_elsewhere: record.seen,
+            synced_at: record.answered.min(now),
+            total_at: Some(record.answered.min(now)).filter(|at| *at > 0),
+            last_request_at: record.last_seen.min(now),
+            ceiling_refilled_at: now,
+            in_flight: record.open,
+            ..Account::default()
+        };
+        if account.unreported != 0.0 {
+            self.counter
+                .schedule(SyncReason::UnitsToReport, account.synced_at, id.clone());
+        }
+        self.accounts.insert(id.clone(), account);
+        true
     }
 
     /// An attempt of a predecessor has ended.
     pub fn ended_before(&mut self, id: &AccountId) {
-        if let Some(customer) = self.customers.get_mut(id) {
-            customer.open = customer.open.saturating_sub(1);
+        if let Some(account) = self.accounts.get_mut(id) {
+            account.in_flight = account.in_flight.saturating_sub(1);
         }
     }
 
-    /// What a gateway that ends has sent on since it gave away what it knew, and what it has claimed in vain.
+    /// Units that the counter is still to be told of as this process ends: sent since
+    /// [`Self::learned_state`], less what was claimed and not used.
     pub fn unreported_units(&mut self) -> FinalReport {
-        let units = |c: &Customer| c.pending - c.granted;
-        let left = self.customers.iter().map(|(id, c)| UnreportedUnits {
+        let entries = self.accounts.iter().map(|(id, account)| UnreportedUnits {
             id: id.0.to_string(),
-            units: units(c),
+            units: account.unreported - account.granted,
         });
         FinalReport {
-            unreported: left.filter(|entry| entry.units != 0.0).collect(),
+            unreported: entries.filter(|entry| entry.units != 0.0).collect(),
         }
     }
 
-    /// Units that a predecessor sent on at the end, told from here.
+    /// Takes the units that a predecessor reported at its end.
     pub fn take_unreported(&mut self, report: FinalReport) {
         for entry in report
             .unreported
             .into_iter()
-            .filter(|u| u.units.is_finite())
+            .filter(|entry| entry.units.is_finite())
         {
             let id = AccountId::from(&*entry.id);
-            if let Some(customer) = self.customers.get_mut(&id) {
-                // The store lost them when they were sent on; what was claimed in vain is no gain to this copy.
-                customer.level -= entry.units.max(0.0);
-                customer.pending += entry.units;
-                self.due.insert((true, customer.checked, id));
+            if let Some(account) = self.accounts.get_mut(&id) {
+                // What was claimed and not used is no gain to this copy of the token bucket.
+                account.tokens -= entry.units.max(0.0);
+                account.unreported += entry.units;
+                let synced_at = account.synced_at;
+                self.counter
+                    .schedule(SyncReason::UnitsToReport, synced_at, id);
             }
         }
     }
 }
 
-fn waiting(customer: &Customer, held: &std::collections::BTreeMap<RequestId, Held>) -> f64 {
-    customer
-        .waiting
-        .iter()
-        .filter_map(|id| held.get(id))
-        .map(|h| h.request.units)
-        .sum()
+fn is_sound(figure: f64) -> bool {
+    figure.is_finite() && figure >= 0.0
+}
+
+fn adopt(own: &mut f64, predecessor: f64) {
+    if is_sound(predecessor) {
+        *own = predecessor;
+    }
 }
--- /dev/null
+++ b/tests/decision/slow_start.rs
@@ -0,0 +1,53 @@
+//! Slow start.
+
+use mossrill::decision::slow_start::{capacity, SlowStart};
+use mossrill::decision::Safety;
+
+fn safety() -> Safety {
+    Safety {
+        initial_capacity: 0.2,
+        slow_start: 10_000_000,
+        overload_multiple: 3.0,
+        ..Safety::default()
+    }
+}
+
+#[test]
+fn capacity_rises_evenly_until_the_server_is_warm() {
+    let started_at = 1_000_000;
+    assert_eq!(capacity(started_at, started_at, &safety()), Some(0.2));
+    let half = capacity(started_at, started_at + 5_000_000, &safety()).expect("in slow start");
+    assert!((half - 0.6).abs() < 1e-9, "{half}");
+    assert_eq!(
+        capacity(started_at, started_at + 10_000_000, &safety()),
+        None
+    );
+    assert_eq!(capacity(0, 5, &safety()), None, "started long ago");
+}
+
+#[test]
+fn sends_stay_under_the_multiple_that_overloads_a_server() {
+    let warm_load = 40.0;
+    let mut bucket = SlowStart::new(0, 0.0);
+    let mut sends = 0;
+    for millisecond in 0..1_000 {
+        let now = millisecond * 1_000;
+        let tokens = bucket.tokens_at(now, Some(0.2), warm_load, &safety());
+        if tokens >= 1.0 {
+            bucket.take(now, tokens);
+            sends += 1;
+        }
+    }
+    let overload = warm_load * 0.2 * safety().overload_multiple;
+    assert!(sends > 0, "nothing is sent to a cold server");
+    assert!(
+        f64::from(sends) < overload,
+        "{sends} sends in a second, {overload} overload it"
+    );
+}
+
+#[test]
+fn a_warm_server_may_always_be_sent_to() {
+    let bucket = SlowStart::new(0, 0.0);
+    assert_eq!(bucket.tokens_at(0, None, 40.0, &safety()), 1.0);
+}
