--- /dev/null
+++ b/src/client/event.rs
@@ -0,0 +1,37 @@
+//! Events that the client listener reports to the limiter.
+
+use super::protocol::{ClientProtocol, ReplySlot, ValueOf};
+use crate::core::IncomingRequest;
+use crate::upstream::UpstreamProtocol;
+use std::any::Any;
+
+/// A request of a client, with the slot that takes its reply.
+pub type ClientRequest<P> = IncomingRequest<
+    ReplySlot<ValueOf<P>>,
+    <<P as ClientProtocol>::Upstream as UpstreamProtocol>::Call,
+>;
+
+/// An event of a client connection.
+pub enum ClientEvent<P: ClientProtocol> {
+    /// A request was received whole.
+    Request(ClientRequest<P>),
+    /// The client of the requests with these numbers has disconnected.
+    Disconnected(Vec<u64>),
+}
+
+/// An event that was not delivered, as the limiter has ended. Dropping it answers its request as failed.
+pub struct Undelivered {
+    _event: Box<dyn Any>,
+}
+
+impl Undelivered {
+    /// Holds an undelivered event.
+    pub fn new(event: impl Any) -> Self {
+        Self {
+            _event: Box::new(event),
+        }
+    }
+}
+
+/// Receives the events of client connections, on the thread where each occurs. It must not block.
+pub type ClientEventSink<P> = Box<dyn Fn(ClientEvent<P>) -> Result<(), Undelivered> + Send + Sync>;
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -9,6 +9,7 @@
 
 mod accept;
 mod connection;
+mod event;
 mod hand_over;
 pub mod interruptible;
 mod protocol;
@@ -17,15 +18,14 @@
 mod watchdog;
 mod writer;
 
+pub use event::{ClientEvent, ClientEventSink, ClientRequest, Undelivered};
 pub use hand_over::ConnectionHandOver;
 pub use protocol::{ClientProtocol, CloseReason, Reply, ReplySlot};
 pub use session::Session;
 
 use crate::client::interruptible::ReadInterrupt;
-use crate::core::Input;
 use crate::log_throttle::LogThrottle;
 use crate::metrics::Metrics;
-use crate::process::Queue;
 use crate::threads::{lock, spawn};
 use connection::ClientConnection;
 use slog::Logger;
@@ -47,7 +47,7 @@
     /// No connection is accepted.
     accept_paused: Mutex<bool>,
     accept_resumed: Condvar,
-    core: Queue<P::Upstream>,
+    events: ClientEventSink<P>,
     figures: Arc<Metrics>,
     ready: AtomicBool,
     closing: AtomicBool,
@@ -68,7 +68,7 @@
         protocol: P,
         most: usize,
         read_interrupt: Option<ReadInterrupt>,
-        core: Queue<P::Upstream>,
+        events: ClientEventSink<P>,
         figures: Arc<Metrics>,
         log: Logger,
     ) -> Arc<Self> {
@@ -79,7 +79,7 @@
             hand_over_to: Mutex::default(),
             accept_paused: Mutex::default(),
             accept_resumed: Condvar::new(),
-            core,
+            events,
             figures,
             ready: AtomicBool::new(false),
             closing: AtomicBool::new(false),
@@ -182,7 +182,7 @@
     /// All at once: told one after another, a request that waits would be sent on in the place of the one before it.
     fn report_abandoned(&self, left: Vec<u64>) {
         if !left.is_empty() {
-            _ = self.core.send(Input::ClientDisconnected(left));
+            _ = (self.events)(ClientEvent::Disconnected(left));
         }
     }
 }
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,11 +1,10 @@
 //! What the reader of a connection hands its commands to.
 
 use super::connection::{ClientConnection, PendingReply};
+use super::event::{ClientEvent, ClientRequest};
 use super::protocol::{ClientProtocol, CloseReason, Reply, ReplySlot, ValueOf};
 use super::watchdog::COMMAND_TIMEOUT;
 use super::Front;
-use crate::core::{IncomingRequest, Input};
-use crate::process::Wiring;
 use crate::threads::lock;
 use slog::info;
 use std::io::Write;
@@ -144,11 +143,11 @@
     }
 
     /// Passes a request to the core.
-    pub fn submit(&self, request: IncomingRequest<Wiring<P::Upstream>>) {
+    pub fn submit(&self, request: ClientRequest<P>) {
         // Under one lock: told between the two that its agent has left, the core would not know the request.
         let mut state = lock(&self.connection.state);
         state.open_requests.push(request.number);
-        let unsent = self.front.core.send(Input::Request(request));
+        let unsent = (self.front.events)(ClientEvent::Request(request));
         // A core that has ended takes no request: it comes back, and as it is dropped it answers itself, which takes the
         // same lock.
         drop(state);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -89,7 +89,7 @@
 }
 
 /// A client's request as it reaches the core.
-pub struct IncomingRequest<T: Transport> {
+pub struct IncomingRequest<Client, Call> {
     /// Its number, unique in this process.
     pub number: u64,
     /// Its id, where clients give one; no two open requests may have the same.
@@ -111,9 +111,9 @@
     /// Number of the first of these limiters.
     pub first_limiter: u32,
     /// Takes the final answer.
-    pub client: T::Client,
+    pub client: Client,
     /// What is sent to an upstream server.
-    pub call: T::Call,
+    pub call: Call,
 }
 
 /// What the core's queue carries.
@@ -121,7 +121,7 @@
     /// An update of the endpoint list.
     EndpointUpdate(UpdateScope, Vec<Endpoint>),
     /// A request was received whole.
-    Request(IncomingRequest<T>),
+    Request(IncomingRequest<T::Client, T::Call>),
     /// The client of these requests has disconnected.
     ClientDisconnected(Vec<u64>),
     /// The first bytes of an attempt's value were received, and are forwarded as they come. The
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -29,7 +29,7 @@
 }
 
 impl<E: Transport> Core<E> {
-    pub(super) fn admit(&mut self, now: Micros, incoming: IncomingRequest<E>) {
+    pub(super) fn admit(&mut self, now: Micros, incoming: IncomingRequest<E::Client, E::Call>) {
         let arrived = self.clock.at(incoming.arrived).min(now);
         let deadline = arrived + incoming.timeout.as_micros() as Micros;
         // Bounds the memory that requests hold. Nothing has run yet, so the refusal is harmless.
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -4,7 +4,10 @@
 
 use crate::admin::line::{self, AdminContext};
 use crate::client::interruptible::ReadInterrupt;
-use crate::client::{ClientProtocol, ConnectionHandOver, Front, Reply, ReplySlot};
+use crate::client::{
+    ClientEvent, ClientEventSink, ClientProtocol, ConnectionHandOver, Front, Reply, ReplySlot,
+    Undelivered,
+};
 use crate::config::{Common, EndpointUpdate};
 use crate::core::{
     Answer, AttemptDeadlines, AttemptId, Clock, Command, Core, HandOverCommand, Input, Transport,
@@ -23,7 +26,7 @@
 use crate::quota_lease::config::LimiterLeases;
 use crate::quota_lease::link::{AllocatorLinks, Told};
 use crate::quota_lease::message::Report;
-use crate::upstream::{UpstreamPool, UpstreamProtocol};
+use crate::upstream::{UpstreamEvent, UpstreamEventSink, UpstreamPool, UpstreamProtocol};
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use slog::{info, o, warn, Logger};
 use socket2::{Domain, Socket, Type};
@@ -180,7 +183,7 @@
             common.links,
             for_nodes,
             upstream_protocol,
-            queue.clone(),
+            upstream_events(queue.clone()),
             figures.clone(),
             nodes_log,
         );
@@ -198,7 +201,7 @@
             client_protocol,
             for_agents,
             wake,
-            queue.clone(),
+            client_events::<P>(queue.clone()),
             figures.clone(),
             agents_log,
         );
@@ -367,6 +370,54 @@
     }
 }
 
+/// Puts the events of upstream connections into the core's queue.
+fn upstream_events<S: UpstreamProtocol>(queue: Queue<S>) -> UpstreamEventSink<S::Value> {
+    Arc::new(move |event| _ = queue.send(upstream_input(event)))
+}
+
+fn upstream_input<S: UpstreamProtocol>(event: UpstreamEvent<S::Value>) -> Input<Wiring<S>> {
+    match event {
+        UpstreamEvent::ResponseStarted { attempt, value } => {
+            Input::ResponseStarted { attempt, value }
+        }
+        UpstreamEvent::AttemptEnded {
+            attempt,
+            outcome,
+            load,
+            value,
+        } => Input::AttemptEnded {
+            attempt,
+            outcome,
+            load,
+            value,
+        },
+        UpstreamEvent::HealthChecked {
+            server,
+            outcome,
+            latency,
+            load,
+        } => Input::HealthChecked {
+            server,
+            outcome,
+            latency,
+            load,
+        },
+    }
+}
+
+/// Puts the events of client connections into the core's queue.
+fn client_events<P: ClientProtocol>(queue: Queue<P::Upstream>) -> ClientEventSink<P> {
+    Box::new(move |event| {
+        let input = match event {
+            ClientEvent::Request(request) => Input::Request(request),
+            ClientEvent::Disconnected(numbers) => Input::ClientDisconnected(numbers),
+        };
+        queue
+            .send(input)
+            .map_err(|error| Undelivered::new(error.into_inner()))
+    })
+}
+
 /// A listener that a second process may have beside this one, if operators are to upgrade it.
 fn bind(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     if !shared {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -2,12 +2,15 @@
 //!
 //! Connections that wait hold no thread: hundreds of limiters on one machine would need more than a system gives.
 
+mod event;
+
+pub use event::{UpstreamEvent, UpstreamEventSink};
+
 use crate::config::{EndpointUpdate, Links};
-use crate::core::{AttemptDeadlines, AttemptId, Input};
+use crate::core::{AttemptDeadlines, AttemptId};
 use crate::decision::{Outcome, Readiness, ServerId};
 use crate::log_throttle::LogThrottle;
 use crate::metrics::Metrics;
-use crate::process::Queue;
 use crate::threads::{lock, spawn};
 use slog::{warn, Logger};
 use socket2::SockRef;
@@ -96,7 +99,7 @@
     most: AtomicUsize,
     lines: Arc<AtomicUsize>,
     protocol: S,
-    queue: Queue<S>,
+    events: UpstreamEventSink<S::Value>,
     figures: Arc<Metrics>,
     log: Logger,
     full: LogThrottle,
@@ -191,7 +194,7 @@
         links: Links,
         most: usize,
         protocol: S,
-        queue: Queue<S>,
+        events: UpstreamEventSink<S::Value>,
         figures: Arc<Metrics>,
         log: Logger,
     ) -> Self {
@@ -209,7 +212,7 @@
                 most,
                 lines,
                 protocol,
-                queue,
+                events,
                 figures,
                 log,
                 full,
@@ -279,7 +282,7 @@
             },
         ) {
             lock(&self.shared.book).running.remove(&attempt);
-            _ = self.shared.queue.send(Input::AttemptEnded {
+            (self.shared.events)(UpstreamEvent::AttemptEnded {
                 attempt,
                 outcome,
                 load: Vec::new(),
@@ -329,7 +332,7 @@
     pub fn probe(&self, node: &ServerId) {
         if let Err(outcome) = self.give(node, Job::Probe) {
             let (node, took) = (node.clone(), Duration::ZERO);
-            _ = self.shared.queue.send(Input::HealthChecked {
+            (self.shared.events)(UpstreamEvent::HealthChecked {
                 server: node,
                 outcome,
                 latency: took,
@@ -445,8 +448,8 @@
                 line,
                 client,
             } => {
-                let queue = self.shared.queue.clone();
-                let begins = move |value| _ = queue.send(Input::ResponseStarted { attempt, value });
+                let events = self.shared.events.clone();
+                let begins = move |value| events(UpstreamEvent::ResponseStarted { attempt, value });
                 let Exchange {
                     outcome,
                     load,
@@ -459,7 +462,7 @@
                     let keep = book.running.remove(&attempt).is_some() && keep;
                     self.rest(&mut book, keep);
                 }
-                _ = self.shared.queue.send(Input::AttemptEnded {
+                (self.shared.events)(UpstreamEvent::AttemptEnded {
                     attempt,
                     outcome,
                     load,
@@ -476,7 +479,7 @@
                 } = self.probe();
                 self.rest(&mut lock(&self.shared.book), keep);
                 let (node, took) = (self.id.clone(), began.elapsed());
-                _ = self.shared.queue.send(Input::HealthChecked {
+                (self.shared.events)(UpstreamEvent::HealthChecked {
                     server: node,
                     outcome,
                     latency: took,
