--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -1,246 +1,137 @@
-//! Calls of a counter, written one behind another on a few kept connections.
+//! A client of a quota counter: calls are pipelined on a few kept connections.
 
+mod connection;
 pub mod http;
 pub mod redis;
+mod writer;
 
+use crate::counter::writer::{CallWriter, Command};
 use crate::decision::Outcome;
-use crate::threads::{lock, spawn};
-use crossbeam_channel::{unbounded, Receiver, Sender};
-use slog::{warn, Logger};
-use std::collections::VecDeque;
-use std::io::{self, Write};
-use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
-
-/// Connections; a count keeps to one of them, so its answers come in the order of its calls.
-const LINES: usize = 4;
-/// The counter closes a connection that was idle for about 10 s or less: a call that crosses the close would
-/// be in doubt, so one idle for this long is not used again.
-const IDLE: Duration = Duration::from_secs(3);
-/// An answer that takes longer than this, and than so many times what a call is waited for, holds up all behind it: the
-/// line is given up for a new one.
-const STUCK: Duration = Duration::from_millis(250);
-const STUCK_TIMES: u32 = 5;
-/// A connection is waited for so long, or for as long as a call if that is longer.
-const CONNECT: Duration = Duration::from_millis(50);
-
-/// Takes the end of a call: its number, how it ended, the total.
+use crate::threads::spawn;
+use crossbeam_channel::{unbounded, Sender};
+use slog::Logger;
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Connections to the counter. All calls of one counter name use the same connection, so its replies arrive in the
+/// order of its calls.
+const CONNECTIONS: usize = 4;
+
+/// Receives the end of a call: its number, its outcome, and the total after it (0 unless the outcome is `Ok`).
 pub type Counted = Arc<dyn Fn(u64, Outcome, f64) + Send + Sync>;
 
-/// How calls are worded, and their answers read.
+/// Encodes calls of a counter and decodes its replies.
 pub trait CounterProtocol: Send + Sync + 'static {
-    /// A call as it is written to the counter at this address.
+    /// Encodes a call for the counter at this address.
     fn word(&self, addition: &Addition, to: SocketAddr) -> Vec<u8>;
-    /// Reads answers and hands each to `told`, until that is false or the connection can't go on, as after an answer
-    /// that can't be read: what follows it may belong to no call.
-    fn read(&self, from: &TcpStream, told: &mut dyn FnMut(Outcome, f64) -> bool);
+
+    /// Reads replies and passes the outcome and the total of each to `on_reply`.
+    ///
+    /// Returns when `on_reply` returns false, when the connection ends, or after a reply that can't be decoded: what
+    /// follows such a reply can't be matched to calls.
+    fn read(&self, from: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool);
 }
 
-/// One call to be written.
+/// One call: adds an amount to a counter.
 pub struct Addition {
-    /// Comes back with the total.
+    /// Number of the call, returned with its result.
     pub call: u64,
-    /// The count.
+    /// Name of the counter.
     pub name: u64,
-    /// The amount.
+    /// Amount to add, in units; negative to return units.
     pub by: f64,
-    /// How long a new name lives.
+    /// Lifetime of the counter, if this call creates it.
     pub ttl: Duration,
 }
 
-/// What a line is told to do.
-enum Job {
-    Add(Addition),
-    Move(SocketAddr),
-}
-
-/// The way to a counter.
-#[derive(Clone)]
-pub struct CountLines {
-    lines: Vec<Sender<Job>>,
+/// A decoded reply to one call.
+struct CallReply {
+    outcome: Outcome,
+    /// The total after the addition; 0 unless the outcome is `Ok`.
+    total: f64,
 }
 
-impl CountLines {
-    /// Starts the threads that write calls, each of which is waited for so long.
-    pub fn start(
-        at: SocketAddr,
-        wait: Duration,
-        protocol: impl CounterProtocol,
-        counted: Counted,
-        log: &Logger,
-    ) -> io::Result<Self> {
-        let protocol: Arc<dyn CounterProtocol> = Arc::new(protocol);
-        let line = |_| {
-            let (sender, jobs) = unbounded();
-            let writer = Writer {
-                at,
-                wait,
-                protocol: protocol.clone(),
-                counted: counted.clone(),
-                log: log.clone(),
-                line: None,
-            };
-            spawn("count-write", move || writer.run(&jobs))?;
-            Ok(sender)
-        };
-        Ok(Self {
-            lines: (0..LINES).map(line).collect::<io::Result<_>>()?,
-        })
-    }
-
-    /// Adds to a count. The end of the call is told later, and may be told after the core gave it up.
-    pub fn add(&self, addition: Addition) {
-        // A writer ends with the program alone.
-        _ = self.lines[addition.name as usize % LINES].send(Job::Add(addition));
+impl CallReply {
+    /// The amount was added.
+    fn added(total: f64) -> Self {
+        Self {
+            outcome: Outcome::Ok,
+            total,
+        }
     }
 
-    /// Calls the counter at another address from now on; answers still due from the old one are taken.
-    pub fn move_to(&self, at: SocketAddr) {
-        self.lines
-            .iter()
-            .for_each(|line| _ = line.send(Job::Move(at)));
+    /// The counter is overloaded; nothing was added.
+    fn rejected() -> Self {
+        Self::without_total(Outcome::Rejected)
     }
-}
 
-/// A connection with the calls written on it and not answered yet.
-struct Line {
-    stream: TcpStream,
-    waiting: Mutex<VecDeque<(u64, Instant)>>,
-    /// No further call is written: it ends with the last answer due.
-    left: AtomicBool,
-}
-
-impl Line {
-    /// Good for another call: in use of late, and nothing on it waits too long.
-    fn fit(&self, last: Instant, stuck: Duration) -> bool {
-        let oldest = lock(&self.waiting).front().map(|(_, at)| *at);
-        oldest.map_or(last.elapsed() < IDLE, |at| at.elapsed() < stuck)
+    /// The counter refused the call; nothing was added.
+    fn not_added() -> Self {
+        Self::without_total(Outcome::ConnectFailed)
     }
 
-    fn read(&self, protocol: &dyn CounterProtocol, counted: &Counted) {
-        protocol.read(&self.stream, &mut |outcome, total| {
-            let (call, more) = {
-                let mut waiting = lock(&self.waiting);
-                (
-                    waiting.pop_front(),
-                    !waiting.is_empty() || !self.left.load(Ordering::SeqCst),
-                )
-            };
-            call.map(|(call, _)| counted(call, outcome, total))
-                .is_some()
-                && more
-        });
-        self.close();
-        // Written and never answered: each may have been added.
-        for (call, _) in std::mem::take(&mut *lock(&self.waiting)) {
-            counted(call, Outcome::Timeout, 0.0);
-        }
+    /// The amount may have been added, but the total is unknown.
+    fn in_doubt() -> Self {
+        Self::without_total(Outcome::Timeout)
     }
 
-    /// Takes what is still due and ends.
-    fn leave(&self) {
-        let waiting = lock(&self.waiting);
-        self.left.store(true, Ordering::SeqCst);
-        if waiting.is_empty() {
-            self.close();
+    fn without_total(outcome: Outcome) -> Self {
+        Self {
+            outcome,
+            total: 0.0,
         }
     }
 
-    fn close(&self) {
-        _ = self.stream.shutdown(Shutdown::Both);
+    fn is_in_doubt(&self) -> bool {
+        self.outcome == Outcome::Timeout
     }
 }
 
-/// Writes the calls of one line.
-struct Writer {
-    at: SocketAddr,
-    wait: Duration,
-    protocol: Arc<dyn CounterProtocol>,
-    counted: Counted,
-    log: Logger,
-    line: Option<Arc<Line>>,
+/// A client of one counter.
+#[derive(Clone)]
+pub struct CountLines {
+    writers: Vec<Sender<Command>>,
 }
 
-impl Writer {
-    fn run(mut self, jobs: &Receiver<Job>) {
-        let (mut last, mut failing) = (Instant::now(), false);
-        let stuck = self.stuck();
-        for job in jobs {
-            let addition = match job {
-                Job::Add(addition) => addition,
-                Job::Move(at) => {
-                    self.at = at;
-                    if let Some(line) = self.line.take() {
-                        line.leave();
-                    }
-                    continue;
-                }
-            };
-            if let Some(unfit) = self.line.take_if(|l| !l.fit(last, stuck)) {
-                unfit.close();
-            }
-            last = Instant::now();
-            match self.open() {
-                Ok(line) => self.write(&line, &addition, last),
-                Err(fault) => {
-                    if !failing {
-                        warn!(self.log, "counter unreachable"; "error" => %fault);
-                    }
-                    failing = true;
-                    (self.counted)(addition.call, Outcome::ConnectFailed, 0.0);
-                    continue;
-                }
-            }
-            failing = false;
+impl CountLines {
+    /// Starts one writer thread a connection.
+    ///
+    /// `wait` is the timeout of a call; connect and write timeouts are derived from it.
+    ///
+    /// # Errors
+    ///
+    /// If a thread can't be started.
+    pub fn start(
+        at: SocketAddr,
+        wait: Duration,
+        protocol: impl CounterProtocol,
+        counted: Counted,
+        log: &Logger,
+    ) -> io::Result<Self> {
+        let protocol: Arc<dyn CounterProtocol> = Arc::new(protocol);
+        let mut writers = Vec::with_capacity(CONNECTIONS);
+        for _ in 0..CONNECTIONS {
+            let (sender, commands) = unbounded();
+            let writer = CallWriter::new(at, wait, protocol.clone(), counted.clone(), log.clone());
+            spawn("count-write", move || writer.run(&commands))?;
+            writers.push(sender);
         }
+        Ok(Self { writers })
     }
 
-    fn stuck(&self) -> Duration {
-        STUCK.max(self.wait * STUCK_TIMES)
-    }
-
-    fn open(&mut self) -> io::Result<Arc<Line>> {
-        if let Some(line) = &self.line {
-            return Ok(line.clone());
-        }
-        let stream = TcpStream::connect_timeout(&self.at, CONNECT.max(self.wait))?;
-        stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(self.stuck()))?;
-        let line = Arc::new(Line {
-            stream,
-            waiting: Mutex::default(),
-            left: AtomicBool::new(false),
-        });
-        let (reader, protocol, counted) =
-            (line.clone(), self.protocol.clone(), self.counted.clone());
-        spawn("count-read", move || reader.read(&*protocol, &counted))?;
-        self.line = Some(line.clone());
-        Ok(line)
+    /// Starts a call. Its result is passed to the callback later, perhaps after the core stopped waiting for it.
+    pub fn add(&self, addition: Addition) {
+        let writer = &self.writers[addition.name as usize % CONNECTIONS];
+        // A writer thread runs until the process ends, so the channel is open.
+        _ = writer.send(Command::Add(addition));
     }
 
-    fn write(&mut self, line: &Line, addition: &Addition, now: Instant) {
-        // Before it is written, or its answer could come first.
-        lock(&line.waiting).push_back((addition.call, now));
-        if (&line.stream)
-            .write_all(&self.protocol.word(addition, self.at))
-            .is_ok()
-        {
-            return;
-        }
-        // Not written whole: nothing was added, unless the reader has told of it as in doubt already.
-        let unwritten = {
-            let mut waiting = lock(&line.waiting);
-            let last = waiting
-                .back()
-                .is_some_and(|(call, _)| *call == addition.call);
-            last && waiting.pop_back().is_some()
-        };
-        if unwritten {
-            (self.counted)(addition.call, Outcome::ConnectFailed, 0.0);
+    /// Sends further calls to another address; replies pending from the old one are still read.
+    pub fn move_to(&self, at: SocketAddr) {
+        for writer in &self.writers {
+            _ = writer.send(Command::ChangeAddress(at));
         }
-        line.close();
-        self.line = None;
     }
 }
--- a/src/counter/redis.rs
+++ b/src/counter/redis.rs
@@ -1,79 +1,95 @@
-//! A Redis server as the counter: one transaction a call, on the codec that the platform's front uses.
+//! A Redis server as the counter: one transaction a call.
 
 use crate::counter::http::total;
-use crate::counter::{Addition, CounterProtocol};
+use crate::counter::{Addition, CallReply, CounterProtocol};
 use crate::decision::Outcome;
 use crate::protocol::buffers::{Buffer, SIZE};
 use crate::protocol::resp::{self, Reply};
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 
-/// What a Redis server speaks.
+/// The protocol of a Redis server.
 pub struct RedisCounter;
 
-/// Replies to one call: `MULTI`, two queued commands, `EXEC`.
-const REPLIES: usize = 4;
+/// Replies to one call: to `MULTI`, to two queued commands and to `EXEC`.
+const REPLIES_PER_CALL: usize = 4;
 
 impl CounterProtocol for RedisCounter {
-    /// `SET … NX` opens a new name with its life, which later calls leave alone; the transaction keeps another
-    /// limiter's call from falling between it and the addition.
-    fn word(&self, Addition { name, by, ttl, .. }: &Addition, _: SocketAddr) -> Vec<u8> {
-        let (key, by) = (format!("mossrill:count:{name}"), by.to_string());
-        let ttl = ttl.as_millis().max(1).to_string();
-        let mut text = Vec::new();
-        for command in [
+    /// `SET` with `NX` creates a counter with its lifetime, which later calls leave as it is; the transaction keeps calls
+    /// of other limiters from running between it and the addition.
+    fn word(&self, addition: &Addition, _: SocketAddr) -> Vec<u8> {
+        let key = format!("mossrill:count:{}", addition.name);
+        let amount = addition.by.to_string();
+        let ttl = addition.ttl.as_millis().max(1).to_string();
+        let commands = [
             &["MULTI"][..],
             &["SET", &key, "0", "PX", &ttl, "NX"],
-            &["INCRBYFLOAT", &key, &by],
+            &["INCRBYFLOAT", &key, &amount],
             &["EXEC"],
-        ] {
-            resp::write_command(&mut text, command.iter().map(|word| word.as_bytes()));
+        ];
+        let mut bytes = Vec::new();
+        for command in commands {
+            resp::write_command(&mut bytes, command.iter().map(|word| word.as_bytes()));
         }
-        text
+        bytes
     }
 
-    fn read(&self, mut from: &TcpStream, told: &mut dyn FnMut(Outcome, f64) -> bool) {
-        let (mut buffer, mut end, mut seen) = (Buffer::take(), 0, 0);
-        while let Some(read) = from.read(&mut buffer[end..]).ok().filter(|read| *read > 0) {
+    fn read(&self, mut from: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool) {
+        let mut buffer = Buffer::take();
+        let mut end = 0;
+        let mut decoder = ReplyDecoder { reply_count: 0 };
+        while let Ok(read @ 1..) = from.read(&mut buffer[end..]) {
             end += read;
-            let mut start = 0;
-            loop {
-                match resp::reply(&buffer[..end], start) {
-                    Ok(Some((reply, next))) => {
-                        seen += 1;
-                        if seen % REPLIES == 0 {
-                            let (outcome, total) = executed(&buffer, &reply);
-                            if !told(outcome, total) || outcome == Outcome::Timeout {
-                                return;
-                            }
-                        }
-                        start = next;
-                    }
-                    Ok(None) if end - start < SIZE => break,
-                    _ => return,
-                }
-            }
+            let Some(start) = decoder.decode(&buffer[..end], on_reply) else {
+                return;
+            };
             buffer.copy_within(start..end, 0);
             end -= start;
         }
     }
 }
 
-/// What the answer to `EXEC` says of a call.
-fn executed(bytes: &[u8], reply: &Reply) -> (Outcome, f64) {
+/// Picks the replies to `EXEC` out of all replies on a connection.
+struct ReplyDecoder {
+    reply_count: usize,
+}
+
+impl ReplyDecoder {
+    /// Decodes all complete replies. Returns where the incomplete rest begins; none if the reading is to end.
+    fn decode(
+        &mut self,
+        bytes: &[u8],
+        on_reply: &mut dyn FnMut(Outcome, f64) -> bool,
+    ) -> Option<usize> {
+        let mut start = 0;
+        while let Some((reply, next)) = resp::reply(bytes, start).ok()? {
+            self.reply_count += 1;
+            if self.reply_count % REPLIES_PER_CALL == 0 {
+                let call = decode_exec(bytes, &reply);
+                if !on_reply(call.outcome, call.total) || call.is_in_doubt() {
+                    return None;
+                }
+            }
+            start = next;
+        }
+        let fits_buffer = bytes.len() - start < SIZE;
+        fits_buffer.then_some(start)
+    }
+}
+
+/// The result of a call by the reply to `EXEC`.
+fn decode_exec(bytes: &[u8], reply: &Reply) -> CallReply {
     match reply {
         Reply::Array(Some(results)) => match results.last() {
             Some(Reply::Bulk(Some(total_at))) => {
-                // Else added, but to what is not told.
-                total(&bytes[total_at.clone()])
-                    .map_or((Outcome::Timeout, 0.0), |total| (Outcome::Ok, total))
+                total(&bytes[total_at.clone()]).map_or_else(CallReply::in_doubt, CallReply::added)
             }
-            // The addition itself failed, as where the name holds something else.
-            Some(Reply::Error(_)) => (Outcome::ConnectFailed, 0.0),
-            _ => (Outcome::Timeout, 0.0),
+            // The addition itself failed, as where the key has another type.
+            Some(Reply::Error(_)) => CallReply::not_added(),
+            _ => CallReply::in_doubt(),
         },
-        // Discarded as a whole: nothing was added.
-        Reply::Array(None) | Reply::Bulk(None) | Reply::Error(_) => (Outcome::ConnectFailed, 0.0),
-        _ => (Outcome::Timeout, 0.0),
+        // The transaction was discarded.
+        Reply::Array(None) | Reply::Bulk(None) | Reply::Error(_) => CallReply::not_added(),
+        _ => CallReply::in_doubt(),
     }
 }
