--- a/tests/core.rs
+++ b/tests/core.rs
@@ -178,7 +178,10 @@
     let (_queue, told, _attempts) = core(2, vec![request(1), request(2), request(3)]);
     assert_eq!(
         told.recv(),
-        Ok((3, "Rejected { retry_after: 400ms, timed_out: false }".into()))
+        Ok((
+            3,
+            "Rejected { retry_after: 400ms, timed_out: false }".into()
+        ))
     );
 }
 
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -226,13 +226,19 @@
     story.grant(&story.report(), 0);
     assert_eq!(
         story.next(),
-        Wanted::Answer(1, "Rejected { retry_after: 400ms, timed_out: false }".into())
+        Wanted::Answer(
+            1,
+            "Rejected { retry_after: 400ms, timed_out: false }".into()
+        )
     );
     // While the allocator has said that there are none, it is not asked.
     story.ask(2);
     assert_eq!(
         story.next(),
-        Wanted::Answer(2, "Rejected { retry_after: 400ms, timed_out: false }".into())
+        Wanted::Answer(
+            2,
+            "Rejected { retry_after: 400ms, timed_out: false }".into()
+        )
     );
 }
 
@@ -284,6 +290,9 @@
         .send(Input::Allocator(LinkEvent::Lost { allocator: 0 }));
     assert_eq!(
         story.next(),
-        Wanted::Answer(1, "Rejected { retry_after: 400ms, timed_out: false }".into())
+        Wanted::Answer(
+            1,
+            "Rejected { retry_after: 400ms, timed_out: false }".into()
+        )
     );
 }
