--- a/tests/decision/main.rs
+++ b/tests/decision/main.rs
@@ -1,10 +1,13 @@
-//! The parts of the decision engine, each by itself.
+//! The decision engine by hand-worked examples, and a small test for each failure found.
 
-mod account;
-mod concurrency;
+#[path = "../common/mod.rs"]
+mod common;
+
+mod account_quota;
+mod actions;
+mod concurrency_limit;
 mod counter_sync;
 mod fair_queue;
-mod outlier;
-mod quota_shares;
-mod retry_budget;
-mod slow_start;
+mod load_balancing;
+mod parts;
+mod rejection;
