--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -6,7 +6,7 @@
 use crate::config::Platform;
 use crate::counter::http::QuotaCounter;
 use crate::counter::CountLines;
-use crate::discovery;
+use crate::discovery::{self, PollSettings};
 use crate::platform::client_protocol::PlatformClientProtocol;
 use crate::platform::upstream_protocol::PlatformUpstreamProtocol;
 use crate::process::{Limiter, Reload};
@@ -44,13 +44,13 @@
     };
     let limiter = Limiter::start(config.common, agents, protocol, counter, log)?;
     let list_log = log.new(o!("part" => "discovery"));
-    let watch = discovery::watch(
-        list_at,
-        generation,
-        (limiter.limiters(), grace, seed),
-        limiter.news(),
-        list_log,
-    )?;
+    let poll_settings = PollSettings {
+        limiter_count: limiter.limiters(),
+        drain_grace: grace,
+        seed,
+    };
+    let watch =
+        discovery::start_watch(list_at, generation, poll_settings, limiter.news(), list_log)?;
     let (lines, log) = (limiter.count_lines(), log.clone());
     let reload = move |config: Platform| {
         if config.node_list != list_at {
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -2,6 +2,7 @@
 
 use crate::protocol::buffers::{Buffer, SIZE};
 use std::io::{self, Read};
+use thiserror::Error;
 
 /// How long a body is.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -70,25 +71,23 @@
 /// Header lines in a message at most.
 pub const HEADERS: usize = 64;
 
-/// What keeps a message from being read.
-#[derive(Debug)]
+/// Why a message can't be read.
+#[derive(Debug, Error)]
 pub enum Broken {
     /// The connection ended between two messages.
+    #[error("the connection was closed")]
     Closed,
     /// The connection failed, or ended inside a message.
-    Io(io::Error),
-    /// Not HTTP.
+    #[error("the connection failed: {0}")]
+    Io(#[from] io::Error),
+    /// The message is not valid HTTP.
+    #[error("{0}")]
     Malformed(&'static str),
-    /// Larger than a buffer.
+    /// A head is larger than a buffer, or a body larger than the caller allows.
+    #[error("the message is too large")]
     TooLarge,
 }
 
-impl From<io::Error> for Broken {
-    fn from(fault: io::Error) -> Self {
-        Broken::Io(fault)
-    }
-}
-
 /// Reads messages from one connection.
 pub struct Reader<R> {
     from: R,
--- a/tests/units/node_list_waits.rs
+++ b/tests/units/node_list_waits.rs
@@ -1,8 +1,8 @@
 //! Waits between calls of the node list.
 
 use mossrill::discovery::poll_wait::{
-    answer_timeout, first_wait, next_wait, spread, turns, Call, CONNECT_TIMEOUT, LONGEST_WAIT,
-    TURN, WATCH_TIMEOUT,
+    fleet_poll_time, jittered_wait, next_wait, prompt_wait_limit, response_timeout, PollResult,
+    CONNECT_TIMEOUT, LEAST_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT, POLL_TIME, WATCH_TIMEOUT,
 };
 use std::time::Duration;
 
@@ -15,7 +15,12 @@
 fn cut_off(mut pause: impl FnMut(&mut (Duration, fastrand::Rng)) -> Duration) -> (usize, Vec<u64>) {
     let fleet = (0..100).map(|seed| {
         (
-            next_wait(turns(100), turns(100), FIRST, Call::Heard),
+            next_wait(
+                fleet_poll_time(100),
+                fleet_poll_time(100),
+                FIRST,
+                PollResult::Succeeded,
+            ),
             fastrand::Rng::with_seed(seed),
         )
     });
@@ -23,7 +28,7 @@
     let mut asks: Vec<(Duration, usize)> = fleet
         .iter_mut()
         .enumerate()
-        .map(|(n, own)| (pause(own), n))
+        .map(|(n, limiter)| (pause(limiter), n))
         .collect();
     let (mut free, mut served) = (Duration::ZERO, Vec::new());
     while let Some(next) = (0..asks.len()).min_by_key(|n| asks[*n]) {
@@ -32,7 +37,7 @@
             return (asks.len() + 1, served);
         }
         let patient = free.saturating_sub(at) <= Duration::from_millis(250);
-        free = free.max(at) + TURN;
+        free = free.max(at) + POLL_TIME;
         if patient {
             served.push(at.as_millis() as u64);
         } else {
@@ -47,12 +52,12 @@
     let spread_out = |(wait, rng): &mut (Duration, fastrand::Rng)| {
         // Only the first one is no longer than that.
         let call = if *wait > FIRST {
-            Call::TurnedAway
+            PollResult::Rejected
         } else {
-            Call::Heard
+            PollResult::Succeeded
         };
-        let pause = spread(*wait, call, rng.f64());
-        *wait = next_wait(*wait, turns(100), FIRST, Call::TurnedAway);
+        let pause = jittered_wait(*wait, call, rng.f64());
+        *wait = next_wait(*wait, fleet_poll_time(100), FIRST, PollResult::Rejected);
         pause
     };
     let (left, served) = cut_off(spread_out);
@@ -70,23 +75,36 @@
 
 #[test]
 fn waits_grow_with_the_fleet_and_start_again_after_news() {
-    let (few, many) = (turns(3), turns(300));
+    let (few, many) = (fleet_poll_time(3), fleet_poll_time(300));
     let longest = |turns, call| (0..10).fold(turns, |wait, _| next_wait(wait, turns, FIRST, call));
-    let away = |turns| longest(turns, Call::TurnedAway);
-    assert_eq!((away(few), away(many)), (LONGEST_WAIT[0], LONGEST_WAIT[1]));
+    let away = |turns| longest(turns, PollResult::Rejected);
+    assert_eq!(
+        (away(few), away(many)),
+        (LEAST_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT)
+    );
     // What breaks off has turned nobody away, and may have news that counts as told.
     assert_eq!(
-        (longest(few, Call::Broke), longest(many, Call::Broke)),
+        (
+            longest(few, PollResult::Failed),
+            longest(many, PollResult::Failed)
+        ),
         (FIRST, FIRST)
     );
     // A first try comes well before a second has gone.
     assert!(
-        spread(next_wait(many, many, FIRST, Call::Heard), Call::Heard, 1.0)
-            < Duration::from_millis(800)
+        jittered_wait(
+            next_wait(many, many, FIRST, PollResult::Succeeded),
+            PollResult::Succeeded,
+            1.0
+        ) < Duration::from_millis(800)
+    );
+    assert_eq!(
+        next_wait(away(many), many, FIRST, PollResult::Succeeded),
+        FIRST
     );
-    assert_eq!(next_wait(away(many), many, FIRST, Call::Heard), FIRST);
     assert!(
-        spread(many, Call::Heard, 0.0) > Duration::ZERO && spread(many, Call::Heard, 1.0) <= many
+        jittered_wait(many, PollResult::Succeeded, 0.0) > Duration::ZERO
+            && jittered_wait(many, PollResult::Succeeded, 1.0) <= many
     );
 }
 
@@ -105,22 +123,25 @@
         (300, 1.0),
         (300, 10.0),
     ] {
-        let (turns, first) = (turns(limiters), first_wait(Duration::from_secs_f64(grace)));
+        let poll_time = fleet_poll_time(limiters);
+        let first = prompt_wait_limit(Duration::from_secs_f64(grace));
         // The longest wait after a call, however many came to the same before it.
         let wait = |call| {
-            let waits = std::iter::successors(Some(turns), |last| {
-                Some(next_wait(*last, turns, first, call))
+            let waits = std::iter::successors(Some(poll_time), |last| {
+                Some(next_wait(*last, poll_time, first, call))
             });
-            spread(waits.skip(1).take(20).max().expect("a wait"), call, 1.0)
+            jittered_wait(waits.skip(1).take(20).max().expect("a wait"), call, 1.0)
         };
         // The list can be reached just after a call that was in vain began, or was turned away; the answer to the next one is
         // lost, and the one after that is answered.
-        let lost = |given_up| answer_timeout(given_up) + wait(Call::Broke);
-        let silent_watch = WATCH_TIMEOUT + wait(Call::Heard).max(wait(Call::Broke)) + lost(0);
-        let turned_away = wait(Call::TurnedAway) + lost(0);
-        let given_up =
-            (0..20).map(answer_timeout).max().expect("a call") + wait(Call::Broke) + lost(20);
-        let unreachable = CONNECT_TIMEOUT + wait(Call::Broke) + lost(20);
+        let lost = |given_up| response_timeout(given_up) + wait(PollResult::Failed);
+        let silent_watch =
+            WATCH_TIMEOUT + wait(PollResult::Succeeded).max(wait(PollResult::Failed)) + lost(0);
+        let turned_away = wait(PollResult::Rejected) + lost(0);
+        let given_up = (0..20).map(response_timeout).max().expect("a call")
+            + wait(PollResult::Failed)
+            + lost(20);
+        let unreachable = CONNECT_TIMEOUT + wait(PollResult::Failed) + lost(20);
         for (what, time) in [
             ("a watch fell silent", silent_watch),
             ("a call was turned away", turned_away),
