--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -1,5 +1,6 @@
 //! Child processes of a run: each is this program again under a hidden command.
 
+use crate::error::LabError;
 use crate::messages::{Command, Reply, Start};
 use crossbeam_channel::{unbounded, Receiver};
 use std::io::{BufRead, BufReader, Write};
@@ -19,16 +20,21 @@
 
 impl Child {
     /// Starts a child.
-    pub fn start(name: &str, start: &Start) -> Result<Self, String> {
-        let program = std::env::current_exe().map_err(|fault| fault.to_string())?;
+    pub fn start(name: &str, start: &Start) -> Result<Self, LabError> {
+        let program = std::env::current_exe()?;
         let mut process = std::process::Command::new(program)
             .arg(CHILD_COMMAND)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .map_err(|fault| format!("{name}: {fault}"))?;
+            .map_err(|source| LabError::Child {
+                child: name.to_owned(),
+                source,
+            })?;
         let (Some(input), Some(output)) = (process.stdin.take(), process.stdout.take()) else {
-            return Err(format!("{name}: no pipes"));
+            return Err(LabError::NoPipes {
+                child: name.to_owned(),
+            });
         };
         let (told, replies) = unbounded();
         std::thread::spawn(move || {
@@ -57,21 +63,27 @@
     }
 
     /// Tells it something.
-    pub fn tell(&mut self, command: &Command) -> Result<(), String> {
+    pub fn tell(&mut self, command: &Command) -> Result<(), LabError> {
         self.write(command)
     }
 
-    fn write(&mut self, value: &impl serde::Serialize) -> Result<(), String> {
-        let line = serde_json::to_string(value).map_err(|fault| fault.to_string())?;
+    fn write(&mut self, value: &impl serde::Serialize) -> Result<(), LabError> {
+        let line = serde_json::to_string(value)?;
         let written = writeln!(self.input, "{line}").and_then(|()| self.input.flush());
-        written.map_err(|fault| format!("{}: {fault}", self.name))
+        written.map_err(|source| LabError::Child {
+            child: self.name.clone(),
+            source,
+        })
     }
 
     /// Its next reply.
-    pub fn reply(&self, within: Duration) -> Result<Reply, String> {
+    pub fn reply(&self, within: Duration) -> Result<Reply, LabError> {
         self.replies
             .recv_timeout(within)
-            .map_err(|fault| format!("{}: no reply: {fault}", self.name))
+            .map_err(|source| LabError::NoReply {
+                child: self.name.clone(),
+                source,
+            })
     }
 }
 
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -1,5 +1,6 @@
 //! Stand-in for the platform's quota counter: named counts over HTTP/1.1, counted by zone.
 
+use crate::error::LabError;
 use crate::messages::{Command, Reply};
 use crate::stand_in::{self, ZoneCounters};
 use mossrill::protocol::http::{Broken, Reader};
@@ -50,14 +51,14 @@
 }
 
 /// Serves until it is told to finish.
-pub fn run(zones: u32) -> Result<(), String> {
+pub fn run(zones: u32) -> Result<(), LabError> {
     let zones: Vec<Arc<ZoneCounters>> = (0..zones).map(|_| Arc::default()).collect();
     let counts = Arc::new(Counts::new());
     let ports = stand_in::listen(&zones, move |stream, zone: &ZoneCounters| {
         // A connection that ends is the caller's to open again.
         _ = serve(&counts, &stream, zone);
     });
-    stand_in::reply(&Reply::Ready(ports.map_err(|fault| fault.to_string())?))?;
+    stand_in::reply(&Reply::Ready(ports?))?;
     for command in stand_in::commands() {
         match command {
             Command::Cut { zones: cut, silent } => {
--- a/lab/src/counter_mechanism.rs
+++ b/lab/src/counter_mechanism.rs
@@ -2,8 +2,8 @@
 //! machines by name. The counter answers at once.
 
 use crate::counter;
+use crate::engine_host::{settings, CounterCall, Effects, EngineHost};
 use crate::event_queue::EventQueue;
-use crate::gateway_host::{settings, CounterCall, Effects, GatewayHost};
 use crate::population::{Drawn, Population};
 use crate::quota_log::QuotaLog;
 use crate::quota_mechanism::QuotaMechanism;
@@ -34,7 +34,7 @@
 pub struct CounterMechanism {
     population: Arc<Population>,
     seed: u64,
-    hosts: Vec<GatewayHost>,
+    hosts: Vec<EngineHost>,
     wake_at: Vec<Micros>,
     counts: Vec<HashMap<u64, f64>>,
     queue: EventQueue<Due>,
@@ -65,13 +65,13 @@
         all
     }
 
-    fn host(&self, now: Micros, limiter: u32, limiters: u32) -> GatewayHost {
+    fn host(&self, now: Micros, limiter: u32, limiters: u32) -> EngineHost {
         let seed = self
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(now)
             .wrapping_add(u64::from(limiter));
-        GatewayHost::new(settings(&self.population, limiter, limiters), seed, now)
+        EngineHost::new(settings(&self.population, limiter, limiters), seed, now)
     }
 
     fn set_wake(&mut self, now: Micros, limiter: u32) {
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -1,6 +1,7 @@
 //! Stand-in for discovery: the whole list and a watch over HTTP/1.1, counted by zone.
 
 use crate::clock;
+use crate::error::LabError;
 use crate::messages::{Command, Reply};
 use crate::scenario::Scenario;
 use crate::server_list::ServerList;
@@ -29,7 +30,7 @@
 }
 
 /// Serves until it is told to finish.
-pub fn run(scenario: &Scenario, seed: u64) -> Result<(), String> {
+pub fn run(scenario: &Scenario, seed: u64) -> Result<(), LabError> {
     let sizes = &scenario.sizes;
     let list = ServerList::new(sizes.servers, sizes.services, sizes.zones, seed);
     let shared = Arc::new(Shared {
@@ -42,7 +43,7 @@
         // A connection that ends is the reader's to open again.
         _ = serve(&served, &stream, zone);
     });
-    stand_in::reply(&Reply::Ready(ports.map_err(|fault| fault.to_string())?))?;
+    stand_in::reply(&Reply::Ready(ports?))?;
     publish(&shared)?;
     for command in stand_in::commands() {
         match command {
@@ -73,7 +74,7 @@
     Reply::Load(zones.iter().map(|zone| zone.load()).collect())
 }
 
-fn publish(shared: &Shared) -> Result<(), String> {
+fn publish(shared: &Shared) -> Result<(), LabError> {
     let (generation, bytes) = {
         let list = shared.list();
         let last = list
--- a/lab/src/gateway_host.rs
+++ b/lab/src/engine_host.rs
@@ -75,7 +75,7 @@
 }
 
 /// One gateway with its timers, its open requests and its calls.
-pub struct GatewayHost {
+pub struct EngineHost {
     gateway: Engine,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     order: u64,
@@ -132,7 +132,7 @@
     }
 }
 
-impl GatewayHost {
+impl EngineHost {
     /// A gateway that knows its servers and nothing else.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut host = Self {
--- a/lab/src/hollow.rs
+++ b/lab/src/hollow.rs
@@ -3,7 +3,8 @@
 //! drawn requests in a real `mossrill::Engine` and calls the counter through its real codec. None has client traffic.
 
 use crate::clock;
-use crate::gateway_host::{settings, CounterCall, Effects, GatewayHost};
+use crate::engine_host::{settings, CounterCall, Effects, EngineHost};
+use crate::error::LabError;
 use crate::messages::{Command, DecisionCounts, HollowReport, HollowStart, Reply, TenantUnits};
 use crate::population::{LocalTraffic, Population};
 use crate::process_figures::{cpu_seconds, memory_bytes, Lateness};
@@ -79,7 +80,7 @@
 }
 
 /// Runs the hollow limiters of a zone until they are told to finish.
-pub fn run(start: &HollowStart) -> Result<(), String> {
+pub fn run(start: &HollowStart) -> Result<(), LabError> {
     let limiters = start.scenario.limiters_of_zone(start.zone);
     let lateness = Lateness::watch()?;
     let lists = watch_lists(start)?;
@@ -145,7 +146,7 @@
     }
 }
 
-fn watch_lists(start: &HollowStart) -> Result<Vec<Arc<Mutex<OwnList>>>, String> {
+fn watch_lists(start: &HollowStart) -> Result<Vec<Arc<Mutex<OwnList>>>, LabError> {
     let from = SocketAddr::from((Ipv4Addr::LOCALHOST, start.discovery));
     let names = Arc::new(Mutex::new(ServerNames::default()));
     let fleet = Arc::new(AtomicU32::new(start.scenario.sizes.limiters));
@@ -172,8 +173,7 @@
                 .wrapping_mul(1_000_003)
                 .wrapping_add(u64::from(limiter));
             let waits = (fleet.clone(), DRAIN_GRACE, seed);
-            discovery::watch(from, 0, waits, apply, log.clone())
-                .map_err(|fault| fault.to_string())?;
+            discovery::watch(from, 0, waits, apply, log.clone())?;
             Ok(list)
         })
         .collect()
@@ -200,14 +200,12 @@
 }
 
 impl Deciders {
-    fn start(start: &HollowStart, port: u16) -> Result<Self, String> {
+    fn start(start: &HollowStart, port: u16) -> Result<Self, LabError> {
         let (orders, taken) = unbounded();
         let (answers, answered) = unbounded();
         let mut driver = Driver::new(start, port, answers);
         let work = move || driver.run(&taken, &answered);
-        std::thread::Builder::new()
-            .spawn(work)
-            .map_err(|fault| fault.to_string())?;
+        std::thread::Builder::new().spawn(work)?;
         Ok(Self { orders })
     }
 
@@ -226,7 +224,7 @@
 
 /// One hosted gateway with its traffic and its connection to the counter.
 struct Decider {
-    host: GatewayHost,
+    host: EngineHost,
     traffic: LocalTraffic,
     next_request: u64,
     calls: Sender<CounterCall>,
@@ -262,7 +260,7 @@
                     // Without its thread the limiter's calls are given up, which is counted.
                     _ = stand_in::spawn(move || carry_calls(at, place, &wanted, &answers));
                     Decider {
-                        host: GatewayHost::new(settings, seed, now),
+                        host: EngineHost::new(settings, seed, now),
                         traffic: population.at_limiter(limiter),
                         next_request: u64::MAX,
                         calls,
--- a/lab/src/hollow_play.rs
+++ b/lab/src/hollow_play.rs
@@ -3,6 +3,7 @@
 use crate::audit::QuotaAudit;
 use crate::child::Child;
 use crate::clock;
+use crate::error::LabError;
 use crate::messages::{
     Command, DecisionCounts, HollowReport, HollowStart, QuotaOutcome, Reply, Start, TenantUnits,
     ZoneLoad,
@@ -132,7 +133,7 @@
 }
 
 /// Plays the hollow limiters of a scenario.
-pub fn play(scenario: &Scenario, seed: u64) -> Result<HollowResult, String> {
+pub fn play(scenario: &Scenario, seed: u64) -> Result<HollowResult, LabError> {
     let mut play = Play::start(scenario, seed)?;
     let mut fell_behind = Vec::new();
     let lacking = play.await_version(1, FIRST_LIST_SECONDS)?;
@@ -162,15 +163,15 @@
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-fn ready(child: &Child) -> Result<Vec<u16>, String> {
+fn ready(child: &Child) -> Result<Vec<u16>, LabError> {
     match child.reply(PATIENCE)? {
         Reply::Ready(ports) => Ok(ports),
-        other => Err(format!("wanted ports, got {other:?}")),
+        other => Err(LabError::unexpected("ports", &other)),
     }
 }
 
 impl<'a> Play<'a> {
-    fn start(scenario: &'a Scenario, seed: u64) -> Result<Self, String> {
+    fn start(scenario: &'a Scenario, seed: u64) -> Result<Self, LabError> {
         let start = Start::Discovery {
             scenario: Box::new(scenario.clone()),
             seed,
@@ -222,7 +223,7 @@
         Ok(play)
     }
 
-    fn start_host(&mut self, zone: u32) -> Result<(), String> {
+    fn start_host(&mut self, zone: u32) -> Result<(), LabError> {
         let start = HollowStart {
             scenario: self.scenario.clone(),
             seed: self.seed,
@@ -240,7 +241,7 @@
         Ok(())
     }
 
-    fn published(&mut self, event: &'static str) -> Result<(), String> {
+    fn published(&mut self, event: &'static str) -> Result<(), LabError> {
         match self.discovery.reply(PATIENCE)? {
             Reply::Published {
                 generation,
@@ -255,11 +256,11 @@
                 });
                 Ok(())
             }
-            other => Err(format!("wanted a version, got {other:?}")),
+            other => Err(LabError::unexpected("a version", &other)),
         }
     }
 
-    fn happen(&mut self, event: &Event) -> Result<(), String> {
+    fn happen(&mut self, event: &Event) -> Result<(), LabError> {
         let name = event.name();
         match event {
             Event::ZoneLost { zone } => {
@@ -300,13 +301,13 @@
         Ok(())
     }
 
-    fn change_list(&mut self, event: &'static str, command: &Command) -> Result<(), String> {
+    fn change_list(&mut self, event: &'static str, command: &Command) -> Result<(), LabError> {
         self.discovery.tell(command)?;
         self.published(event)
     }
 
     /// Starts the processes of these zones together; traffic goes on there once they are up.
-    fn restart(&mut self, zones: Vec<u32>) -> Result<(), String> {
+    fn restart(&mut self, zones: Vec<u32>) -> Result<(), LabError> {
         let first = self.hosts.len();
         for zone in zones {
             self.start_host(zone)?;
@@ -318,7 +319,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, region: u32, silent: bool) -> Result<(), String> {
+    fn cut(&mut self, region: u32, silent: bool) -> Result<(), LabError> {
         let zones: Vec<u32> = (0..self.scenario.sizes.zones)
             .filter(|zone| self.scenario.region_of_zone(*zone) == region)
             .collect();
@@ -330,13 +331,13 @@
         }
     }
 
-    fn tell_hosts(&mut self, command: &Command) -> Result<(), String> {
+    fn tell_hosts(&mut self, command: &Command) -> Result<(), LabError> {
         self.hosts
             .iter_mut()
             .try_for_each(|host| host.child.tell(command))
     }
 
-    fn await_version(&mut self, generation: u64, seconds: u32) -> Result<u32, String> {
+    fn await_version(&mut self, generation: u64, seconds: u32) -> Result<u32, LabError> {
         self.tell_hosts(&Command::AwaitVersion {
             generation,
             seconds,
@@ -347,7 +348,7 @@
             .sum()
     }
 
-    fn loads(&mut self) -> Result<Loads, String> {
+    fn loads(&mut self) -> Result<Loads, LabError> {
         let counter = self
             .counter
             .as_mut()
@@ -357,14 +358,15 @@
     }
 
     /// Ends these processes and keeps their reports.
-    fn end_hosts(&mut self, which: impl Fn(&Host) -> bool) -> Result<(), String> {
+    fn end_hosts(&mut self, which: impl Fn(&Host) -> bool) -> Result<(), LabError> {
         let (ending, staying): (Vec<Host>, Vec<Host>) =
             std::mem::take(&mut self.hosts).into_iter().partition(which);
         self.hosts = staying;
         for mut host in ending {
             host.child.tell(&Command::Finish)?;
-            let Reply::Hollow(report) = host.child.reply(PATIENCE)? else {
-                return Err(format!("zone {}: wanted a report", host.zone));
+            let report = match host.child.reply(PATIENCE)? {
+                Reply::Hollow(report) => report,
+                other => return Err(LabError::unexpected("a report", &other)),
             };
             self.ended.push(Ended {
                 started: host.started,
@@ -375,7 +377,7 @@
         Ok(())
     }
 
-    fn finish(&mut self) -> Result<(), String> {
+    fn finish(&mut self) -> Result<(), LabError> {
         let early = self.ended.len();
         self.end_hosts(|_| true)?;
         self.ended[early..]
@@ -547,17 +549,17 @@
 }
 
 /// Limiters of a child that lack the version that was waited for.
-fn lacking(child: &Child, seconds: u32) -> Result<u32, String> {
+fn lacking(child: &Child, seconds: u32) -> Result<u32, LabError> {
     match child.reply(Duration::from_secs(u64::from(seconds)) + PATIENCE)? {
         Reply::Lacking(count) => Ok(count),
-        other => Err(format!("wanted a count of limiters, got {other:?}")),
+        other => Err(LabError::unexpected("a count of limiters", &other)),
     }
 }
 
-fn load(child: &mut Child) -> Result<Vec<ZoneLoad>, String> {
+fn load(child: &mut Child) -> Result<Vec<ZoneLoad>, LabError> {
     child.tell(&Command::Report)?;
     match child.reply(PATIENCE)? {
         Reply::Load(zones) => Ok(zones),
-        other => Err(format!("wanted a load, got {other:?}")),
+        other => Err(LabError::unexpected("a load", &other)),
     }
 }
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -1,6 +1,7 @@
 //! Open-loop load: requests begin at drawn times whatever became of those before, and a request's latency counts from
 //! the time at which it was to begin.
 
+use crate::error::LabError;
 use crate::population::{Drawn, Population};
 use crate::real_files::{account, path, ACCOUNT_HEADER};
 use crate::upstream::SERVICE_HEADER;
@@ -54,9 +55,8 @@
 }
 
 impl Outcomes {
-    fn new() -> Result<Self, String> {
-        let histogram =
-            || Histogram::new_with_bounds(1, LONGEST_US, 3).map_err(|fault| fault.to_string());
+    fn new() -> Result<Self, LabError> {
+        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3);
         Ok(Self {
             latency: histogram()?,
             added: histogram()?,
@@ -69,13 +69,10 @@
         })
     }
 
-    fn add(&mut self, other: &Self) -> Result<(), String> {
-        let merge = |own: &mut Histogram<u64>, its: &Histogram<u64>| {
-            own.add(its).map_err(|fault| format!("histograms: {fault}"))
-        };
-        merge(&mut self.latency, &other.latency)?;
-        merge(&mut self.added, &other.added)?;
-        merge(&mut self.lag, &other.lag)?;
+    fn add(&mut self, other: &Self) -> Result<(), LabError> {
+        self.latency.add(&other.latency)?;
+        self.added.add(&other.added)?;
+        self.lag.add(&other.lag)?;
         self.served += other.served;
         self.refused += other.refused;
         self.failed += other.failed;
@@ -96,7 +93,7 @@
 pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     dispatcher: JoinHandle<()>,
-    workers: Vec<JoinHandle<Result<Outcomes, String>>>,
+    workers: Vec<JoinHandle<Result<Outcomes, LabError>>>,
 }
 
 impl LoadGenerator {
@@ -125,9 +122,9 @@
     }
 
     /// Stops and says what came of all requests.
-    pub fn finish(self) -> Result<Outcomes, String> {
+    pub fn finish(self) -> Result<Outcomes, LabError> {
         self.stop.store(true, Relaxed);
-        let lost = |_| "a thread of the generator failed".to_owned();
+        let lost = |_| LabError::WorkerPanicked;
         self.dispatcher.join().map_err(lost)?;
         let mut all = Outcomes::new()?;
         for worker in self.workers {
@@ -167,7 +164,7 @@
     }
 }
 
-fn work(at: SocketAddr, jobs: &Receiver<Job>, began: Instant) -> Result<Outcomes, String> {
+fn work(at: SocketAddr, jobs: &Receiver<Job>, began: Instant) -> Result<Outcomes, LabError> {
     let mut outcomes = Outcomes::new()?;
     let mut connection: Option<TcpStream> = None;
     for job in jobs {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,6 +3,7 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
+use mossrill_lab::error::LabError;
 use mossrill_lab::messages::Start;
 use mossrill_lab::predictions::Predictions;
 use mossrill_lab::report::{comparison_table, table, RunReport};
@@ -61,7 +62,7 @@
     }
 }
 
-fn work(command: Command) -> Result<(), String> {
+fn work(command: Command) -> Result<(), LabError> {
     match command {
         Command::Run {
             scenario,
@@ -99,8 +100,8 @@
     }
 }
 
-fn load(path: &Path, overrides: &[String]) -> Result<Scenario, String> {
-    scenario::load_with(path, overrides).map_err(|fault| fault.to_string())
+fn load(path: &Path, overrides: &[String]) -> Result<Scenario, LabError> {
+    Ok(scenario::load_with(path, overrides)?)
 }
 
 struct Run {
@@ -110,7 +111,7 @@
     limiter: PathBuf,
 }
 
-fn play(run: &Run, json: Option<&Path>) -> Result<(), String> {
+fn play(run: &Run, json: Option<&Path>) -> Result<(), LabError> {
     let mut reports = Vec::new();
     for seed in &run.seeds {
         let report = run::run(&run.scenario, *seed, &run.predictions, &run.limiter)?;
@@ -118,18 +119,18 @@
         reports.push(report);
     }
     let Some(json) = json else { return Ok(()) };
-    let text = serde_json::to_string_pretty(&reports).map_err(|fault| fault.to_string())?;
-    std::fs::write(json, text + "\n").map_err(|fault| format!("{}: {fault}", json.display()))
+    let text = serde_json::to_string_pretty(&reports)?;
+    std::fs::write(json, text + "\n").map_err(LabError::path(json))
 }
 
-fn print(report: &RunReport) -> Result<(), String> {
+fn print(report: &RunReport) -> Result<(), LabError> {
     let (name, seed, scale) = (
         &report.scenario.name,
         report.seed,
         report.scenario.traffic.scale,
     );
     println!("scenario {name}, seed {seed}, {scale} of tenants and traffic played");
-    let value = serde_json::to_value(report).map_err(|fault| fault.to_string())?;
+    let value = serde_json::to_value(report)?;
     print!("{}", table(&value));
     print!("{}", comparison_table(&report.predictions));
     for reason in &report.fell_behind {
@@ -138,7 +139,7 @@
     Ok(())
 }
 
-fn child() -> Result<(), String> {
+fn child() -> Result<(), LabError> {
     match stand_in::read_start()? {
         Start::Discovery { scenario, seed } => discovery::run(&scenario, seed),
         Start::Counter { zones } => counter::run(zones),
--- a/lab/src/predictions.rs
+++ b/lab/src/predictions.rs
@@ -1,5 +1,6 @@
 //! Figures that the capacity page predicts, beside those that a run saw.
 
+use crate::error::LabError;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -29,10 +30,13 @@
 
 impl Predictions {
     /// Reads a file of predictions.
-    pub fn load(path: &Path) -> Result<Self, String> {
-        let file = path.display();
-        let text = std::fs::read_to_string(path).map_err(|fault| format!("{file}: {fault}"))?;
-        toml::from_str(&text).map_err(|fault| format!("{file}: {fault}"))
+    pub fn load(path: &Path) -> Result<Self, LabError> {
+        let text = std::fs::read_to_string(path).map_err(LabError::path(path))?;
+        let malformed = |source| LabError::Predictions {
+            path: path.to_owned(),
+            source: Box::new(source),
+        };
+        toml::from_str(&text).map_err(malformed)
     }
 
     /// Compares the figures of a scenario with what its report shows.
--- a/lab/src/process_figures.rs
+++ b/lab/src/process_figures.rs
@@ -1,5 +1,6 @@
 //! A process's own processor time and memory, and whether the machine keeps up with it.
 
+use crate::error::LabError;
 use hdrhistogram::Histogram;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -57,12 +58,11 @@
 
 impl Lateness {
     /// Starts to look.
-    pub fn watch() -> Result<Self, String> {
-        let seen =
-            Histogram::new_with_bounds(1, LONGEST_US, 3).map_err(|fault| fault.to_string())?;
+    pub fn watch() -> Result<Self, LabError> {
+        let seen = Histogram::new_with_bounds(1, LONGEST_US, 3)?;
         let lateness = Self(Arc::new(Mutex::new(seen)));
         let own = lateness.clone();
-        crate::stand_in::spawn(move || own.run()).map_err(|fault| fault.to_string())?;
+        crate::stand_in::spawn(move || own.run())?;
         Ok(lateness)
     }
 
--- a/lab/src/quota_log.rs
+++ b/lab/src/quota_log.rs
@@ -1,6 +1,7 @@
 //! What a quota play counts, whatever mechanism keeps the quotas.
 
 use crate::audit::QuotaAudit;
+use crate::error::LabError;
 use crate::population::Population;
 use hdrhistogram::Histogram;
 use mossrill::decision::Micros;
@@ -47,13 +48,12 @@
 
 impl QuotaLog {
     /// Nothing counted yet.
-    pub fn new(population: Arc<Population>, machines: u32, lease_s: f64) -> Result<Self, String> {
+    pub fn new(population: Arc<Population>, machines: u32, lease_s: f64) -> Result<Self, LabError> {
         let totals = Totals {
             machine_messages: vec![0; machines as usize],
             ..Totals::default()
         };
-        let waits =
-            Histogram::new_with_bounds(1, LONGEST_WAIT_US, 3).map_err(|fault| fault.to_string())?;
+        let waits = Histogram::new_with_bounds(1, LONGEST_WAIT_US, 3)?;
         let (audit, lease_bound_audit) = (QuotaAudit::default(), QuotaAudit::with_slack(lease_s));
         Ok(Self {
             population,
--- a/lab/src/quota_play.rs
+++ b/lab/src/quota_play.rs
@@ -2,6 +2,7 @@
 
 use crate::audit::AuditResult;
 use crate::counter_mechanism::CounterMechanism;
+use crate::error::LabError;
 use crate::event_queue::EventQueue;
 use crate::lease_mechanism::LeaseMechanism;
 use crate::net::START;
@@ -109,7 +110,7 @@
 }
 
 /// Plays every mechanism of a scenario on the same requests.
-pub fn play(scenario: &Scenario, quota: &Quota, seed: u64) -> Result<Vec<QuotaResult>, String> {
+pub fn play(scenario: &Scenario, quota: &Quota, seed: u64) -> Result<Vec<QuotaResult>, LabError> {
     let one = |mechanism: &Mechanism| {
         let population = Arc::new(Population::new(scenario, seed));
         let network = QuotaNetwork::new(scenario, quota);
@@ -134,7 +135,7 @@
         (population, network): (Arc<Population>, QuotaNetwork),
         mechanism: M,
         seed: u64,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, LabError> {
         let lease_s = HolderSettings::default().lease as f64 / SECOND;
         let log = QuotaLog::new(population.clone(), network.machines(), lease_s)?;
         let rng = StdRng::seed_from_u64(seed);
@@ -151,7 +152,7 @@
         })
     }
 
-    fn play(mut self, quota: &Quota, mechanism: Mechanism) -> Result<QuotaResult, String> {
+    fn play(mut self, quota: &Quota, mechanism: Mechanism) -> Result<QuotaResult, LabError> {
         let cpu_before = cpu_seconds(None);
         let begin = START + Micros::from(quota.warm_up_s) * SECOND as Micros;
         self.run_until(begin);
--- a/lab/src/real_files.rs
+++ b/lab/src/real_files.rs
@@ -1,5 +1,6 @@
 //! The files that real processes are started with: an OpenAPI description and a configuration for each.
 
+use crate::error::LabError;
 use crate::population::Population;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -40,7 +41,7 @@
 
 impl Files<'_> {
     /// Writes the description.
-    pub fn write_description(&self) -> Result<(), String> {
+    pub fn write_description(&self) -> Result<(), LabError> {
         let operation = |units: u32| {
             let operation = json!({"get": {
                 "operationId": format!("units{units}"), "x-quota-class": "read", "x-quota-units": units,
@@ -62,7 +63,7 @@
     }
 
     /// Writes the configuration of one process, with so many entries beyond the upstream servers.
-    pub fn write_configuration(&self, place: &Place, further: u32) -> Result<(), String> {
+    pub fn write_configuration(&self, place: &Place, further: u32) -> Result<(), LabError> {
         let node = |(number, port): (usize, &u16)| json!({"name": format!("server-{number}"), "address": format!("127.0.0.1:{port}")});
         let servers = self
             .upstream
@@ -108,9 +109,9 @@
 }
 
 /// Replaces the file at once, so that nobody reads half of it.
-fn write(file: &Path, value: &Value) -> Result<(), String> {
+fn write(file: &Path, value: &Value) -> Result<(), LabError> {
     let new = file.with_extension("new");
     let written =
         std::fs::write(&new, value.to_string()).and_then(|()| std::fs::rename(&new, file));
-    written.map_err(|fault| format!("{}: {fault}", file.display()))
+    written.map_err(LabError::path(file))
 }
--- a/lab/src/real_play.rs
+++ b/lab/src/real_play.rs
@@ -2,6 +2,7 @@
 
 use crate::audit::{AuditResult, QuotaAudit};
 use crate::child::Child;
+use crate::error::LabError;
 use crate::load_generator::{LoadGenerator, Outcomes};
 use crate::messages::{Command, Reply, Start, ZoneLoad};
 use crate::population::Population;
@@ -140,7 +141,7 @@
     real: &Real,
     seed: u64,
     program: &Path,
-) -> Result<RealResult, String> {
+) -> Result<RealResult, LabError> {
     let mut play = Play::start(scenario, real, seed, program)?;
     let ports: Vec<u16> = play
         .processes
@@ -201,7 +202,7 @@
 }
 
 /// Two ports that nobody has now, below those that the system gives to outgoing connections.
-fn free_ports(rng: &mut StdRng) -> Result<(u16, u16), String> {
+fn free_ports(rng: &mut StdRng) -> Result<(u16, u16), LabError> {
     let mut free = Vec::new();
     for _ in 0..PORT_TRIES {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, rng.random_range(PORTS)));
@@ -209,19 +210,16 @@
         free.extend(listener);
         if let [first, second] = &free[..] {
             let port = |listener: &TcpListener| listener.local_addr().map(|at| at.port());
-            return Ok((
-                port(first).map_err(|fault| fault.to_string())?,
-                port(second).map_err(|fault| fault.to_string())?,
-            ));
+            return Ok((port(first)?, port(second)?));
         }
     }
-    Err("no free ports".into())
+    Err(LabError::NoFreePorts)
 }
 
-fn ports(child: &Child) -> Result<Vec<u16>, String> {
+fn ports(child: &Child) -> Result<Vec<u16>, LabError> {
     match child.reply(PATIENCE)? {
         Reply::Ready(ports) => Ok(ports),
-        other => Err(format!("wanted ports, got {other:?}")),
+        other => Err(LabError::unexpected("ports", &other)),
     }
 }
 
@@ -235,11 +233,15 @@
 }
 
 impl Play {
-    fn start(scenario: &Scenario, real: &Real, seed: u64, program: &Path) -> Result<Self, String> {
+    fn start(
+        scenario: &Scenario,
+        real: &Real,
+        seed: u64,
+        program: &Path,
+    ) -> Result<Self, LabError> {
         let folder =
             std::env::temp_dir().join(format!("mossrill-lab-{}-{seed}", std::process::id()));
-        std::fs::create_dir_all(&folder)
-            .map_err(|fault| format!("{}: {fault}", folder.display()))?;
+        std::fs::create_dir_all(&folder).map_err(LabError::path(&folder))?;
         let start = Start::Upstream {
             servers: real.servers,
             mean_ms: real.server_mean_ms,
@@ -281,8 +283,8 @@
         limiters: u32,
         file: PathBuf,
         rng: &mut StdRng,
-    ) -> Result<RealProcess, String> {
-        let mut fault = String::new();
+    ) -> Result<RealProcess, LabError> {
+        let mut last_error = LabError::NoFreePorts;
         for _ in 0..START_TRIES {
             let (port, control) = free_ports(rng)?;
             let place = Place {
@@ -294,10 +296,10 @@
             self.files(limiters).write_configuration(&place, 0)?;
             match RealProcess::start(&self.program, place) {
                 Ok(process) => return Ok(process),
-                Err(reason) => fault = reason,
+                Err(error) => last_error = error,
             }
         }
-        Err(fault)
+        Err(last_error)
     }
 
     fn files(&self, limiters: u32) -> Files<'_> {
@@ -320,15 +322,15 @@
         running + self.ended_cpu_s
     }
 
-    fn counter_load(&mut self) -> Result<Vec<ZoneLoad>, String> {
+    fn counter_load(&mut self) -> Result<Vec<ZoneLoad>, LabError> {
         self.counter.tell(&Command::Report)?;
         match self.counter.reply(PATIENCE)? {
             Reply::Load(zones) => Ok(zones),
-            other => Err(format!("wanted a load, got {other:?}")),
+            other => Err(LabError::unexpected("a load", &other)),
         }
     }
 
-    fn carry_out(&mut self, step: Step) -> Result<(), String> {
+    fn carry_out(&mut self, step: Step) -> Result<(), LabError> {
         match step {
             Step::Pause { process } => self.processes[process].signal(Signal::STOP),
             Step::Resume { process } => self.processes[process].signal(Signal::CONT),
@@ -338,7 +340,7 @@
     }
 
     /// Every second process ends at once and is started again.
-    fn restart_half(&mut self) -> Result<(), String> {
+    fn restart_half(&mut self) -> Result<(), LabError> {
         for number in (0..self.processes.len()).step_by(2) {
             let process = &mut self.processes[number];
             self.ended_cpu_s += cpu_seconds(Some(process.id()));
@@ -352,7 +354,7 @@
     }
 
     /// One more entry in each configuration, and the word to read it again; then waits until all use it.
-    fn change_configuration(&mut self) -> Result<(), String> {
+    fn change_configuration(&mut self) -> Result<(), LabError> {
         self.further += 1;
         let limiters = self.processes.len() as u32;
         for process in &self.processes {
--- a/lab/src/real_process.rs
+++ b/lab/src/real_process.rs
@@ -1,5 +1,6 @@
 //! A real limiter process: started with its file, signalled, and asked for its figures on the operators' line.
 
+use crate::error::LabError;
 use crate::real_files::Place;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::File;
@@ -24,9 +25,8 @@
 
 impl RealProcess {
     /// Starts a limiter and waits until it serves. Its log goes beside its file.
-    pub fn start(program: &Path, place: Place) -> Result<Self, String> {
-        let log =
-            File::create(place.file.with_extension("log")).map_err(|fault| fault.to_string())?;
+    pub fn start(program: &Path, place: Place) -> Result<Self, LabError> {
+        let log = File::create(place.file.with_extension("log"))?;
         let process = Command::new(program)
             .arg(&place.file)
             // Processes that share a folder would take over from each other.
@@ -35,22 +35,23 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .map_err(|fault| format!("{}: {fault}", program.display()))?;
+            .map_err(LabError::path(program))?;
         let mut started = Self { process, place };
         started.await_ready()?;
         Ok(started)
     }
 
-    fn await_ready(&mut self) -> Result<(), String> {
+    fn await_ready(&mut self) -> Result<(), LabError> {
         let until = Instant::now() + START_LIMIT;
         while Instant::now() < until {
             if let Ok(Some(status)) = self.process.try_wait() {
                 let log = std::fs::read_to_string(self.place.file.with_extension("log"))
                     .unwrap_or_default();
-                return Err(format!(
-                    "limiter {} ended at its start: {status}: {log}",
-                    self.place.number
-                ));
+                return Err(LabError::LimiterEnded {
+                    limiter: self.place.number,
+                    status,
+                    log,
+                });
             }
             if self
                 .call("ready")
@@ -60,10 +61,9 @@
             }
             std::thread::sleep(POLL);
         }
-        Err(format!(
-            "limiter {} did not serve in time",
-            self.place.number
-        ))
+        Err(LabError::LimiterNotReady {
+            limiter: self.place.number,
+        })
     }
 
     /// Its process number.
@@ -72,16 +72,16 @@
     }
 
     /// Signals it.
-    pub fn signal(&self, signal: Signal) -> Result<(), String> {
+    pub fn signal(&self, signal: Signal) -> Result<(), LabError> {
         let pid = i32::try_from(self.id()).ok().and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| "no such process".to_owned())?;
-        kill_process(pid, signal).map_err(|fault| fault.to_string())
+        let pid = pid.ok_or(LabError::NoProcess)?;
+        Ok(kill_process(pid, signal).map_err(std::io::Error::from)?)
     }
 
     /// Ends it at once; its ports are free then.
-    pub fn kill(&mut self) -> Result<(), String> {
+    pub fn kill(&mut self) -> Result<(), LabError> {
         let ended = self.process.kill().and_then(|()| self.process.wait());
-        ended.map(drop).map_err(|fault| fault.to_string())
+        Ok(ended.map(drop)?)
     }
 
     /// Entries of the server list that it uses.
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,5 +1,6 @@
 //! Plays a scenario: every play that it has, one after another, and the report on them.
 
+use crate::error::LabError;
 use crate::predictions::Predictions;
 use crate::report::RunReport;
 use crate::scenario::Scenario;
@@ -12,7 +13,7 @@
     seed: u64,
     predictions: &Predictions,
     limiter: &Path,
-) -> Result<RunReport, String> {
+) -> Result<RunReport, LabError> {
     let hollow = scenario
         .hollow
         .as_ref()
@@ -48,7 +49,7 @@
         kept_up: fell_behind.is_empty(),
         fell_behind,
     };
-    let seen = serde_json::to_value(&report).map_err(|fault| fault.to_string())?;
+    let seen = serde_json::to_value(&report)?;
     report.predictions = predictions.compare(&scenario.name, &seen);
     Ok(report)
 }
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,5 +1,6 @@
 //! What all stand-ins have in common: a listener for each zone, a thread for each connection, and counters.
 
+use crate::error::LabError;
 use crate::messages::{Command, Reply, Start, ZoneLoad};
 use std::io::{self, BufRead, Write};
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
@@ -96,12 +97,10 @@
 }
 
 /// Reads what this child is told first.
-pub fn read_start() -> Result<Start, String> {
+pub fn read_start() -> Result<Start, LabError> {
     let mut line = String::new();
-    io::stdin()
-        .read_line(&mut line)
-        .map_err(|fault| fault.to_string())?;
-    serde_json::from_str(&line).map_err(|fault| format!("start of a child: {fault}"))
+    io::stdin().read_line(&mut line)?;
+    serde_json::from_str(&line).map_err(LabError::Start)
 }
 
 /// Commands until the controller has none any more.
@@ -111,10 +110,10 @@
 }
 
 /// Says something to the controller.
-pub fn reply(reply: &Reply) -> Result<(), String> {
-    let line = serde_json::to_string(reply).map_err(|fault| fault.to_string())?;
+pub fn reply(reply: &Reply) -> Result<(), LabError> {
+    let line = serde_json::to_string(reply)?;
     let mut out = io::stdout().lock();
-    writeln!(out, "{line}")
-        .and_then(|()| out.flush())
-        .map_err(|fault| fault.to_string())
+    writeln!(out, "{line}")?;
+    out.flush()?;
+    Ok(())
 }
--- a/lab/src/upstream.rs
+++ b/lab/src/upstream.rs
@@ -1,6 +1,7 @@
 //! Stand-in for upstream servers: HTTP/1.1 that answers after a random time with a stated mean and says how long it
 //! took.
 
+use crate::error::LabError;
 use crate::messages::{Command, Reply};
 use crate::stand_in::{self, ZoneCounters};
 use mossrill::protocol::http::{Broken, Reader};
@@ -20,7 +21,7 @@
 const LONGEST_BODY: usize = 64 * 1024;
 
 /// Serves until it is told to finish.
-pub fn run(servers: u32, mean_ms: f64, seed: u64) -> Result<(), String> {
+pub fn run(servers: u32, mean_ms: f64, seed: u64) -> Result<(), LabError> {
     let servers: Vec<Arc<ZoneCounters>> = (0..servers).map(|_| Arc::default()).collect();
     let connections = Arc::new(AtomicU64::new(seed));
     let ports = stand_in::listen(&servers, move |stream, server: &ZoneCounters| {
@@ -28,7 +29,7 @@
         // A connection that ends is the limiter's to open again.
         _ = serve(&stream, server, mean_ms, rng);
     });
-    stand_in::reply(&Reply::Ready(ports.map_err(|fault| fault.to_string())?))?;
+    stand_in::reply(&Reply::Ready(ports?))?;
     for command in stand_in::commands() {
         if matches!(command, Command::Finish) {
             break;
