--- a/src/bin/mossrill-allocator.rs
+++ b/src/bin/mossrill-allocator.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use mossrill::quota_lease::config::AllocatorConfig;
+use mossrill::config;
 use mossrill::quota_lease::server::Server;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -37,9 +37,9 @@
     // Before anything listens: the signal to stop may come at any time.
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|fault| format!("signals: {fault}"))?;
-    let config =
-        AllocatorConfig::from_file(&arguments.config).map_err(|fault| fault.to_string())?;
-    let server = Server::start(config, log).map_err(|fault| fault.to_string())?;
+    let settings =
+        config::allocator_from_file(&arguments.config).map_err(|error| error.to_string())?;
+    let server = Server::start(settings, log).map_err(|fault| fault.to_string())?;
     signals.forever().next();
     info!(log, "shutdown requested");
     server.stop();
--- a/src/bin/mossrill-simhost.rs
+++ b/src/bin/mossrill-simhost.rs
@@ -32,10 +32,14 @@
 impl Host {
     /// Takes one line; true when the batch is whole and its reply is due.
     fn take(&mut self, text: &str) -> Result<bool, String> {
-        match simulator::parse(text, self)? {
+        match simulator::parse(text, self).map_err(|error| error.to_string())? {
             Line::Batch(now) => self.now = now,
             Line::End => return Ok(true),
-            Line::Start(number, seed, settings) => {
+            Line::Start {
+                instance: number,
+                seed,
+                settings,
+            } => {
                 let names = Names::from_line(text);
                 match catch_unwind(AssertUnwindSafe(|| Engine::new(*settings, seed))) {
                     Ok(gateway) => {
@@ -46,10 +50,13 @@
                         .push(simulator::write_fault(number, "panic at the start")),
                 }
             }
-            Line::Stop(number) => {
+            Line::Stop { instance: number } => {
                 self.instances.remove(&number);
             }
-            Line::Event(number, event) => {
+            Line::Event {
+                instance: number,
+                event,
+            } => {
                 let now = self.now;
                 let actions = &mut self.actions;
                 let Some(instance) = self.instances.get_mut(&number) else {
--- /dev/null
+++ b/src/config/endpoints.rs
@@ -0,0 +1,76 @@
+//! The endpoint list: whole, or as a change, as service discovery and the key `known` have it.
+
+use super::reader::Section;
+use super::ConfigError;
+use crate::decision::{Endpoint, Readiness};
+use serde_json::Value;
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// The address of an endpoint that has been removed and came without one.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+
+/// An endpoint list, or a change of it.
+#[derive(Debug, Default)]
+pub struct EndpointUpdate {
+    /// Version of the list.
+    pub generation: u64,
+    /// The update has all endpoints, not changed ones alone.
+    pub full: bool,
+    /// Endpoints, each with its address.
+    pub nodes: Vec<(Endpoint, SocketAddr)>,
+}
+
+/// Reads an endpoint list, or a change of it.
+///
+/// # Errors
+///
+/// Names the key that is missing or has a value of another form.
+pub fn read_endpoint_update(value: &Value) -> Result<EndpointUpdate, ConfigError> {
+    let update = Section::new(value, "");
+    let entries = update.required("instances", "a list", Value::as_array)?;
+    Ok(EndpointUpdate {
+        generation: update.required("generation", "a whole number", Value::as_u64)?,
+        full: update.optional("reset", false, "true or false", Value::as_bool)?,
+        nodes: entries
+            .iter()
+            .map(read_endpoint)
+            .collect::<Result<_, _>>()?,
+    })
+}
+
+/// Reads an endpoint list as [`read_endpoint_update`] does, with the error as text.
+// Kept until the lead joins the folders: service discovery logs the text.
+pub fn endpoint_update(value: &Value) -> Result<EndpointUpdate, String> {
+    read_endpoint_update(value).map_err(|error| error.to_string())
+}
+
+fn read_endpoint(value: &Value) -> Result<(Endpoint, SocketAddr), ConfigError> {
+    let entry = Section::new(value, "instances[]");
+    let readiness = entry.required(
+        "lifecycle",
+        "in_service, terminating or terminated",
+        read_readiness,
+    )?;
+    let endpoint = Endpoint {
+        id: entry.text("instanceId")?.into(),
+        zone: entry.text_or("zone", "")?,
+        cell: entry.integer_or("cell", 0)?,
+        readiness,
+        weight: entry.number_or("weight", 1.0)?,
+        started_at: entry.integer_or("startedAtMs", 0)?.saturating_mul(1_000),
+    };
+    let address = match readiness {
+        Readiness::Removed => entry.address_or("hostPort", NO_ADDRESS)?,
+        _ => entry.address("hostPort")?,
+    };
+    Ok((endpoint, address))
+}
+
+fn read_readiness(value: &Value) -> Option<Readiness> {
+    match value.as_str()? {
+        "in_service" => Some(Readiness::Ready),
+        "terminating" => Some(Readiness::Draining),
+        "terminated" => Some(Readiness::Removed),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/config/membership.rs
@@ -0,0 +1,180 @@
+//! The section `fleet`: a process's place among the limiters or allocators that know each other.
+
+use super::reader::{parse_address, Section};
+use super::ConfigError;
+use crate::membership::datagram::{version, Key, MOST_LIMITERS};
+use crate::membership::link::Place;
+use crate::membership::released::Encoding;
+use crate::membership::view::Setup;
+use serde_json::Value;
+use std::net::{SocketAddr, SocketAddrV4};
+
+/// The keys of the section. Any other is an error, so that a misspelt key does not silently get its default.
+const KEYS: [&str; 10] = [
+    "name",
+    "key",
+    "listen",
+    "address",
+    "seeds",
+    "period_ms",
+    "out_per_s",
+    "in_per_s",
+    "forget_s",
+    "kept",
+];
+/// The form of an address, as errors name it.
+const IPV4_ADDRESS: &str = "an IPv4 host:port";
+/// The least number of hexadecimal digits of the fleet's key.
+const MIN_KEY_DIGITS: usize = 32;
+/// The most bytes that the name of a fleet may have.
+const MAX_NAME_BYTES: usize = 16;
+
+/// The process that reads the section.
+#[derive(Clone, Copy)]
+pub(super) struct Member {
+    /// Its number, from 0.
+    pub(super) number: u32,
+    /// Processes in the fleet.
+    pub(super) fleet_size: u32,
+    /// Seed of its random numbers.
+    pub(super) seed: u64,
+}
+
+/// Reads the key `fleet` of a file; none where it is absent.
+pub(super) fn read_membership(
+    root: &Section<'_>,
+    member: Member,
+) -> Result<Option<Place>, ConfigError> {
+    let section = root.section("fleet");
+    if section.value.is_null() {
+        return Ok(None);
+    }
+    check_keys(root, &section)?;
+    if member.fleet_size > MOST_LIMITERS {
+        return Err(ConfigError::FleetTooLarge {
+            limiters: member.fleet_size,
+            maximum: MOST_LIMITERS,
+        });
+    }
+    let listen = section.required("listen", IPV4_ADDRESS, read_ipv4_address)?;
+    let address = read_advertised_address(&section, listen)?;
+    let seeds = read_seeds(&section, member.fleet_size)?;
+    if !seeds.contains(&(member.number, address)) {
+        return Err(ConfigError::SeedMissing {
+            limiter: member.number,
+            address,
+        });
+    }
+    let key = Key::new(&read_key(&section)?);
+    Ok(Some(Place {
+        setup: Setup {
+            me: member.number,
+            size: member.fleet_size,
+            encoding: Encoding::of(member.fleet_size),
+            fleet: section.required("name", "text of 1 to 16 bytes", read_name)?,
+            address,
+            version: version(env!("CARGO_PKG_VERSION")),
+            seeds,
+            period: section.integer_within("period_ms", 300, 50..=10_000)? * 1_000,
+            out_per_s: section.integer_within("out_per_s", 40, 10..=1_000)? as u32,
+            in_per_s: section.integer_within("in_per_s", 40, 10..=1_000)? as u32,
+            forget: section.integer_within("forget_s", 60, 5..=86_400)? * 1_000_000,
+            kept: section.optional("kept", 0.5, "a number from 0.05 to 0.95", read_kept)?,
+        },
+        listen: listen.into(),
+        key,
+        seed: member.seed,
+    }))
+}
+
+fn check_keys(root: &Section<'_>, section: &Section<'_>) -> Result<(), ConfigError> {
+    let Some(entries) = section.value.as_object() else {
+        return Err(root.wrong("fleet", "an object"));
+    };
+    match entries.keys().find(|key| !KEYS.contains(&key.as_str())) {
+        Some(key) => Err(ConfigError::UnknownKey {
+            key: format!("fleet.{key}"),
+        }),
+        None => Ok(()),
+    }
+}
+
+/// Reads the address at which other members reach this one.
+fn read_advertised_address(
+    section: &Section<'_>,
+    listen: SocketAddrV4,
+) -> Result<SocketAddrV4, ConfigError> {
+    let address = section.optional("address", listen, IPV4_ADDRESS, read_ipv4_address)?;
+    if address.port() == 0 || address.ip().is_unspecified() {
+        return Err(section.wrong(
+            "address",
+            "the host:port at which other limiters reach this one",
+        ));
+    }
+    Ok(address)
+}
+
+/// Reads the seeds; each number and each address may occur once.
+fn read_seeds(
+    section: &Section<'_>,
+    fleet_size: u32,
+) -> Result<Vec<(u32, SocketAddrV4)>, ConfigError> {
+    let last = u64::from(fleet_size) - 1;
+    let wanted_number = format!("the number of a limiter, from 0 to {last}");
+    let entries = section.required("seeds", "a list", Value::as_array)?;
+    let mut seeds: Vec<(u32, SocketAddrV4)> = Vec::new();
+    for (index, entry) in entries.iter().enumerate() {
+        let entry = Section::new(entry, format!("fleet.seeds[{index}]"));
+        let number = entry.required("limiter", &wanted_number, |value| {
+            value.as_u64().filter(|number| *number <= last)
+        })? as u32;
+        let address = entry.required("address", IPV4_ADDRESS, |value| {
+            read_ipv4_address(value).filter(|address| address.port() > 0)
+        })?;
+        if seeds.iter().any(|(other, _)| *other == number) {
+            return Err(entry.wrong("limiter", "a number that no other seed has"));
+        }
+        if seeds.iter().any(|(_, other)| *other == address) {
+            return Err(entry.wrong("address", "an address that no other seed has"));
+        }
+        seeds.push((number, address));
+    }
+    Ok(seeds)
+}
+
+/// Reads the fleet's key; an error does not show the value.
+fn read_key(section: &Section<'_>) -> Result<Vec<u8>, ConfigError> {
+    parse_hexadecimal(&section.value["key"]).ok_or(ConfigError::WrongSecret {
+        key: "fleet.key",
+        wanted: "32 hex digits or more",
+    })
+}
+
+fn parse_hexadecimal(value: &Value) -> Option<Vec<u8>> {
+    let text = value.as_str()?;
+    if text.len() < MIN_KEY_DIGITS || text.len() % 2 != 0 || !text.is_ascii() {
+        return None;
+    }
+    (0..text.len())
+        .step_by(2)
+        .map(|start| u8::from_str_radix(&text[start..start + 2], 16).ok())
+        .collect()
+}
+
+fn read_ipv4_address(value: &Value) -> Option<SocketAddrV4> {
+    match parse_address(value.as_str()?)? {
+        SocketAddr::V4(address) => Some(address),
+        SocketAddr::V6(_) => None,
+    }
+}
+
+fn read_name(value: &Value) -> Option<String> {
+    let name = value.as_str()?;
+    (1..=MAX_NAME_BYTES)
+        .contains(&name.len())
+        .then(|| name.to_owned())
+}
+
+fn read_kept(value: &Value) -> Option<f64> {
+    value.as_f64().filter(|share| (0.05..=0.95).contains(share))
+}
--- /dev/null
+++ b/src/config/platform.rs
@@ -0,0 +1,171 @@
+//! The configuration of a limiter on the platform.
+
+use super::common::{
+    bounded_descriptors, bounded_open_requests, MAX_DESCRIPTORS, MAX_OPEN_REQUESTS,
+};
+use super::decision::check;
+use super::endpoints::read_endpoint_update;
+use super::membership::{read_membership, Member};
+use super::reader::{parse, positive, Section};
+use super::{CommonConfig, ConfigError, ConnectionSettings, EndpointUpdate};
+use crate::decision::{Micros, Settings};
+use crate::simulator::{self, Names};
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// Keys that environment variables stand in for where the file lacks them.
+const ENVIRONMENT: [(&str, &str); 4] = [
+    ("name", "EDGE_NAME"),
+    ("listen", "EDGE_LISTEN"),
+    ("discovery", "EDGE_DISCOVERY"),
+    ("control", "EDGE_CONTROL"),
+];
+/// Default time after which upstream servers close idle connections, in microseconds.
+const DEFAULT_IDLE: Micros = 30_000_000;
+/// Default time within which a connection must be established, in microseconds.
+const DEFAULT_CONNECT: Micros = 250_000;
+
+/// The configuration of a limiter on the platform.
+pub struct PlatformConfig {
+    /// What every limiter has.
+    pub common: CommonConfig,
+    /// Address of service discovery.
+    pub node_list: SocketAddr,
+    /// Address of the quota counter, if there is one.
+    pub quota_counter: Option<SocketAddr>,
+    /// Names of classes and plans.
+    pub names: Names,
+    /// Names of the figures of a load report, in the order of the decision module's settings.
+    pub load_fields: Vec<String>,
+    /// Most units that a request may take.
+    pub most_units: f64,
+}
+
+/// Reads the configuration of a limiter on the platform. `env` looks up the environment variables that stand in for
+/// absent keys.
+///
+/// # Errors
+///
+/// Names the first key that is missing or has a value of another form.
+pub fn platform(
+    text: &str,
+    env: impl Fn(&str) -> Option<String>,
+) -> Result<PlatformConfig, ConfigError> {
+    let mut file = parse(text)?;
+    if !file.is_object() {
+        return Err(ConfigError::NotAnObject);
+    }
+    for (key, variable) in ENVIRONMENT {
+        if !file[key].is_null() {
+            continue;
+        }
+        if let Some(text) = env(variable) {
+            file[key] = Value::String(text);
+        }
+    }
+    read_platform(&Section::new(&file, ""))
+}
+
+fn read_platform(root: &Section<'_>) -> Result<PlatformConfig, ConfigError> {
+    let section = root.section("settings");
+    let settings = read_settings(root)?;
+    let sockets = root
+        .section("limits")
+        .integer_or("sockets", MAX_DESCRIPTORS)?;
+    let seed = root.optional("seed", 0, "16 hex digits", |value| {
+        u64::from_str_radix(value.as_str()?, 16).ok()
+    })?;
+    let quota_counter = root.optional_address("counter")?;
+    check_peers(root, &settings, quota_counter)?;
+    let known = read_known(root)?;
+    let limits = section.section("limits");
+    let max_open = limits.integer_or("maxOpen", MAX_OPEN_REQUESTS)?;
+    let links = ConnectionSettings {
+        idle: limits.micros_or("connIdle", DEFAULT_IDLE)?,
+        connect: limits.micros_or("connectTimeout", DEFAULT_CONNECT)?,
+    };
+    let names = Names::from_settings(section.value);
+    let member = Member {
+        number: settings.limiter,
+        fleet_size: settings.limiters,
+        seed,
+    };
+    Ok(PlatformConfig {
+        node_list: root.address("discovery")?,
+        quota_counter,
+        load_fields: read_load_fields(&section)?,
+        most_units: section.section("specifics").optional(
+            "unitsTop",
+            f64::MAX,
+            "a number above 0",
+            positive,
+        )?,
+        common: CommonConfig {
+            name: root.text("name")?.to_owned(),
+            listen: root.address("listen")?,
+            control: root.optional_address("control")?,
+            common_folder: None,
+            fleet: read_membership(root, member)?,
+            leases: None,
+            class_names: names.classes().to_vec(),
+            seed,
+            descriptors: bounded_descriptors(sockets),
+            max_open: bounded_open_requests(max_open),
+            links,
+            settings,
+            known,
+        },
+        names,
+    })
+}
+
+fn read_settings(root: &Section<'_>) -> Result<Settings, ConfigError> {
+    let value = root.required("settings", "an object", |value| {
+        value.is_object().then_some(value)
+    })?;
+    let settings = simulator::settings(value).map_err(ConfigError::Settings)?;
+    check(&settings)?;
+    Ok(settings)
+}
+
+/// Checks that the addresses of peers agree with what the settings allow.
+fn check_peers(
+    root: &Section<'_>,
+    settings: &Settings,
+    quota_counter: Option<SocketAddr>,
+) -> Result<(), ConfigError> {
+    if settings.counter && quota_counter.is_none() {
+        return Err(root.wrong("counter", "host:port"));
+    }
+    if root.value["fleet"].is_object() && !settings.limits.peer_messages {
+        return Err(ConfigError::Inconsistent {
+            key: "fleet",
+            reason: "is there, and the settings allow no messages between limiters",
+        });
+    }
+    Ok(())
+}
+
+fn read_known(root: &Section<'_>) -> Result<EndpointUpdate, ConfigError> {
+    let known = &root.value["known"];
+    if known.is_null() {
+        return Ok(EndpointUpdate::default());
+    }
+    read_endpoint_update(known).map_err(|source| ConfigError::InSection {
+        key: "known",
+        source: Box::new(source),
+    })
+}
+
+fn read_load_fields(settings: &Section<'_>) -> Result<Vec<String>, ConfigError> {
+    let read_names = |value: &Value| {
+        value
+            .as_array()?
+            .iter()
+            .map(|field| field.as_str().map(str::to_owned))
+            .collect()
+    };
+    settings
+        .section("loadInfo")
+        .optional("fields", Vec::new(), "a list of names", read_names)
+}
--- a/src/openapi/client_protocol.rs
+++ b/src/openapi/client_protocol.rs
@@ -2,7 +2,7 @@
 
 use crate::client::interruptible::InterruptibleReader;
 use crate::client::{ClientProtocol, CloseReason, Reply, Session};
-use crate::config::Account;
+use crate::config::AccountConfig;
 use crate::core::{Answer, IncomingRequest};
 use crate::decision::AccountId;
 use crate::openapi::description::{Description, Found, Operation};
@@ -22,7 +22,7 @@
 pub struct HttpClientProtocol {
     description: Description,
     account_header: String,
-    accounts: HashMap<String, Account>,
+    accounts: HashMap<String, AccountConfig>,
 }
 
 /// What the writer has to know of a request.
@@ -245,7 +245,7 @@
     pub fn new(
         description: Description,
         account_header: String,
-        accounts: HashMap<String, Account>,
+        accounts: HashMap<String, AccountConfig>,
     ) -> Self {
         Self {
             description,
@@ -300,7 +300,7 @@
     }
 
     /// Finds the operation and the agent account that a request names.
-    fn understand(&self, ask: &Ask) -> Result<(&Operation, &str, Account), Problem> {
+    fn understand(&self, ask: &Ask) -> Result<(&Operation, &str, AccountConfig), Problem> {
         let path = ask.target.split(['?', '#']).next().unwrap_or("");
         let operation = match self.description.find(&ask.method, path) {
             Found::Operation(operation) => operation,
--- a/src/openapi/mod.rs
+++ b/src/openapi/mod.rs
@@ -4,10 +4,9 @@
 
 pub mod client_protocol;
 pub mod description;
-mod strict;
 pub mod upstream_protocol;
 
-use crate::config::{OpenApi, Store};
+use crate::config::{OpenApiConfig, StoreConfig};
 use crate::counter::http::QuotaCounter;
 use crate::counter::redis::RedisCounter;
 use crate::counter::CountLines;
@@ -21,9 +20,9 @@
 /// Starts a limiter with an OpenAPI front, all but its core. The second is what a new file is given to: it may move
 /// ticket nodes and store; all else waits for the next start.
 pub fn start(
-    config: OpenApi,
+    config: OpenApiConfig,
     log: &Logger,
-) -> io::Result<(Limiter<HttpClientProtocol>, Reload<OpenApi>)> {
+) -> io::Result<(Limiter<HttpClientProtocol>, Reload<OpenApiConfig>)> {
     for operation in &config.description.unmarked {
         warn!(log, "operation is never retried, as x-quota-effect is missing"; "operation" => operation);
     }
@@ -31,11 +30,11 @@
     let wait = Duration::from_micros(config.common.settings.counter_timeout);
     let counter_log = log.new(o!("part" => "counter"));
     let counter = |counted| match store {
-        Store::None | Store::Leases => Ok(None),
-        Store::Redis(at) => {
+        StoreConfig::None | StoreConfig::Leases => Ok(None),
+        StoreConfig::Redis(at) => {
             CountLines::start(at, wait, RedisCounter, counted, &counter_log).map(Some)
         }
-        Store::QuotaCounter(at) => {
+        StoreConfig::QuotaCounter(at) => {
             CountLines::start(at, wait, QuotaCounter, counted, &counter_log).map(Some)
         }
     };
@@ -43,12 +42,14 @@
         HttpClientProtocol::new(config.description, config.account_header, config.accounts);
     let limiter = Limiter::start(config.common, agents, HttpUpstreamProtocol, counter, log)?;
     let (news, lines, log) = (limiter.news(), limiter.count_lines(), log.clone());
-    let reload = move |config: OpenApi| {
+    let reload = move |config: OpenApiConfig| {
         news(config.common.known);
         match (store, config.store, &lines) {
-            (Store::Redis(_), Store::Redis(at), Some(lines)) => lines.move_to(at),
-            (Store::QuotaCounter(_), Store::QuotaCounter(at), Some(lines)) => lines.move_to(at),
-            (Store::None, Store::None, _) => {}
+            (StoreConfig::Redis(_), StoreConfig::Redis(at), Some(lines)) => lines.move_to(at),
+            (StoreConfig::QuotaCounter(_), StoreConfig::QuotaCounter(at), Some(lines)) => {
+                lines.move_to(at)
+            }
+            (StoreConfig::None, StoreConfig::None, _) => {}
             _ => warn!(log, "counter or allocator change needs a restart"),
         }
         info!(log, "configuration reloaded"; "store" => ?config.store);
--- a/src/quota_lease/mod.rs
+++ b/src/quota_lease/mod.rs
@@ -5,7 +5,11 @@
 mod account;
 pub mod allocator;
 pub mod bucket;
-pub mod config;
+/// Configuration of quota leases in a limiter's file.
+// Re-exported until the lead joins the folders.
+pub mod config {
+    pub use crate::config::QuotaLeaseConfig as LimiterLeases;
+}
 mod exchange;
 pub mod frame;
 mod held;
--- a/src/quota_lease/server.rs
+++ b/src/quota_lease/server.rs
@@ -5,14 +5,13 @@
 //! limiter that is slow, silent or sends garbage so holds up its own connection alone.
 
 use super::allocator::{Allocator, AllocatorSettings, Ownership};
-use super::config::AllocatorConfig;
 use super::frame::{self, FrameError, Timeouts};
 use super::message::{Grant, MessageError, Report, Verdict};
 use crate::core::Clock;
 use crate::decision::Micros;
 use crate::decision::QuotaShares;
 use crate::log_throttle::LogThrottle;
-use crate::membership::link::Fleet;
+use crate::membership::link::{Fleet, Place};
 use crate::threads::spawn;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender};
 use prost::Message;
@@ -47,6 +46,31 @@
     Stop(Sender<()>),
 }
 
+/// Settings of the server of an allocator.
+#[derive(Clone)]
+pub struct ServerSettings {
+    /// Number of the allocator, from 0.
+    pub number: u32,
+    /// Allocators in all.
+    pub allocators: u32,
+    /// Address at which limiters connect.
+    pub listen: SocketAddr,
+    /// Limiters in all, numbered from 0.
+    pub limiters: u32,
+    /// Lifetime of a lease.
+    pub lifetime: Duration,
+    /// Most accounts that are kept.
+    pub accounts: usize,
+    /// Timeouts after which a connection is closed.
+    pub timeouts: Timeouts,
+    /// Interval between two lines of figures in the log.
+    pub log_interval: Duration,
+    /// Most connections that may be open at once.
+    pub connections: usize,
+    /// Place in the fleet of allocators.
+    pub fleet: Place,
+}
+
 /// An allocator that serves limiters.
 pub struct Server {
     /// Where limiters connect.
@@ -57,28 +81,28 @@
 
 impl Server {
     /// Starts all threads.
-    pub fn start(config: AllocatorConfig, log: &Logger) -> io::Result<Self> {
-        warn_of_few_descriptors(&config, log);
+    pub fn start(settings: ServerSettings, log: &Logger) -> io::Result<Self> {
+        warn_of_few_descriptors(&settings, log);
         let clock = Clock::start();
         let (queue, inputs) = unbounded();
-        let listener = listen(config.listen)?;
+        let listener = listen(settings.listen)?;
         let address = listener.local_addr()?;
         let connections = Arc::new(Connections {
             queue: queue.clone(),
-            timeouts: config.timeouts,
-            limit: config.connections,
+            timeouts: settings.timeouts,
+            limit: settings.connections,
             open: AtomicUsize::new(0),
             closed: ClosedConnections::default(),
             closed_log: LogThrottle::default(),
             log: log.new(o!("part" => "connections")),
         });
         let owner = Owner {
-            allocator: new_allocator(&config, clock),
+            allocator: new_allocator(&settings, clock),
             clock,
             connections: connections.clone(),
             figures: Metrics::default(),
             lease: Lease::default(),
-            log_interval: config.log_interval,
+            log_interval: settings.log_interval,
             log: log.new(o!("part" => "allocator")),
         };
         spawn("allocator", move || owner.run(&inputs))?;
@@ -87,13 +111,13 @@
         let told =
             move |standing: QuotaShares| _ = to_owner.send(Input::Ownership(ownership(&standing)));
         let fleet = Fleet::start(
-            config.fleet,
+            settings.fleet,
             clock,
             told,
             log.new(o!("part" => "membership")),
         )?;
         fleet.speak(true);
-        info!(log, "listening"; "address" => %address, "allocator" => config.number, "of" => config.allocators);
+        info!(log, "listening"; "address" => %address, "allocator" => settings.number, "of" => settings.allocators);
         Ok(Self {
             address,
             queue,
@@ -120,8 +144,8 @@
 }
 
 /// Each connection takes a file descriptor.
-fn warn_of_few_descriptors(config: &AllocatorConfig, log: &Logger) {
-    let wanted = (config.connections + OTHER_DESCRIPTORS) as u64;
+fn warn_of_few_descriptors(settings: &ServerSettings, log: &Logger) {
+    let wanted = (settings.connections + OTHER_DESCRIPTORS) as u64;
     if let Some(allowed) = getrlimit(Resource::Nofile)
         .current
         .filter(|allowed| *allowed < wanted)
@@ -130,14 +154,14 @@
     }
 }
 
-fn new_allocator(config: &AllocatorConfig, clock: Clock) -> Allocator {
-    let settings = AllocatorSettings {
-        limiters: config.limiters,
-        lease: micros(config.lifetime),
-        max_accounts: config.accounts,
+fn new_allocator(settings: &ServerSettings, clock: Clock) -> Allocator {
+    let allocator = AllocatorSettings {
+        limiters: settings.limiters,
+        lease: micros(settings.lifetime),
+        max_accounts: settings.accounts,
         ..AllocatorSettings::default()
     };
-    Allocator::new(config.number, config.allocators, clock.now(), settings)
+    Allocator::new(settings.number, settings.allocators, clock.now(), allocator)
 }
 
 fn micros(span: Duration) -> Micros {
--- /dev/null
+++ b/src/simulator/actions.rs
@@ -0,0 +1,35 @@
+//! Lines to the simulator: actions of instances, and errors of their code.
+
+use crate::decision::Action;
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine;
+use serde_json::json;
+
+/// Writes one action of an instance as a line.
+pub fn write(instance: u64, action: &Action) -> String {
+    let line = match action {
+        Action::Send {
+            id,
+            server,
+            timeout,
+            ..
+        } => json!(["submitTo", instance, &*id.0, timeout, &*server.0]),
+        Action::Cancel { id, attempt } => json!(["dropAttempt", instance, &*id.0, attempt]),
+        Action::Reject { id, retry_after } => json!(["bounce", instance, &*id.0, retry_after]),
+        Action::Fail { id } => json!(["abort", instance, &*id.0]),
+        Action::SetTimer { delay, token } => json!(["defer", instance, delay, token]),
+        Action::CheckHealth { server } => json!(["poll", instance, &*server.0]),
+        Action::SendToPeer { to, body } => json!(["signal", instance, to, STANDARD.encode(body)]),
+        Action::AddToCounter { key, amount, ttl } => {
+            json!(["addAndGet", instance, key, amount, ttl])
+        }
+        Action::WatchEndpoints => json!(["tail", instance, true]),
+        Action::RequestLease { .. } => return write_fault(instance, "the platform has no leases"),
+    };
+    line.to_string()
+}
+
+/// Writes that the code of an instance has failed.
+pub fn write_fault(instance: u64, text: &str) -> String {
+    json!(["giveIn", instance, text]).to_string()
+}
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -114,7 +114,8 @@
     settings["control"] = "nowhere".into();
     let fault = mossrill::config::platform(&settings.to_string(), |_| None)
         .err()
-        .expect("a fault");
+        .expect("a fault")
+        .to_string();
     assert!(fault.contains("\"control\""), "{fault}");
 }
 
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -405,7 +405,9 @@
         serde_json::from_str(include_str!("../../deploy/fleet.json")).expect("JSON");
     let description = include_str!("../../deploy/ferry.openapi.json");
     let read = |file: &serde_json::Value| {
-        mossrill::config::openapi(&file.to_string(), |_| Ok(description.to_owned())).err()
+        mossrill::config::openapi(&file.to_string(), |_| Ok(description.to_owned()))
+            .err()
+            .map(|fault| fault.to_string())
     };
     // The operators' file itself is good, and without the part nothing is known of a fleet.
     assert_eq!(read(&file), None);
@@ -439,7 +441,8 @@
     told["fleet"] = file["fleet"].clone();
     let fault = mossrill::config::platform(&told.to_string(), |_| None)
         .err()
-        .expect("a fault");
+        .expect("a fault")
+        .to_string();
     assert!(fault.contains("\"fleet\""), "{fault}");
 }
 
--- a/tests/golden/hosts.rs
+++ b/tests/golden/hosts.rs
@@ -109,7 +109,11 @@
             match simulator::parse(line, self).expect("a line of the wire") {
                 Line::Batch(now) => self.now = now,
                 Line::End => {}
-                Line::Start(number, seed, mut settings) => {
+                Line::Start {
+                    instance: number,
+                    seed,
+                    mut settings,
+                } => {
                     settings.quota_leases = true;
                     settings.counter = false;
                     self.instances.insert(
@@ -117,8 +121,11 @@
                         (Engine::new(*settings, seed), Names::from_line(line)),
                     );
                 }
-                Line::Stop(number) => drop(self.instances.remove(&number)),
-                Line::Event(number, event) => self.on_event(number, event, &mut reply),
+                Line::Stop { instance: number } => drop(self.instances.remove(&number)),
+                Line::Event {
+                    instance: number,
+                    event,
+                } => self.on_event(number, event, &mut reply),
             }
         }
         reply.push("[\"next\"]".to_owned());
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -241,6 +241,7 @@
     ] {
         assert!(DESCRIPTION.contains(from), "{from}");
         let faults = Description::read(&DESCRIPTION.replacen(from, to, 1)).expect_err(to);
+        let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
         told.push(format!("{from} -> {to}\n    {}", faults.join("\n    ")));
     }
     let good = Description::read(DESCRIPTION).expect("a good description");
@@ -255,7 +256,8 @@
         told.push(
             config::openapi(&file.to_string(), |_| Ok(DESCRIPTION.into()))
                 .err()
-                .expect(key),
+                .expect(key)
+                .to_string(),
         );
     }
     insta::assert_snapshot!(told.join("\n"));
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -275,7 +275,7 @@
         let mut settings = settings(at, at, &[("s-1", at)]);
         *settings.pointer_mut(path).expect(path) = value;
         let fault = mossrill::config::platform(&settings.to_string(), |_| None).err();
-        faults.push(fault.unwrap_or_else(|| format!("{path} was taken")));
+        faults.push(fault.map_or(format!("{path} was taken"), |fault| fault.to_string()));
     }
     insta::assert_snapshot!(faults.join("\n"));
 }
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -5,7 +5,6 @@
 use common::*;
 use mossrill::config;
 use mossrill::decision::*;
-use mossrill::quota_lease::config::AllocatorConfig;
 use mossrill::quota_lease::frame::{self, FrameError, Timeouts};
 use mossrill::quota_lease::message::MAX_BYTES;
 use serde_json::{json, Value};
@@ -131,7 +130,7 @@
     change(&mut file["store"]);
     match config::openapi(&file.to_string(), |_| Ok(DESCRIPTION.to_owned())) {
         Ok(_) => "taken".into(),
-        Err(fault) => fault,
+        Err(fault) => fault.to_string(),
     }
 }
 
@@ -198,7 +197,7 @@
 fn allocator_fault(change: impl Fn(&mut Value)) -> String {
     let mut file: Value = serde_json::from_str(ALLOCATOR).expect("JSON");
     change(&mut file);
-    match AllocatorConfig::from_text("allocator.json", &file.to_string()) {
+    match config::allocator("allocator.json", &file.to_string()) {
         Ok(_) => "taken".into(),
         Err(fault) => fault.to_string(),
     }
@@ -232,8 +231,8 @@
     assert!(unknown.contains("lifetme_ms"), "{unknown}");
     let nested = allocator_fault(|file| file["fleet"]["perod_ms"] = json!(1));
     assert!(nested.contains("fleet.perod_ms"), "{nested}");
-    assert!(AllocatorConfig::from_text("f", "{").is_err());
-    assert!(AllocatorConfig::from_file(std::path::Path::new("/nonexistent")).is_err());
+    assert!(config::allocator("f", "{").is_err());
+    assert!(config::allocator_from_file(std::path::Path::new("/nonexistent")).is_err());
 }
 
 fn leased(open: u32) -> Bench {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -23,7 +23,12 @@
 
 #[test]
 fn settings_ignore_what_is_unknown_and_default_what_is_absent() {
-    let Ok(Line::Start(3, u64::MAX, settings)) = parse(&START.replace('\n', ""), &one()) else {
+    let Ok(Line::Start {
+        instance: 3,
+        seed: u64::MAX,
+        settings,
+    }) = parse(&START.replace('\n', ""), &one())
+    else {
         panic!("not a start")
     };
     assert_eq!(
@@ -40,7 +45,11 @@
 #[test]
 fn events_and_actions_have_the_page_s_order() {
     let line = r#"["workItem",3,"rq","look","basic","key:a",240000,2,3,1,false,false]"#;
-    let Ok(Line::Event(3, Event::Request(r))) = parse(line, &one()) else {
+    let Ok(Line::Event {
+        instance: 3,
+        event: Event::Request(r),
+    }) = parse(line, &one())
+    else {
         panic!("not a request")
     };
     assert_eq!(
@@ -48,7 +57,11 @@
         (240_000, 2.0, 3, 1)
     );
     let line = r#"["resolved",3,"rq",null,86,18500,"b",303,1,false,null]"#;
-    let Ok(Line::Event(3, Event::AttemptEnded(e))) = parse(line, &one()) else {
+    let Ok(Line::Event {
+        instance: 3,
+        event: Event::AttemptEnded(e),
+    }) = parse(line, &one())
+    else {
         panic!("not an outcome")
     };
     assert_eq!(
@@ -91,7 +104,7 @@
             "unknown class none",
         ),
     ] {
-        let fault = parse(line, &one()).expect_err(line);
+        let fault = parse(line, &one()).expect_err(line).to_string();
         assert!(fault.contains(words), "{line}: {fault}");
     }
 }
