--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -26,7 +26,9 @@
 use crate::quota_lease::config::LimiterLeases;
 use crate::quota_lease::link::{AllocatorLinks, Told};
 use crate::quota_lease::message::Report;
-use crate::upstream::{UpstreamEvent, UpstreamEventSink, UpstreamPool, UpstreamProtocol};
+use crate::upstream::{
+    UpstreamEvent, UpstreamEventSink, UpstreamPool, UpstreamPoolOptions, UpstreamProtocol,
+};
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use slog::{info, o, warn, Logger};
 use socket2::{Domain, Socket, Type};
@@ -90,11 +92,11 @@
     }
 
     fn check_health(&mut self, node: &ServerId) {
-        self.nodes.probe(node);
+        self.nodes.check_health(node);
     }
 
     fn block_server(&mut self, node: &ServerId) {
-        self.nodes.bar(node);
+        self.nodes.block_server(node);
     }
 
     fn notify_peer_process(&mut self, news: Body) {
@@ -179,14 +181,14 @@
             .map(|folder| Beside::new(&folder, beside_log));
         let joined = beside.as_ref().and_then(|beside| beside.join());
         let nodes_log = log.new(o!("part" => "upstream"));
-        let nodes = UpstreamPool::new(
-            common.links,
-            for_nodes,
-            upstream_protocol,
-            upstream_events(queue.clone()),
-            figures.clone(),
-            nodes_log,
-        );
+        let nodes = UpstreamPool::new(UpstreamPoolOptions {
+            links: common.links,
+            max_connections: for_nodes,
+            protocol: upstream_protocol,
+            events: upstream_events(queue.clone()),
+            metrics: figures.clone(),
+            log: nodes_log,
+        });
         let to = queue.clone();
         let counted = move |call, outcome, total| {
             _ = to.send(Input::CounterReply {
@@ -510,7 +512,8 @@
         let (agents, nodes) = self.shares;
         self.front
             .set_max_connections(if shared { agents - agents / 8 } else { agents });
-        self.nodes.limit(if shared { nodes / 2 } else { nodes });
+        self.nodes
+            .set_max_connections(if shared { nodes / 2 } else { nodes });
     }
 
     fn empty(&self) -> bool {
@@ -529,7 +532,7 @@
     scope: UpdateScope,
     news: EndpointUpdate,
 ) {
-    nodes.learn(&news);
+    nodes.update(&news);
     let members = news.nodes.into_iter().map(|(member, _)| member).collect();
     _ = queue.send(Input::EndpointUpdate(scope, members));
 }
--- /dev/null
+++ b/src/upstream/pool.rs
@@ -0,0 +1,237 @@
+//! The pool: starts attempts and health checks at upstream servers, each on a thread, and cancels them.
+
+use super::connection::{max_idle_time, ConnectionCount};
+use super::event::{UpstreamEvent, UpstreamEventSink};
+use super::protocol::{Presence, UpstreamProtocol};
+use super::running_attempt::RunningAttempt;
+use super::servers::ServerTable;
+use super::worker::{AcquiredConnection, Attempt, Job, Worker};
+use crate::config::{EndpointUpdate, Links};
+use crate::core::{AttemptDeadlines, AttemptId};
+use crate::decision::{Outcome, ServerId};
+use crate::log_throttle::LogThrottle;
+use crate::metrics::Metrics;
+use crate::threads::{lock, spawn};
+use slog::{warn, Logger};
+use std::io;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use thiserror::Error;
+
+/// What a pool of upstream connections is made of.
+pub struct UpstreamPoolOptions<S: UpstreamProtocol> {
+    /// Time-outs of connections.
+    pub links: Links,
+    /// Most connections to all servers together.
+    pub max_connections: usize,
+    /// The protocol of the servers.
+    pub protocol: S,
+    /// Receives what becomes of attempts and health checks.
+    pub events: UpstreamEventSink<S::Value>,
+    /// Counts attempts.
+    pub metrics: Arc<Metrics>,
+    /// Where faults of this process are logged.
+    pub log: Logger,
+}
+
+/// The upstream servers and the connections to them. Clones share these.
+pub struct UpstreamPool<S: UpstreamProtocol> {
+    shared: Arc<Shared<S>>,
+}
+
+impl<S: UpstreamProtocol> Clone for UpstreamPool<S> {
+    fn clone(&self) -> Self {
+        Self {
+            shared: self.shared.clone(),
+        }
+    }
+}
+
+/// What the pool and its workers share.
+pub(super) struct Shared<S: UpstreamProtocol> {
+    pub(super) table: Mutex<ServerTable>,
+    pub(super) links: Links,
+    max_connections: AtomicUsize,
+    pub(super) connections: ConnectionCount,
+    pub(super) protocol: S,
+    pub(super) events: UpstreamEventSink<S::Value>,
+    pub(super) metrics: Arc<Metrics>,
+    log: Logger,
+    full_log: LogThrottle,
+}
+
+impl<S: UpstreamProtocol> Shared<S> {
+    fn is_full(&self) -> bool {
+        self.connections.get() >= self.max_connections.load(Ordering::Relaxed)
+    }
+
+    /// Logs, but not every time, that no connection can be opened.
+    fn log_full(&self) {
+        let Some(suppressed) = self.full_log.permit() else {
+            return;
+        };
+        warn!(self.log, "no file descriptor left for an upstream connection";
+            "connections" => self.connections.get(), "suppressed" => suppressed);
+    }
+}
+
+/// Why a job was not started.
+#[derive(Debug, Error)]
+enum DispatchError {
+    #[error("unknown upstream server")]
+    UnknownServer,
+    #[error("too many upstream connections")]
+    TooManyConnections,
+    #[error("no thread: {0}")]
+    NoThread(#[source] io::Error),
+}
+
+impl DispatchError {
+    /// How the attempt or health check ends.
+    fn outcome(&self) -> Outcome {
+        match self {
+            Self::UnknownServer => Outcome::ConnectFailed,
+            // No judgement on the server: the attempt never reached it.
+            Self::TooManyConnections | Self::NoThread(_) => Outcome::Superseded,
+        }
+    }
+}
+
+impl<S: UpstreamProtocol> UpstreamPool<S> {
+    /// A pool that knows no server yet.
+    pub fn new(options: UpstreamPoolOptions<S>) -> Self {
+        let table = ServerTable::new(max_idle_time(options.links.idle));
+        Self {
+            shared: Arc::new(Shared {
+                table: Mutex::new(table),
+                links: options.links,
+                max_connections: AtomicUsize::new(options.max_connections),
+                connections: ConnectionCount::default(),
+                protocol: options.protocol,
+                events: options.events,
+                metrics: options.metrics,
+                log: options.log,
+                full_log: LogThrottle::default(),
+            }),
+        }
+    }
+
+    /// Sets the most connections from now on, and closes as many idle ones as there are above it.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        let shared = &self.shared;
+        shared
+            .max_connections
+            .store(max_connections, Ordering::Relaxed);
+        let mut table = lock(&shared.table);
+        let excess = shared.connections.get().saturating_sub(max_connections);
+        for _ in 0..excess {
+            if !table.close_oldest_idle() {
+                break;
+            }
+        }
+    }
+
+    /// Applies an update of the endpoint list. A server that was removed or is absent from a full list loses
+    /// its idle connections.
+    pub fn update(&self, update: &EndpointUpdate) {
+        lock(&self.shared.table).update(update);
+    }
+
+    /// Starts an attempt on an idle connection, or on a new one. [`UpstreamEvent::AttemptEnded`] follows
+    /// unless the attempt is cancelled.
+    pub fn start(
+        &self,
+        attempt: AttemptId,
+        server: &ServerId,
+        call: Arc<S::Call>,
+        deadlines: AttemptDeadlines,
+        client: Arc<dyn Presence>,
+    ) {
+        let running = Arc::new(RunningAttempt::new(server.clone()));
+        lock(&self.shared.table)
+            .running
+            .insert(attempt, running.clone());
+        let job = Job::Attempt(Attempt {
+            id: attempt,
+            call,
+            deadlines,
+            running,
+            client,
+        });
+        if let Err(error) = self.dispatch(server, job) {
+            lock(&self.shared.table).running.remove(&attempt);
+            (self.shared.events)(UpstreamEvent::AttemptEnded {
+                attempt,
+                outcome: error.outcome(),
+                load: Vec::new(),
+                value: None,
+            });
+        }
+    }
+
+    /// Cancels an attempt by closing its connection, which notifies the server. Returns false if nothing of
+    /// it was written: it can't have run.
+    pub fn cancel(&self, attempt: AttemptId) -> bool {
+        let removed = lock(&self.shared.table).running.remove(&attempt);
+        removed.is_none_or(|running| running.cancel())
+    }
+
+    /// Cancels an attempt of which nothing is written yet; returns false if something is.
+    pub fn withdraw(&self, attempt: AttemptId) -> bool {
+        let mut table = lock(&self.shared.table);
+        let withdrawn = table
+            .running
+            .get(&attempt)
+            .is_some_and(|running| running.withdraw());
+        if withdrawn {
+            table.running.remove(&attempt);
+        }
+        withdrawn
+    }
+
+    /// Keeps attempts at a server that wait for their connections from being written.
+    pub fn block_server(&self, server: &ServerId) {
+        let table = lock(&self.shared.table);
+        for running in table.running.values() {
+            if running.server() == server {
+                running.block();
+            }
+        }
+    }
+
+    /// Checks the health of a server and asks for its load. [`UpstreamEvent::HealthChecked`] follows.
+    pub fn check_health(&self, server: &ServerId) {
+        if let Err(error) = self.dispatch(server, Job::HealthCheck) {
+            (self.shared.events)(UpstreamEvent::HealthChecked {
+                server: server.clone(),
+                outcome: error.outcome(),
+                latency: Duration::ZERO,
+                load: Vec::new(),
+            });
+        }
+    }
+
+    /// Has a worker carry out a job on a thread.
+    fn dispatch(&self, server: &ServerId, job: Job<S::Call>) -> Result<(), DispatchError> {
+        let shared = &self.shared;
+        let mut table = lock(&shared.table);
+        let address = table.address(server).ok_or(DispatchError::UnknownServer)?;
+        let acquired = match table.take_idle(server) {
+            Some(idle) => AcquiredConnection::Idle(idle),
+            None => {
+                if shared.is_full() && !table.close_oldest_idle() {
+                    shared.log_full();
+                    return Err(DispatchError::TooManyConnections);
+                }
+                AcquiredConnection::New(shared.connections.reserve())
+            }
+        };
+        drop(table);
+        let worker = Worker::new(server.clone(), address, shared.clone());
+        spawn("node", move || worker.run(acquired, job)).map_err(|error| {
+            warn!(shared.log, "no thread for an attempt"; "error" => %error);
+            DispatchError::NoThread(error)
+        })
+    }
+}
--- /dev/null
+++ b/src/upstream/servers.rs
@@ -0,0 +1,141 @@
+//! The known upstream servers, their idle connections and the running attempts.
+
+use super::connection::{Connection, IdleConnection};
+use super::running_attempt::RunningAttempt;
+use crate::config::EndpointUpdate;
+use crate::core::AttemptId;
+use crate::decision::{Readiness, ServerId};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Time between two sweeps of all idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Idle connections to one server.
+const MAX_IDLE_PER_SERVER: usize = 32;
+
+/// The upstream servers and what is under way to them; the pool has it behind a lock.
+pub(super) struct ServerTable {
+    servers: HashMap<ServerId, Server>,
+    /// Attempts that have neither ended nor been cancelled.
+    pub(super) running: HashMap<AttemptId, Arc<RunningAttempt>>,
+    /// Idle connections that have been so for longer are closed.
+    max_idle_time: Duration,
+    last_sweep: Instant,
+}
+
+struct Server {
+    address: SocketAddr,
+    /// In order of their last use, the latest last.
+    idle: Vec<IdleConnection>,
+}
+
+impl Server {
+    fn new(address: SocketAddr) -> Self {
+        Self {
+            address,
+            idle: Vec::new(),
+        }
+    }
+
+    fn close_expired(&mut self, max_idle_time: Duration) {
+        self.idle
+            .retain(|idle| idle.since().elapsed() < max_idle_time);
+    }
+}
+
+impl ServerTable {
+    /// A table without servers.
+    pub(super) fn new(max_idle_time: Duration) -> Self {
+        Self {
+            servers: HashMap::new(),
+            running: HashMap::new(),
+            max_idle_time,
+            last_sweep: Instant::now(),
+        }
+    }
+
+    /// Applies an update of the endpoint list. A server that was removed or is absent from a full list loses
+    /// its idle connections.
+    pub(super) fn update(&mut self, update: &EndpointUpdate) {
+        if update.full {
+            self.servers
+                .retain(|id, _| update.nodes.iter().any(|(endpoint, _)| endpoint.id == *id));
+        }
+        for (endpoint, address) in &update.nodes {
+            if endpoint.readiness == Readiness::Removed {
+                self.servers.remove(&endpoint.id);
+                continue;
+            }
+            let server = self
+                .servers
+                .entry(endpoint.id.clone())
+                .or_insert_with(|| Server::new(*address));
+            if server.address != *address {
+                *server = Server::new(*address);
+            }
+        }
+    }
+
+    /// The address of a server; none if the server is not known.
+    pub(super) fn address(&self, id: &ServerId) -> Option<SocketAddr> {
+        self.servers.get(id).map(|server| server.address)
+    }
+
+    /// Takes an idle connection to a server: of those that can be used at once the one used last, so that
+    /// the others can age and close, else the one that can be used first.
+    pub(super) fn take_idle(&mut self, id: &ServerId) -> Option<IdleConnection> {
+        let server = self.servers.get_mut(id)?;
+        server.close_expired(self.max_idle_time);
+        if server.idle.is_empty() {
+            return None;
+        }
+        let reusable = server
+            .idle
+            .iter()
+            .rposition(IdleConnection::is_reusable_now);
+        Some(server.idle.remove(reusable.unwrap_or(0)))
+    }
+
+    /// Closes the connection that has been idle for longest; returns false if none is idle.
+    pub(super) fn close_oldest_idle(&mut self) -> bool {
+        let with_idle = self
+            .servers
+            .values_mut()
+            .filter(|server| !server.idle.is_empty());
+        let Some(server) = with_idle.min_by_key(|server| server.idle[0].since()) else {
+            return false;
+        };
+        server.idle.remove(0);
+        true
+    }
+
+    /// Adds a connection to the idle ones of its server, if the server is still known at this address and
+    /// has few.
+    pub(super) fn add_idle(
+        &mut self,
+        id: &ServerId,
+        address: SocketAddr,
+        connection: Arc<Connection>,
+    ) {
+        self.sweep();
+        let Some(server) = self.servers.get_mut(id) else {
+            return;
+        };
+        if server.address == address && server.idle.len() < MAX_IDLE_PER_SERVER {
+            server.idle.push(IdleConnection::new(connection));
+        }
+    }
+
+    /// Closes, now and then, what has been idle for too long: the servers close it on their side.
+    fn sweep(&mut self) {
+        if self.last_sweep.elapsed() < SWEEP_INTERVAL {
+            return;
+        }
+        self.last_sweep = Instant::now();
+        for server in self.servers.values_mut() {
+            server.close_expired(self.max_idle_time);
+        }
+    }
+}
--- /dev/null
+++ b/src/upstream/worker.rs
@@ -0,0 +1,191 @@
+//! One attempt or health check, carried out on a thread of its own.
+
+use super::connection::{Connection, ConnectionSlot, IdleConnection};
+use super::event::UpstreamEvent;
+use super::pool::Shared;
+use super::protocol::{Exchange, Presence, UpstreamProtocol};
+use super::running_attempt::RunningAttempt;
+use super::servers::ServerTable;
+use crate::core::{AttemptDeadlines, AttemptId};
+use crate::decision::{Outcome, ServerId};
+use crate::threads::lock;
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// What a worker carries out.
+pub(super) enum Job<C> {
+    Attempt(Attempt<C>),
+    HealthCheck,
+}
+
+/// An attempt that is to be written.
+pub(super) struct Attempt<C> {
+    pub(super) id: AttemptId,
+    pub(super) call: Arc<C>,
+    pub(super) deadlines: AttemptDeadlines,
+    pub(super) running: Arc<RunningAttempt>,
+    pub(super) client: Arc<dyn Presence>,
+}
+
+/// The connection that a job is carried out on.
+pub(super) enum AcquiredConnection {
+    /// An idle connection, which it may be too early to use.
+    Idle(IdleConnection),
+    /// One that is to be opened, and counts already.
+    New(ConnectionSlot),
+}
+
+/// Carries out one job.
+pub(super) struct Worker<S: UpstreamProtocol> {
+    server: ServerId,
+    address: SocketAddr,
+    /// The connection in use; counted as open until the end of the job is reported.
+    connection: Option<Arc<Connection>>,
+    shared: Arc<Shared<S>>,
+}
+
+impl<S: UpstreamProtocol> Worker<S> {
+    /// A worker for a job at this server.
+    pub(super) fn new(server: ServerId, address: SocketAddr, shared: Arc<Shared<S>>) -> Self {
+        Self {
+            server,
+            address,
+            connection: None,
+            shared,
+        }
+    }
+
+    /// Carries out a job and reports its end.
+    pub(super) fn run(self, acquired: AcquiredConnection, job: Job<S::Call>) {
+        match job {
+            Job::Attempt(attempt) => self.run_attempt(acquired, &attempt),
+            Job::HealthCheck => self.run_health_check(acquired),
+        }
+    }
+
+    fn run_attempt(mut self, acquired: AcquiredConnection, attempt: &Attempt<S::Call>) {
+        let exchange = self.exchange(acquired, attempt);
+        {
+            let mut table = lock(&self.shared.table);
+            // A cancelled attempt is not among the running ones, and its connection is closed.
+            let was_running = table.running.remove(&attempt.id).is_some();
+            self.release_connection(&mut table, was_running && exchange.keep);
+        }
+        (self.shared.events)(UpstreamEvent::AttemptEnded {
+            attempt: attempt.id,
+            outcome: exchange.outcome,
+            load: exchange.load,
+            value: exchange.value,
+        });
+    }
+
+    fn run_health_check(mut self, acquired: AcquiredConnection) {
+        let started = Instant::now();
+        let exchange = self.health_check(acquired);
+        self.release_connection(&mut lock(&self.shared.table), exchange.keep);
+        (self.shared.events)(UpstreamEvent::HealthChecked {
+            server: self.server.clone(),
+            outcome: exchange.outcome,
+            latency: started.elapsed(),
+            load: exchange.load,
+        });
+    }
+
+    /// Returns the connection to the idle ones, if it can be used again.
+    fn release_connection(&self, table: &mut ServerTable, reusable: bool) {
+        if let Some(connection) = self.connection.clone().filter(|_| reusable) {
+            table.add_idle(&self.server, self.address, connection);
+        }
+    }
+
+    /// Writes an attempt and reads the response.
+    fn exchange(
+        &mut self,
+        acquired: AcquiredConnection,
+        attempt: &Attempt<S::Call>,
+    ) -> Exchange<S::Value> {
+        let Ok(connection) = self.connect(acquired) else {
+            return Exchange::broke(Outcome::ConnectFailed);
+        };
+        // Guards against an attempt that begins after its client left: its reader may be paused, and the event
+        // may wait in a queue. No judgement on the server; its new connection was never used.
+        if attempt.client.has_left() {
+            return Exchange {
+                keep: true,
+                ..Exchange::broke(Outcome::Superseded)
+            };
+        }
+        let writing = attempt
+            .running
+            .begin_writing(&connection, attempt.deadlines.write);
+        if let Err(outcome) = writing {
+            return Exchange::broke(outcome);
+        }
+        let time_left = attempt
+            .deadlines
+            .answer
+            .saturating_duration_since(Instant::now());
+        let protocol = &self.shared.protocol;
+        if protocol
+            .write(&attempt.call, &connection.stream, time_left)
+            .is_err()
+        {
+            return Exchange::broke(Outcome::ConnectFailed);
+        }
+        self.shared.metrics.attempt();
+        let report_start = |value| {
+            (self.shared.events)(UpstreamEvent::ResponseStarted {
+                attempt: attempt.id,
+                value,
+            });
+        };
+        protocol.read(&attempt.call, &connection, &report_start)
+    }
+
+    /// Checks the health of the server. Nothing else ends a health check, as the core does an attempt, so
+    /// its reads and writes have a time-out.
+    fn health_check(&mut self, acquired: AcquiredConnection) -> Exchange<S::Value> {
+        let Ok(connection) = self.connect(acquired) else {
+            return Exchange::broke(Outcome::ConnectFailed);
+        };
+        let stream = &connection.stream;
+        if set_timeouts(stream, Some(self.shared.links.connect)).is_err() {
+            return Exchange::broke(Outcome::ConnectFailed);
+        }
+        let exchange = self.shared.protocol.probe(stream);
+        Exchange {
+            keep: exchange.keep && set_timeouts(stream, None).is_ok(),
+            ..exchange
+        }
+    }
+
+    /// The idle connection if it is still open, else a new one.
+    fn connect(&mut self, acquired: AcquiredConnection) -> io::Result<Arc<Connection>> {
+        let connection = match acquired {
+            AcquiredConnection::New(slot) => self.open(slot)?,
+            AcquiredConnection::Idle(idle) => match idle.reuse() {
+                Some(connection) => connection,
+                None => self.open(self.shared.connections.reserve())?,
+            },
+        };
+        self.connection = Some(connection.clone());
+        Ok(connection)
+    }
+
+    fn open(&self, slot: ConnectionSlot) -> io::Result<Arc<Connection>> {
+        let stream = TcpStream::connect_timeout(&self.address, self.shared.links.connect)?;
+        stream.set_nodelay(true)?;
+        Ok(Arc::new(Connection {
+            stream,
+            _slot: slot,
+        }))
+    }
+}
+
+/// Sets the time-outs of reads and writes; none means that they may block for ever.
+fn set_timeouts(stream: &TcpStream, timeout: Option<Duration>) -> io::Result<()> {
+    stream.set_write_timeout(timeout)?;
+    stream.set_read_timeout(timeout)
+}
