--- /dev/null
+++ b/src/membership/fleet.rs
@@ -0,0 +1,85 @@
+//! The handle by which the rest of the program uses the fleet membership.
+
+use super::report;
+use super::transport::{Command, Transport};
+use super::view::View;
+use crate::core::Clock;
+use crate::decision::QuotaShares;
+use crate::threads::{lock, spawn};
+use crossbeam_channel::{bounded, unbounded, Sender};
+use slog::Logger;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+pub use super::transport::FleetSettings;
+
+/// The longest wait for the messages of a limiter that leaves.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// A running member of a fleet. Clones share the member.
+#[derive(Clone)]
+pub struct Fleet {
+    commands: Sender<Command>,
+    /// `None` until the member first takes part.
+    view: Arc<Mutex<Option<View>>>,
+    clock: Clock,
+}
+
+impl Fleet {
+    /// Starts the thread, which neither sends nor receives before [`speak`](Self::speak).
+    ///
+    /// It calls `on_shares` with the quota shares that the core may use, a few times a second at most.
+    ///
+    /// # Errors
+    ///
+    /// If the thread can't be started.
+    pub fn start(
+        settings: FleetSettings,
+        clock: Clock,
+        on_shares: impl FnMut(QuotaShares) + Send + 'static,
+        log: Logger,
+    ) -> std::io::Result<Self> {
+        let (commands, received) = unbounded();
+        let view = Arc::new(Mutex::new(None));
+        let transport = Transport::new(settings, clock, view.clone(), Box::new(on_shares), log);
+        spawn("fleet", move || transport.run(&received))?;
+        Ok(Self {
+            commands,
+            view,
+            clock,
+        })
+    }
+
+    /// Takes part in the fleet, or stops and frees the address for the other process of an upgrade.
+    pub fn speak(&self, active: bool) {
+        let command = if active {
+            Command::Activate
+        } else {
+            Command::Deactivate
+        };
+        // Without the thread there is nothing to control.
+        _ = self.commands.send(command);
+    }
+
+    /// Leaves the fleet and waits until the others are notified, 300 ms at most.
+    pub fn leave(&self) {
+        let (done, left) = bounded(1);
+        if self.commands.send(Command::Leave(done)).is_ok() {
+            _ = left.recv_timeout(LEAVE_TIMEOUT);
+        }
+    }
+
+    /// Returns the reply to `show-fleet`: a line for each member and one for the view; `None` before
+    /// the member first takes part.
+    pub fn show(&self) -> Option<String> {
+        let view = lock(&self.view);
+        Some(report::show_fleet(view.as_ref()?, self.clock.now()))
+    }
+
+    /// Returns the name and value of each metric; none before the member first takes part.
+    pub fn figures(&self) -> Vec<(String, u64)> {
+        lock(&self.view)
+            .as_ref()
+            .map_or(Vec::new(), report::metrics)
+    }
+}
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,34 @@
-//! The fleet's own view: limiters that know each other through joins, crashes and partitions.
+//! Fleet membership: which limiters are alive (SWIM) and which shares of the quotas they may use
+//! (majority leases).
+//!
+//! [`view::View`] is a state machine without I/O, [`fleet::Fleet`] runs it on a UDP socket. The
+//! design is in `docs/fleet.md`.
 
+pub mod bitset;
 pub mod datagram;
-pub mod link;
-pub mod parts;
-pub mod released;
+pub mod fleet;
+pub mod format;
+pub mod key;
+pub mod lease;
+pub mod majority;
+pub mod member_state;
+pub mod quota_shares;
+pub mod rejection;
+mod report;
+pub mod revocation;
+mod transport;
+pub mod version;
 pub mod view;
+
+// Re-exported until the lead joins the folders.
+pub mod link {
+    //! Former place of [`fleet`](super::fleet).
+    pub use super::fleet::{Fleet, FleetSettings as Place};
+}
+
+// Re-exported until the lead joins the folders.
+pub mod released {
+    //! Former place of [`format`](super::format) and [`revocation`](super::revocation).
+    pub use super::format::Encoding;
+    pub use super::revocation::RevocationPart as ReleasedPart;
+}
--- a/src/membership/view/gossip.rs
+++ b/src/membership/view/gossip.rs
@@ -1,228 +1,163 @@
-//! Dissemination: every datagram carries what is new, and then the rest of the view in turn.
+//! Dissemination: which gossip updates a datagram carries, and when datagrams are sent for them.
 
-use super::member::{Member, SEND_TIMES};
-use super::{Action, View};
+use super::action::Action;
+use super::send::{Destination, Route};
+use super::View;
 use crate::decision::Micros;
-use crate::membership::datagram::{Datagram, News, State, Word, LONGEST};
-use crate::membership::released::{Encoding, ReleasedPart};
-use std::net::SocketAddrV4;
+use crate::membership::datagram::{Datagram, GossipUpdate, MessageKind, MAX_DATAGRAM_BYTES};
+use crate::membership::member_state::MemberState;
+use prost::Message;
+use std::cmp::Reverse;
 
-/// Living members that are told of what is new, twice in each period.
+/// Members alive that receive new updates, twice in each protocol period.
 const GOSSIP_FANOUT: usize = 2;
+/// An update is sent this many times for each power of ten of the fleet's size.
+const RETRANSMIT_FACTOR: f64 = 4.0;
+/// Gossip stops while less than this part of the datagrams of a second may be sent, a quarter of the
+/// bucket's capacity, which is left for pings and acks.
+const RESERVED_RATE_FRACTION: f64 = 1.0 / 8.0;
+/// Members that one datagram considers for the updates beside the new ones.
+const MAX_BACKGROUND_CANDIDATES: usize = 16;
+/// Bytes of a gossip update's tag and length in a datagram.
+const UPDATE_HEADER_BYTES: usize = 2;
 
-/// Parts of the set of released leases that follow an answer at once, so that all of the set of a fleet of three
-/// windows is as young as the answer.
-const PARTS_AFTER_ACK: usize = 2;
+/// A datagram that is filled with gossip updates.
+struct UpdateWriter<'a> {
+    datagram: &'a mut Datagram,
+    size: usize,
+}
 
-/// A peer is told of a change so many times for each power of ten of the fleet.
-const RETRANSMIT_FACTOR: f64 = 4.0;
+impl<'a> UpdateWriter<'a> {
+    fn new(datagram: &'a mut Datagram) -> Self {
+        let size = datagram.size();
+        Self { datagram, size }
+    }
 
-/// How a member is reached: where, in which session, what was heard in it, and whether two speak as this member.
-pub(super) struct Route {
-    pub(super) at: Option<SocketAddrV4>,
-    pub(super) session: u64,
-    pub(super) heard: u64,
-    pub(super) clash: bool,
-    /// The datagram carries a part of the set of released leases.
-    pub(super) with_part: bool,
+    /// Adds an update; returns false if it does not fit.
+    fn add(&mut self, update: GossipUpdate) -> bool {
+        let bytes = update.encoded_len() + UPDATE_HEADER_BYTES;
+        if self.size + bytes > MAX_DATAGRAM_BYTES {
+            return false;
+        }
+        self.size += bytes;
+        self.datagram.news.push(update);
+        true
+    }
 }
 
 impl View {
-    /// Tells some living members what is new.
+    /// Sends new updates to some members alive.
     pub(super) fn gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        self.fresh.retain(|who| self.retransmits[*who] > 0);
-        // A quarter is left for questions and answers.
-        if self.fresh.is_empty() || self.out.level(now) < f64::from(self.setup.out_per_s) / 8.0 {
+        self.pending_updates
+            .retain(|member| self.retransmits[*member] > 0);
+        if self.pending_updates.is_empty() {
+            return;
+        }
+        let reserved = f64::from(self.settings.out_per_s) * RESERVED_RATE_FRACTION;
+        if self.send_limit.level(now) < reserved {
             return;
         }
-        for to in self.random_living(GOSSIP_FANOUT, None) {
-            self.send(now, to, Word::Gossip(true), actions);
+        for member in self.random_alive(GOSSIP_FANOUT, None) {
+            self.send(now, member, MessageKind::Gossip(true), actions);
         }
     }
 
-    /// A member is to be told of, in as many datagrams as its state needs to reach all.
-    pub(super) fn enqueue(&mut self, who: usize) {
+    /// Schedules an update about a member, for as many datagrams as it takes to reach all.
+    pub(super) fn enqueue(&mut self, member: usize) {
         let times = RETRANSMIT_FACTOR * (self.members.len() as f64 + 1.0).log10().ceil();
-        self.retransmits[who] = times as u32;
-        if !self.fresh.contains(&who) {
-            self.fresh.push(who);
+        self.retransmits[member] = times as u32;
+        if !self.pending_updates.contains(&member) {
+            self.pending_updates.push(member);
         }
     }
 
-    /// Sends to a member, with as much of what is new as fits; false if there was no room or no address.
-    pub(super) fn send(
-        &mut self,
-        now: Micros,
-        to: usize,
-        word: Word,
-        actions: &mut Vec<Action>,
-    ) -> bool {
-        let Member {
-            address,
-            session,
-            window,
-            ..
-        } = &self.members[to];
-        // Gossip leaves the room to news.
-        let with_part = !matches!(word, Word::Gossip(_));
-        let route = Route {
-            at: *address,
-            session: *session,
-            heard: window.top,
-            clash: false,
-            with_part,
-        };
-        self.send_by(now, to, route, word, actions)
+    /// Fills a datagram with updates: first what the receiver must refute, then the new ones, those
+    /// sent least often first, then the rest of the view in turn.
+    pub(super) fn piggyback(&mut self, to: Destination, datagram: &mut Datagram) {
+        let mut writer = UpdateWriter::new(datagram);
+        let conflict = to.route == Route::ConflictingProcess;
+        if conflict || self.members[to.member].must_refute() {
+            self.add_receiver_update(to, &mut writer);
+        }
+        let pending = self.pending_updates_for(to.member);
+        for member in &pending {
+            if !self.add_update(*member, &mut writer) {
+                return;
+            }
+        }
+        for _ in 0..self.members.len().min(MAX_BACKGROUND_CANDIDATES) {
+            self.background_position = (self.background_position + 1) % self.members.len();
+            let member = self.background_position;
+            let excluded = member == to.member
+                || member == self.own_index()
+                || !self.members[member].is_gossiped()
+                || pending.contains(&member);
+            if !excluded && !self.add_update(member, &mut writer) {
+                return;
+            }
+        }
     }
 
-    /// Answers a question; what does not fit of the set of released leases follows at once.
-    pub(super) fn acknowledge(&mut self, now: Micros, to: usize, actions: &mut Vec<Action>) {
-        self.send(now, to, Word::Ack(true), actions);
-        let further = self
-            .released
-            .part_count()
-            .saturating_sub(1)
-            .min(PARTS_AFTER_ACK);
-        for _ in 0..further {
-            let Member {
-                address,
-                session,
-                window,
-                ..
-            } = &self.members[to];
-            let route = Route {
-                at: *address,
-                session: *session,
-                heard: window.top,
-                clash: false,
-                with_part: true,
-            };
-            self.send_by(now, to, route, Word::Gossip(true), actions);
-        }
+    /// Returns the members with new updates for `receiver`, those sent least often first.
+    fn pending_updates_for(&self, receiver: usize) -> Vec<usize> {
+        let mut pending: Vec<_> = self
+            .pending_updates
+            .iter()
+            .copied()
+            .filter(|member| *member != receiver)
+            .filter(|member| self.retransmits[*member] > 0 && self.members[*member].is_gossiped())
+            .collect();
+        pending.sort_unstable_by_key(|member| Reverse(self.retransmits[*member]));
+        pending
     }
 
-    /// Sends to a member that is reached so; false if there was no room or no address.
-    pub(super) fn send_by(
-        &mut self,
-        now: Micros,
-        to: usize,
-        route: Route,
-        word: Word,
-        actions: &mut Vec<Action>,
-    ) -> bool {
-        let Some(at) = route.at else { return false };
-        if !self.out.take(now) {
-            self.counts.held_back += 1;
-            return false;
-        }
-        let member = &mut self.members[to];
-        member.number += 1;
-        member.sent[member.number as usize % SEND_TIMES] = (member.number, now);
-        let (number, grants) = (member.number, self.leases[to].grants(now));
-        let own = self.setup.address;
-        let (released, released_part, limiters) = match self.setup.encoding {
-            Encoding::Whole => (self.released.bits().to_vec(), None, 0),
-            Encoding::Parts { .. } => (
-                Vec::new(),
-                self.next_part(to, route.with_part),
-                self.setup.size,
-            ),
-        };
-        let mut datagram = Datagram {
-            format: self.setup.encoding.format(),
-            fleet: self.setup.fleet.clone(),
-            from: self.setup.me,
-            incarnation: self.members[self.setup.me as usize].incarnation,
-            session: self.session,
-            to: route.session,
-            number,
-            heard: if route.session == 0 { 0 } else { route.heard },
-            grants,
-            ip: u32::from(*own.ip()),
-            port: u32::from(own.port()),
-            version: self.setup.version,
-            word: Some(word),
-            news: Vec::new(),
-            released,
-            released_part,
-            limiters,
+    /// Adds the update about the receiver itself.
+    fn add_receiver_update(&mut self, to: Destination, writer: &mut UpdateWriter<'_>) {
+        // Another process uses the receiver's number with the same or a higher incarnation. As a
+        // suspect, the receiver raises its own above that.
+        let state = if to.route == Route::ConflictingProcess {
+            MemberState::Suspect
+        } else {
+            self.gossiped_state(to.member)
         };
-        self.piggyback(to, route.clash, &mut datagram);
-        self.counts.sent += 1;
-        self.counts.bytes += datagram.size() as u64;
-        actions.push(Action::Send(at, datagram));
-        true
+        self.add_update_with_state(to.member, state, writer);
     }
 
-    /// The part of the set of released leases whose turn it is.
-    fn next_part(&mut self, to: usize, with_part: bool) -> Option<ReleasedPart> {
-        let part = self
-            .released
-            .part(self.members[to].parts_sent)
-            .filter(|_| with_part)?;
-        self.members[to].parts_sent += 1;
-        Some(part.clone())
+    /// Adds the update about a member; returns false if it does not fit.
+    fn add_update(&mut self, member: usize, writer: &mut UpdateWriter<'_>) -> bool {
+        self.add_update_with_state(member, self.gossiped_state(member), writer)
     }
 
-    /// What the receiver must hear of itself comes first, then what is new, then the rest of the view in turn.
-    fn piggyback(&mut self, to: usize, clash: bool, datagram: &mut Datagram) {
-        let mut size = datagram.size();
-        let mut add = |own: &mut Self, who: usize, datagram: &mut Datagram| {
-            let member = &own.members[who];
-            let Some(at) = member.address else {
-                return true;
-            };
-            // Another process speaks under its number and incarnation, or under a later one: it has to rise above.
-            let state = match member.state {
-                _ if clash && who == to => State::Suspect,
-                State::Unknown => State::Dead,
-                state => state,
-            };
-            let news = News {
-                who: who as u32,
-                state: state.number(),
-                incarnation: member.incarnation,
-                by: member.by,
-                ip: u32::from(*at.ip()),
-                port: u32::from(at.port()),
-                version: member.version,
-            };
-            // Two bytes say what it is and how long.
-            let more = prost::Message::encoded_len(&news) + 2;
-            if size + more > LONGEST {
-                return false;
-            }
-            size += more;
-            datagram.news.push(news);
-            own.retransmits[who] = own.retransmits[who].saturating_sub(1);
-            true
-        };
-        let Member {
-            state, forgotten, ..
-        } = self.members[to];
-        if clash || forgotten || state >= State::Suspect {
-            add(self, to, datagram);
-        }
-        let mut fresh: Vec<_> = self
-            .fresh
-            .iter()
-            .copied()
-            .filter(|who| *who != to)
-            .collect();
-        fresh.retain(|who| self.retransmits[*who] > 0 && self.members[*who].is_told());
-        fresh.sort_unstable_by_key(|who| std::cmp::Reverse(self.retransmits[*who]));
-        for who in &fresh {
-            if !add(self, *who, datagram) {
-                return;
-            }
+    /// Returns the state of a member in updates. A forgotten one is reported dead.
+    fn gossiped_state(&self, member: usize) -> MemberState {
+        match self.members[member].state {
+            MemberState::Unknown => MemberState::Dead,
+            state => state,
         }
-        for _ in 0..self.members.len().min(16) {
-            self.turn = (self.turn + 1) % self.members.len();
-            let who = self.turn;
-            let told = self.members[who].is_told() && who != to && who != self.setup.me as usize;
-            if told && !fresh.contains(&who) && !add(self, who, datagram) {
-                return;
-            }
+    }
+
+    fn add_update_with_state(
+        &mut self,
+        index: usize,
+        state: MemberState,
+        writer: &mut UpdateWriter<'_>,
+    ) -> bool {
+        let member = &self.members[index];
+        let Some(address) = member.address else {
+            return true;
+        };
+        let added = writer.add(GossipUpdate {
+            who: index as u32,
+            state: state.number(),
+            incarnation: member.incarnation,
+            by: member.reported_by,
+            ip: u32::from(*address.ip()),
+            port: u32::from(address.port()),
+            version: member.version,
+        });
+        if added {
+            self.retransmits[index] = self.retransmits[index].saturating_sub(1);
         }
+        added
     }
 }
--- a/src/membership/view/mod.rs
+++ b/src/membership/view/mod.rs
@@ -1,314 +1,259 @@
-//! One limiter's view of the fleet: a state machine without input, output or clock. Datagrams and the time come in,
-//! datagrams and changes go out; the same seed gives the same run. The design is in `docs/fleet.md`.
+//! One limiter's view of the fleet: a state machine without I/O or a clock.
 //!
-//! It is SWIM: each member asks one other after another in a shuffled round, has a few others ask for it where no
-//! answer comes, and tells what it learns along with what it sends anyway. A member that is told of as suspect, or
-//! dead, says that it lives under a higher incarnation. Beyond that, a suspicion shortens as others confirm it, a
-//! member that others vouch for doubts its own health and slows down, and what space is left in a datagram goes to
-//! the rest of the view, in turn.
+//! Datagrams and the time come in, datagrams and state changes go out; the same seed gives the same
+//! run. The design is in `docs/fleet.md`.
+//!
+//! The protocol is SWIM (Das, Gupta, Motivala, 2002): each member probes one other member after
+//! another in a shuffled round, asks a few others to probe a member that does not answer, and
+//! disseminates what it learns in the datagrams that it sends anyway. A member that learns of its own
+//! suspicion or death refutes it with a higher incarnation. From Lifeguard come suspicions that time
+//! out sooner when other members confirm them, and a local health that slows down a member whose
+//! probes fail while others succeed. Space that is left in a datagram goes to the rest of the view, in
+//! turn.
 
+mod action;
 mod gossip;
 mod member;
 mod probe;
-mod rate;
 mod receive;
+mod send;
+mod settings;
+mod status;
 mod suspicion;
 mod table;
+mod timeouts;
+mod token_bucket;
 
-use super::datagram::{Datagram, Fault, State, Word};
-use super::parts::{self, quota_shares};
-use super::released::Encoding;
-use crate::decision::Micros;
-use crate::decision::QuotaShares;
+use super::datagram::MessageKind;
+use super::lease::{lease_duration, PeerLease, RevokedLeases};
+use super::member_state::MemberState;
+use super::quota_shares::LeaseView;
+use crate::decision::{Micros, QuotaShares};
 use member::Member;
 use probe::{Probe, RelayedProbe};
-use rate::TokenBucket;
-use std::net::SocketAddrV4;
-
-/// Living members that a member which leaves in order tells so.
-const LEAVE_FANOUT: usize = 8;
-
-/// What a view is told at its start.
-#[derive(Clone, Debug)]
-pub struct Setup {
-    /// Own number.
-    pub me: u32,
-    /// Limiters that are configured.
-    pub size: u32,
-    /// How the set of released leases is carried.
-    pub encoding: Encoding,
-    /// The fleet's name.
-    pub fleet: String,
-    /// Where this one is reached.
-    pub address: SocketAddrV4,
-    /// Version of the program.
-    pub version: u32,
-    /// Where others are reached, by number. These addresses stand whatever is told.
-    pub seeds: Vec<(u32, SocketAddrV4)>,
-    /// Time in µs in which one other is asked.
-    pub period: Micros,
-    /// Datagrams sent a second at the most.
-    pub out_per_s: u32,
-    /// Datagrams taken in a second at the most.
-    pub in_per_s: u32,
-    /// Time in µs after which a dead member is no longer told of.
-    pub forget: Micros,
-    /// Share of its part that a limiter keeps whatever happens, from 0 to 1.
-    pub kept: f64,
-}
+use token_bucket::TokenBucket;
 
-/// What is to be done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Send this.
-    Send(SocketAddrV4, Datagram),
-    /// The state of a member has changed.
-    Changed(Change),
-}
+pub use action::{Action, StateChange};
+pub use settings::ViewSettings;
+pub use status::{Counters, MemberStatus};
 
-/// A change of state.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Change {
-    /// Whose.
-    pub who: u32,
-    /// Before.
-    pub before: State,
-    /// Now.
-    pub state: State,
-    /// Of which incarnation.
-    pub incarnation: u64,
-    /// Who said so first.
-    pub by: u32,
-}
+// Re-exported until the lead joins the folders.
+pub use self::{StateChange as Change, ViewSettings as Setup};
 
-/// A member as operators are shown it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Row {
-    /// Its number.
-    pub who: u32,
-    /// Where it is reached, if that is known.
-    pub address: Option<SocketAddrV4>,
-    /// Its state.
-    pub state: State,
-    /// Since when, on the view's clock.
-    pub since: Micros,
-    /// Its incarnation.
-    pub incarnation: u64,
-    /// Version of its program.
-    pub version: u32,
-    /// Who said so first.
-    pub by: u32,
-    /// When it was last heard of itself, proven to be fresh.
-    pub heard: Option<Micros>,
-}
-
-/// What was counted since the start.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts {
-    /// Datagrams sent.
-    pub sent: u64,
-    /// Bytes sent.
-    pub bytes: u64,
-    /// Datagrams not sent, as too many had been in that second.
-    pub held_back: u64,
-    /// Datagrams taken.
-    pub taken: u64,
-    /// Datagrams not taken, by [`Fault`].
-    pub faults: [u64; Fault::ALL.len()],
-    /// Members found dead by this one.
-    pub found_dead: u64,
-    /// Times that this one had to say that it lives.
-    pub refuted: u64,
-}
+/// Members alive that a member notifies when it leaves.
+const LEAVE_FANOUT: usize = 8;
+/// The protocol period varies by up to this fraction in either direction, at random.
+const PERIOD_JITTER: f64 = 0.1;
 
-/// The view.
+/// The view. Vectors indexed by limiter have an entry for this limiter too.
 pub struct View {
-    setup: Setup,
+    settings: ViewSettings,
+    /// Identifies this process to the others, not 0.
     session: u64,
     rng: fastrand::Rng,
     members: Vec<Member>,
-    /// By number, beside `members`, as each of these is looked through often: who is held for living, datagrams that
-    /// are still to tell of it, and what was said of leases.
-    living: Vec<bool>,
+    /// By limiter, apart from `members`, as each of these is often iterated alone: whether it is
+    /// believed alive, in how many datagrams updates about it are still to be sent, and its leases.
+    alive: Vec<bool>,
     retransmits: Vec<u32>,
-    leases: Vec<parts::PeerLease>,
-    /// No member is to be forgotten, and no lease to be released, before these times.
-    forget_at: Micros,
-    release_at: Micros,
-    /// Numbers of the others, in the order in which they are asked, and in which lost ones are.
+    leases: Vec<PeerLease>,
+    revoked: RevokedLeases,
+    /// No member has to be forgotten, and no lease to be revoked, before these times.
+    next_forget_at: Micros,
+    next_revocation_at: Micros,
+    /// The other limiters in the order in which they are probed, and in which lost ones are pinged.
     round: Vec<usize>,
-    place: usize,
-    lost: usize,
-    /// Whose turn it is to be told of beside what is new.
-    turn: usize,
+    round_position: usize,
+    lost_position: usize,
+    /// The member whose update went last into the space that new updates had left.
+    background_position: usize,
     probe: Option<Probe>,
     relayed: Vec<RelayedProbe>,
-    round_at: Micros,
-    gossip_at: Micros,
-    /// Members under suspicion, and members that are to be told of.
+    next_probe_at: Micros,
+    next_gossip_at: Micros,
+    /// Members under suspicion, and members with new updates.
     suspects: Vec<usize>,
-    fresh: Vec<usize>,
-    /// Part of own questions that were lost, and whether the last one was.
-    loss: f64,
-    unanswered: bool,
-    out: TokenBucket,
-    taken: TokenBucket,
-    strangers: TokenBucket,
+    pending_updates: Vec<usize>,
+    /// Moving average of the own probes that were lost, from 0 to 1.
+    probe_loss: f64,
+    /// Nobody reached the target of the last probe.
+    last_probe_failed: bool,
+    send_limit: TokenBucket,
+    receive_limit: TokenBucket,
+    /// Limits the answers to datagrams that may be replays.
+    unproven_limit: TokenBucket,
     leaving: bool,
-    released: parts::Released,
-    counts: Counts,
+    counters: Counters,
 }
 
 impl View {
-    /// A view that knows its seeds and nothing else. `incarnation` is Unix time in ms, or anything that mostly grows
-    /// from start to start.
-    pub fn new(setup: Setup, incarnation: u64, seed: u64, now: Micros) -> Self {
+    /// Returns a view that knows its seeds only. `incarnation` is Unix time in ms, or any number that
+    /// usually grows from start to start; `seed` seeds the random numbers.
+    pub fn new(settings: ViewSettings, incarnation: u64, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (me, size) = (setup.me as usize, setup.size as usize);
-        let mut members: Vec<Member> = (0..size).map(|_| Member::default()).collect();
-        let lease = parts::lease(setup.period, setup.size);
-        let mut leases = vec![parts::PeerLease::new(now, lease); size];
-        leases[me] = parts::PeerLease::default();
-        let living = (0..size).map(|who| who == me).collect();
-        for (who, address) in &setup.seeds {
-            let member = &mut members[*who as usize];
-            (member.address, member.seed) = (Some(*address), true);
-        }
-        let own = &mut members[me];
-        (own.state, own.incarnation, own.since) = (State::Alive, incarnation.max(1), now);
-        (own.by, own.version, own.address) = (setup.me, setup.version, Some(setup.address));
-        let mut round: Vec<usize> = (0..size).filter(|n| *n != me).collect();
+        let own = settings.me as usize;
+        let size = settings.size as usize;
+        let lease = lease_duration(settings.period, settings.size);
+        let mut leases = vec![PeerLease::new(now, lease); size];
+        leases[own] = PeerLease::default();
+        let mut round: Vec<usize> = (0..size).filter(|limiter| *limiter != own).collect();
         rng.shuffle(&mut round);
-        let first = now + rng.u64(0..setup.period.max(1));
+        let first_period = now + rng.u64(0..settings.period.max(1));
+        let receive_rate = f64::from(settings.in_per_s);
         Self {
             session: rng.u64(1..),
-            out: TokenBucket::new(f64::from(setup.out_per_s), now),
-            taken: TokenBucket::new(f64::from(setup.in_per_s), now),
-            strangers: TokenBucket::new(f64::from(setup.in_per_s) / 2.0, now),
+            send_limit: TokenBucket::new(f64::from(settings.out_per_s), now),
+            receive_limit: TokenBucket::new(receive_rate, now),
+            unproven_limit: TokenBucket::new(receive_rate / 2.0, now),
             rng,
-            members,
-            living,
+            members: initial_members(&settings, incarnation, now),
+            alive: (0..size).map(|limiter| limiter == own).collect(),
             retransmits: vec![0; size],
             leases,
-            forget_at: Micros::MAX,
-            release_at: now,
+            revoked: RevokedLeases::new(lease, settings.size, settings.encoding),
+            next_forget_at: Micros::MAX,
+            next_revocation_at: now,
             round,
-            place: 0,
-            lost: 0,
-            turn: 0,
+            round_position: 0,
+            lost_position: 0,
+            background_position: 0,
             probe: None,
             relayed: Vec::new(),
-            round_at: first,
-            gossip_at: first,
+            next_probe_at: first_period,
+            next_gossip_at: first_period,
             suspects: Vec::new(),
-            fresh: Vec::new(),
-            loss: 0.0,
-            unanswered: false,
+            pending_updates: Vec::new(),
+            probe_loss: 0.0,
+            last_probe_failed: false,
             leaving: false,
-            released: parts::Released::new(lease, setup.size, setup.encoding),
-            counts: Counts::default(),
-            setup,
+            counters: Counters::default(),
+            settings,
         }
     }
 
-    /// When it is to be woken.
+    /// Returns when [`wake`](Self::wake) is to be called next.
     pub fn next(&self) -> Micros {
-        let ask = self
-            .probe
-            .as_ref()
-            .filter(|p| !p.indirect_sent && !p.acked)
-            .map(|p| p.indirect_at);
-        self.round_at
-            .min(self.gossip_at)
-            .min(ask.unwrap_or(Micros::MAX))
+        let periodic = self.next_probe_at.min(self.next_gossip_at);
+        periodic.min(self.indirect_probe_due().unwrap_or(Micros::MAX))
     }
 
-    /// Does what is due.
+    fn indirect_probe_due(&self) -> Option<Micros> {
+        self.probe.as_ref().and_then(Probe::indirect_due)
+    }
+
+    /// Does what is due at `now`.
     pub fn wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.leaving {
-            (self.round_at, self.gossip_at, self.probe) = (Micros::MAX, Micros::MAX, None);
+            self.next_probe_at = Micros::MAX;
+            self.next_gossip_at = Micros::MAX;
+            self.probe = None;
             return;
         }
-        if self
-            .probe
-            .as_ref()
-            .is_some_and(|p| !p.indirect_sent && !p.acked && now >= p.indirect_at)
-        {
+        if self.indirect_probe_due().is_some_and(|due| now >= due) {
             self.probe_indirectly(now, actions);
         }
-        if now >= self.gossip_at {
-            self.gossip_at = now + self.setup.period / 2;
+        if now >= self.next_gossip_at {
+            self.next_gossip_at = now + self.settings.period / 2;
             self.check_suspicions(now, actions);
             self.gossip(now, actions);
         }
-        if now >= self.round_at {
-            let wait =
-                self.setup.period as f64 * self.local_health() * (0.9 + 0.2 * self.rng.f64());
-            self.round_at = now + wait as Micros;
+        if now >= self.next_probe_at {
+            let jitter = 1.0 - PERIOD_JITTER + 2.0 * PERIOD_JITTER * self.rng.f64();
+            let period = self.settings.period as f64 * self.local_health() * jitter;
+            self.next_probe_at = now + period as Micros;
             self.finish_probe(now, actions);
             self.probe_next(now, actions);
-            self.forget(now);
+            self.revoke_expired_leases(now);
+            self.forget_dead(now);
         }
     }
 
-    /// Leaves in order: the others need not find out.
+    /// Leaves the fleet, so that the others need not detect a failure.
     pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        for to in self.random_living(LEAVE_FANOUT, None) {
-            self.send(now, to, Word::Leave(true), actions);
+        for member in self.random_alive(LEAVE_FANOUT, None) {
+            self.send(now, member, MessageKind::Leave(true), actions);
         }
-        self.members[self.setup.me as usize].state = State::Left;
-        self.living[self.setup.me as usize] = false;
+        let own = self.own_index();
+        self.members[own].state = MemberState::Left;
+        self.alive[own] = false;
         self.leaving = true;
     }
 
-    /// What this limiter may count on now.
+    /// Returns the quota shares that this limiter may use at `now`.
     pub fn standing(&self, now: Micros) -> QuotaShares {
-        quota_shares(
-            now,
-            (self.setup.me, self.setup.kept),
-            &self.living,
-            &self.leases,
-            &self.released,
-        )
+        let leases = LeaseView {
+            limiter: self.settings.me,
+            guaranteed: self.settings.kept,
+            alive: &self.alive,
+            leases: &self.leases,
+            revoked: &self.revoked,
+        };
+        leases.quota_shares(now)
     }
 
-    /// Members held for living, this one among them.
+    /// Returns for each limiter whether it is believed alive.
     pub fn living(&self) -> &[bool] {
-        &self.living
+        &self.alive
     }
 
-    /// Every member.
-    pub fn rows(&self) -> Vec<Row> {
-        let row = |(who, m): (usize, &Member)| Row {
-            who: who as u32,
-            address: m.address,
-            state: m.state,
-            since: m.since,
-            incarnation: m.incarnation,
-            version: m.version,
-            by: m.by,
-            heard: m.heard,
+    /// Returns the status of every member, by number.
+    pub fn member_statuses(&self) -> Vec<MemberStatus> {
+        let status = |(index, member): (usize, &Member)| MemberStatus {
+            limiter: index as u32,
+            address: member.address,
+            state: member.state,
+            since: member.since,
+            incarnation: member.incarnation,
+            version: member.version,
+            reported_by: member.reported_by,
+            last_received: member.last_received,
         };
-        self.members.iter().enumerate().map(row).collect()
+        self.members.iter().enumerate().map(status).collect()
     }
 
-    /// State of a member.
-    pub fn state(&self, who: usize) -> State {
-        self.members[who].state
+    /// Returns the state of a member.
+    ///
+    /// # Panics
+    ///
+    /// If no limiter has this number.
+    pub fn state(&self, member: usize) -> MemberState {
+        self.members[member].state
     }
 
-    /// What was counted.
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+    /// Returns the counters since the start.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
     }
 
-    /// How this view was set up.
-    pub fn setup(&self) -> &Setup {
-        &self.setup
+    /// Returns the settings.
+    pub fn settings(&self) -> &ViewSettings {
+        &self.settings
     }
 
-    /// Own incarnation.
+    /// Returns the own incarnation.
     pub fn incarnation(&self) -> u64 {
-        self.members[self.setup.me as usize].incarnation
+        self.members[self.own_index()].incarnation
+    }
+
+    /// Returns the index of this limiter in vectors by limiter.
+    fn own_index(&self) -> usize {
+        self.settings.me as usize
+    }
+}
+
+fn initial_members(settings: &ViewSettings, incarnation: u64, now: Micros) -> Vec<Member> {
+    let mut members: Vec<Member> = (0..settings.size).map(|_| Member::default()).collect();
+    for (limiter, address) in &settings.seeds {
+        let member = &mut members[*limiter as usize];
+        member.address = Some(*address);
+        member.seed = true;
     }
+    let own = &mut members[settings.me as usize];
+    own.state = MemberState::Alive;
+    own.incarnation = incarnation.max(1);
+    own.since = now;
+    own.reported_by = settings.me;
+    own.version = settings.version;
+    own.address = Some(settings.address);
+    members
 }
--- a/src/membership/view/probe.rs
+++ b/src/membership/view/probe.rs
@@ -1,197 +1,251 @@
-//! Failure detection: direct probes in a shuffled round, indirect probes through others, and local health.
+//! Failure detection: direct probes in a shuffled round, indirect probes through other members, and
+//! the local health that slows both down.
 
-use super::table::Update;
-use super::{Action, View};
+use super::action::Action;
+use super::table::StateUpdate;
+use super::View;
 use crate::decision::Micros;
-use crate::membership::datagram::{Fault, State, Word};
+use crate::membership::datagram::MessageKind;
+use crate::membership::member_state::MemberState;
+use crate::membership::rejection::Rejection;
 
-/// Others that are asked to ask for one who does not answer.
+/// Members that are asked to ping a member that does not answer.
 const INDIRECT_PROBES: usize = 3;
-
-/// An answer is waited for so long, in periods, before others are asked.
+/// Time in protocol periods to wait for an ack before other members are asked.
 const PROBE_TIMEOUT_PERIODS: f64 = 0.4;
-
-/// Of one's own questions so many may stay unanswered before one doubts oneself: with 6% of the datagrams lost, 12%
-/// of the questions and answers are.
+/// Fraction of the own probes that may stay unanswered in good local health: with 6% of the datagrams
+/// lost, 12% of the pings or their acks are.
 const EXPECTED_LOSS: f64 = 0.15;
-
-/// How far doubt slows a member down, at the most.
+/// Factor by which the loss above [`EXPECTED_LOSS`] slows this member down.
 const LOCAL_HEALTH_WEIGHT: f64 = 8.0;
+/// Weight of the last probe in the moving average of lost probes.
 const LOCAL_HEALTH_GAIN: f64 = 0.1;
-
-/// Questions asked for others that are remembered.
+/// The most pings sent for other members that wait for an ack.
 const MAX_RELAYED_PROBES: usize = 32;
+/// Time in protocol periods after which a relayed probe is given up.
+const RELAYED_PROBE_PERIODS: Micros = 8;
+/// Random draws for each member that [`View::random_alive`] returns at the most.
+const DRAWS_PER_MEMBER: usize = 16;
 
-/// A question that is out.
+/// The probe of the current protocol period.
 pub(super) struct Probe {
     pub(super) target: usize,
-    pub(super) number: u64,
-    pub(super) indirect_at: Micros,
-    pub(super) indirect_sent: bool,
-    pub(super) acked: bool,
-    pub(super) indirect_ack: bool,
+    /// Sequence number of the ping.
+    number: u64,
+    /// When other members are asked.
+    indirect_at: Micros,
+    indirect_sent: bool,
+    acknowledged: bool,
+    indirectly_acknowledged: bool,
 }
 
-/// A question asked for another member.
+impl Probe {
+    /// Returns when other members are to be asked to ping the target; `None` if they were or need not
+    /// be.
+    pub(super) fn indirect_due(&self) -> Option<Micros> {
+        if self.indirect_sent || self.acknowledged {
+            return None;
+        }
+        Some(self.indirect_at)
+    }
+}
+
+/// A ping sent for another member.
 pub(super) struct RelayedProbe {
-    pub(super) asker: usize,
-    pub(super) target: usize,
-    pub(super) number: u64,
-    pub(super) until: Micros,
+    requester: usize,
+    target: usize,
+    /// Sequence number of the ping.
+    number: u64,
+    expires_at: Micros,
+}
+
+impl RelayedProbe {
+    fn is_acknowledged(&self, now: Micros, sender: usize, acknowledged: u64) -> bool {
+        self.target == sender && acknowledged >= self.number && now < self.expires_at
+    }
 }
 
 impl View {
-    /// How much slower than usual: a member whose questions are lost, though others are answered, is the one that is
-    /// ill, or all of them are.
+    /// Returns the factor, at least 1, by which this member slows its probes and time-outs down.
+    ///
+    /// It grows with the fraction of the own probes that are lost while others reach the same members,
+    /// as the fault is then with this member or its network.
     pub fn local_health(&self) -> f64 {
-        1.0 + LOCAL_HEALTH_WEIGHT * (self.loss - EXPECTED_LOSS).max(0.0)
+        1.0 + LOCAL_HEALTH_WEIGHT * (self.probe_loss - EXPECTED_LOSS).max(0.0)
     }
 
-    /// Ends the last probe: nobody reached the member, or local health has changed.
+    /// Ends the last probe: updates the local health, and suspects a member that nobody reached.
     pub(super) fn finish_probe(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.take() else {
             return;
         };
         let target = &self.members[probe.target];
-        let (lives, incarnation) = (target.state.lives(), target.incarnation);
-        let silent = !probe.acked && !probe.indirect_ack;
-        // One that nobody reaches says nothing of the way there; two in a row do.
-        if !silent || self.unanswered {
-            let lost = f64::from(u8::from(!probe.acked));
-            self.loss += LOCAL_HEALTH_GAIN * (lost - self.loss);
-        }
-        self.unanswered = silent;
-        if silent && lives {
-            let (who, state, by) = (probe.target, State::Suspect, self.setup.me);
-            self.apply_update(
-                now,
-                Update {
-                    who,
-                    state,
-                    incarnation,
-                    contact: None,
-                    by,
-                },
-                actions,
-            );
+        let alive = target.state.lives();
+        let incarnation = target.incarnation;
+        let unreachable = !probe.acknowledged && !probe.indirectly_acknowledged;
+        // One member that nobody reaches is no evidence of a lossy network; two in a row are.
+        if !unreachable || self.last_probe_failed {
+            let lost = if probe.acknowledged { 0.0 } else { 1.0 };
+            self.probe_loss += LOCAL_HEALTH_GAIN * (lost - self.probe_loss);
+        }
+        self.last_probe_failed = unreachable;
+        if unreachable && alive {
+            let update = StateUpdate {
+                member: probe.target,
+                state: MemberState::Suspect,
+                incarnation,
+                contact: None,
+                reported_by: self.settings.me,
+            };
+            self.apply_update(now, update, actions);
         }
     }
 
-    /// Probes the next living member, and a member that is not living.
+    /// Probes the next member alive, and pings a member that is not.
     pub(super) fn probe_next(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let target = self.next_living();
-        if let Some(target) =
-            target.filter(|target| self.send(now, *target, Word::Ping(true), actions))
-        {
-            let wait = self.setup.period as f64 * PROBE_TIMEOUT_PERIODS * self.local_health();
-            self.probe = Some(Probe {
-                target,
-                number: self.members[target].number,
-                indirect_at: now + wait as Micros,
-                indirect_sent: false,
-                acked: false,
-                indirect_ack: false,
-            });
+        let target = self.next_alive();
+        if let Some(target) = target {
+            self.start_probe(now, target, actions);
         }
-        // Who is not among the living may be back, or on the other side of a split that has healed.
-        let lost_probes = if target.is_some() { 1 } else { INDIRECT_PROBES };
-        for _ in 0..lost_probes {
+        // A lost member may have restarted, or a network partition may have healed.
+        let lost_pings = if target.is_some() { 1 } else { INDIRECT_PROBES };
+        for _ in 0..lost_pings {
             if let Some(lost) = self.next_lost() {
-                self.send(now, lost, Word::Ping(true), actions);
+                self.send(now, lost, MessageKind::Ping(true), actions);
             }
         }
     }
 
-    /// The next living member of the round, which is shuffled before it begins.
-    fn next_living(&mut self) -> Option<usize> {
-        (0..self.round.len()).find_map(|_| {
-            if self.place == 0 {
+    fn start_probe(&mut self, now: Micros, target: usize, actions: &mut Vec<Action>) {
+        if !self.send(now, target, MessageKind::Ping(true), actions) {
+            return;
+        }
+        let period = self.settings.period as f64;
+        let timeout = period * PROBE_TIMEOUT_PERIODS * self.local_health();
+        self.probe = Some(Probe {
+            target,
+            number: self.members[target].last_sent,
+            indirect_at: now + timeout as Micros,
+            indirect_sent: false,
+            acknowledged: false,
+            indirectly_acknowledged: false,
+        });
+    }
+
+    /// Returns the next member alive of the round, which is shuffled before it begins.
+    fn next_alive(&mut self) -> Option<usize> {
+        for _ in 0..self.round.len() {
+            if self.round_position == 0 {
                 self.rng.shuffle(&mut self.round);
             }
-            let who = self.round[self.place];
-            self.place = (self.place + 1) % self.round.len();
-            (self.living[who] && self.members[who].address.is_some()).then_some(who)
-        })
+            let member = self.round[self.round_position];
+            self.round_position = (self.round_position + 1) % self.round.len();
+            if self.alive[member] && self.members[member].address.is_some() {
+                return Some(member);
+            }
+        }
+        None
     }
 
-    /// The next member of the round that is not living.
+    /// Returns the next member of the round that is not alive.
     fn next_lost(&mut self) -> Option<usize> {
-        (0..self.round.len()).find_map(|_| {
-            self.lost = (self.lost + 1) % self.round.len();
-            let who = self.round[self.lost];
-            (!self.living[who] && self.members[who].address.is_some()).then_some(who)
-        })
+        for _ in 0..self.round.len() {
+            self.lost_position = (self.lost_position + 1) % self.round.len();
+            let member = self.round[self.lost_position];
+            if !self.alive[member] && self.members[member].address.is_some() {
+                return Some(member);
+            }
+        }
+        None
     }
 
-    /// Asks others to probe the member that has not answered in time.
+    /// Asks other members to ping the target, which has not answered in time.
     pub(super) fn probe_indirectly(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let Some(probe) = &mut self.probe else { return };
         probe.indirect_sent = true;
         let target = probe.target;
-        for helper in self.random_living(INDIRECT_PROBES, Some(target)) {
-            self.send(now, helper, Word::Ask(target as u32), actions);
+        for helper in self.random_alive(INDIRECT_PROBES, Some(target)) {
+            self.send(now, helper, MessageKind::Ask(target as u32), actions);
+        }
+    }
+
+    /// Returns up to `limit` random members that are alive and not suspected, without this limiter
+    /// and `excluded`.
+    pub(super) fn random_alive(&mut self, limit: usize, excluded: Option<usize>) -> Vec<usize> {
+        let mut chosen = Vec::new();
+        for _ in 0..self.round.len().min(DRAWS_PER_MEMBER * limit) {
+            let member = self.round[self.rng.usize(..self.round.len())];
+            let eligible = Some(member) != excluded
+                && self.members[member].state == MemberState::Alive
+                && !chosen.contains(&member);
+            if chosen.len() < limit && eligible {
+                chosen.push(member);
+            }
         }
+        chosen
     }
 
-    /// Living members by chance, without this one.
-    pub(super) fn random_living(&mut self, most: usize, without: Option<usize>) -> Vec<usize> {
-        let mut some = Vec::new();
-        for _ in 0..self.round.len().min(16 * most) {
-            let who = self.round[self.rng.usize(..self.round.len())];
-            if some.len() < most
-                && Some(who) != without
-                && self.members[who].state == State::Alive
-                && !some.contains(&who)
-            {
-                some.push(who);
+    /// Records that `sender` has received the datagrams up to number `acknowledged`.
+    pub(super) fn record_ack(&mut self, sender: usize, acknowledged: u64) {
+        if let Some(probe) = &mut self.probe {
+            if probe.target == sender && acknowledged >= probe.number {
+                probe.acknowledged = true;
             }
         }
-        some
     }
 
-    /// Probes a member for another one.
+    /// Records that another member has reached `target`.
+    pub(super) fn record_indirect_ack(&mut self, target: usize) {
+        if let Some(probe) = &mut self.probe {
+            if probe.target == target && probe.indirect_sent {
+                probe.indirectly_acknowledged = true;
+            }
+        }
+    }
+
+    /// Pings a member for another one.
     pub(super) fn relay_probe(
         &mut self,
         now: Micros,
-        asker: usize,
+        requester: usize,
         target: usize,
         actions: &mut Vec<Action>,
     ) {
-        if target >= self.members.len() || target == asker || target == self.setup.me as usize {
-            return self.fault(Fault::Strange);
-        }
-        self.relayed.retain(|asked| now < asked.until);
-        if self.relayed.len() < MAX_RELAYED_PROBES
-            && self.send(now, target, Word::Ping(true), actions)
-        {
-            let (number, until) = (self.members[target].number, now + 8 * self.setup.period);
+        if target >= self.members.len() || target == requester || target == self.own_index() {
+            return self.count_rejection(Rejection::OutOfRange);
+        }
+        self.relayed.retain(|probe| now < probe.expires_at);
+        if self.relayed.len() >= MAX_RELAYED_PROBES {
+            return;
+        }
+        if self.send(now, target, MessageKind::Ping(true), actions) {
             self.relayed.push(RelayedProbe {
-                asker,
+                requester,
                 target,
-                number,
-                until,
+                number: self.members[target].last_sent,
+                expires_at: now + RELAYED_PROBE_PERIODS * self.settings.period,
             });
         }
     }
 
-    /// Tells those for whom a member was probed that it has answered.
+    /// Notifies the members for which `target` was pinged that it has answered.
     pub(super) fn relay_ack(
         &mut self,
         now: Micros,
         target: usize,
-        heard: u64,
+        acknowledged: u64,
         actions: &mut Vec<Action>,
     ) {
-        let acked = |a: &RelayedProbe| a.target == target && heard >= a.number && now < a.until;
-        let askers: Vec<_> = self
-            .relayed
-            .iter()
-            .filter(|a| acked(a))
-            .map(|a| a.asker)
-            .collect();
-        self.relayed.retain(|a| !acked(a));
-        for asker in askers {
-            self.send(now, asker, Word::Vouch(target as u32), actions);
+        let mut requesters = Vec::new();
+        self.relayed.retain(|probe| {
+            let answered = probe.is_acknowledged(now, target, acknowledged);
+            if answered {
+                requesters.push(probe.requester);
+            }
+            !answered
+        });
+        for requester in requesters {
+            self.send(now, requester, MessageKind::Vouch(target as u32), actions);
         }
     }
 }
--- a/src/membership/view/receive.rs
+++ b/src/membership/view/receive.rs
@@ -1,209 +1,279 @@
-//! IncomingRequest datagrams: which are taken, and what follows from them.
+//! Received datagrams: which are accepted, and what follows from them.
 
-use super::gossip::Route;
-use super::member::Window;
-use super::table::Update;
-use super::{Action, Setup, View};
+use super::action::Action;
+use super::member::ReplayWindow;
+use super::send::{Destination, Revocations, Route};
+use super::table::{Contact, StateUpdate};
+use super::View;
 use crate::decision::Micros;
-use crate::membership::datagram::{Datagram, Fault, State, Word};
-use crate::membership::released::{Encoding, SaidPart};
+use crate::membership::datagram::{Datagram, MessageKind};
+use crate::membership::format::Encoding;
+use crate::membership::member_state::MemberState;
+use crate::membership::rejection::Rejection;
+use crate::membership::revocation::RevocationWindows;
+
+/// Which processes a datagram was written by and for.
+#[derive(Clone, Copy, Debug)]
+struct Freshness {
+    /// It was written after this process started.
+    written_in_this_session: bool,
+    /// Its sender is not the process that the member is known by.
+    new_session: bool,
+    /// Its sender may have started after the known process.
+    may_be_later_process: bool,
+}
+
+impl Freshness {
+    fn is_proven(self) -> bool {
+        self.written_in_this_session && (!self.new_session || self.may_be_later_process)
+    }
+}
 
 impl View {
-    /// Takes a datagram that was opened with the fleet's key.
+    /// Processes a datagram that was authenticated with the fleet's key.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the datagram was rejected; the rejection is counted.
     pub fn heard(
         &mut self,
         now: Micros,
         datagram: Datagram,
         actions: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
-        let taken = self.accept(now, datagram, actions);
-        match taken {
-            Ok(()) => self.counts.taken += 1,
-            Err(fault) => self.fault(fault),
+    ) -> Result<(), Rejection> {
+        let result = self.accept(now, &datagram, actions);
+        match result {
+            Ok(()) => self.counters.accepted += 1,
+            Err(rejection) => self.count_rejection(rejection),
         }
-        taken
+        result
     }
 
-    /// Counts what was not taken.
-    pub fn fault(&mut self, fault: Fault) {
-        self.counts.faults[fault as usize] += 1;
+    /// Counts a rejected datagram, or a rejected part of an accepted one.
+    pub fn count_rejection(&mut self, rejection: Rejection) {
+        self.counters.rejected[rejection as usize] += 1;
     }
 
     fn accept(
         &mut self,
         now: Micros,
-        datagram: Datagram,
+        datagram: &Datagram,
         actions: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
-        let released = self.released_by(&datagram)?;
-        let from = datagram.from as usize;
-        if from >= self.members.len() || datagram.from == self.setup.me {
-            return Err(Fault::Strange);
+    ) -> Result<(), Rejection> {
+        let votes = self.revocations_of(datagram)?;
+        let sender = datagram.from as usize;
+        if sender >= self.members.len() || datagram.from == self.settings.me {
+            return Err(Rejection::OutOfRange);
         }
         if self.leaving {
             return Ok(());
         }
-        let word = datagram.word.ok_or(Fault::Garbled)?;
-        let known = &self.members[from];
-        // Written in this process's life, and in the life of the sender that is known, or a later one.
-        let new_session = known.session != datagram.session;
-        let proven = datagram.to == self.session;
-        let later = known.session == 0 || datagram.incarnation > known.incarnation;
-        if !proven || (new_session && !later) {
-            return self.answer_unproven(now, &datagram, word, proven, actions);
-        }
-        self.note_heard(now, &datagram, new_session)?;
-        if let Some(bound) = self.members[from].sent_at(datagram.heard) {
-            self.leases[from].told(bound, datagram.grants, released.as_ref());
+        let message = datagram.word.ok_or(Rejection::Malformed)?;
+        let freshness = self.freshness(datagram);
+        if !freshness.is_proven() {
+            return self.answer_unproven(now, datagram, message, freshness, actions);
         }
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.target == from) {
-            probe.acked |= datagram.heard >= probe.number;
+        self.record_receipt(now, datagram, freshness.new_session)?;
+        if let Some(sent_at) = self.members[sender].sent_at(datagram.heard) {
+            self.leases[sender].on_datagram(sent_at, datagram.grants, votes.as_ref());
         }
-        self.relay_ack(now, from, datagram.heard, actions);
-        let lost = self.members[from].state >= State::Suspect || self.members[from].forgotten;
+        self.record_ack(sender, datagram.heard);
+        self.relay_ack(now, sender, datagram.heard, actions);
+        let believed_lost = self.members[sender].must_refute();
         let incarnation = self.incarnation();
-        let all_read = self.apply_updates(now, &datagram, word, actions);
-        match word {
-            Word::Ping(_) => self.acknowledge(now, from, actions),
-            Word::Ask(target) => self.relay_probe(now, from, target as usize, actions),
-            Word::Vouch(target) => self.note_indirect_ack(target as usize),
-            // Who has just learned of the sender lets it know, and so does who takes it for dead.
-            Word::Ack(_) if new_session || lost => {
-                _ = self.send(now, from, Word::Gossip(true), actions)
-            }
-            // Whoever holds this one for dead is the first to hear that it lives.
-            _ if self.incarnation() > incarnation => {
-                _ = self.send(now, from, Word::Gossip(true), actions)
-            }
-            Word::Ack(_) | Word::Gossip(_) | Word::Leave(_) => {}
-        }
-        if !all_read {
-            self.fault(Fault::Strange);
+        let all_valid = self.apply_updates(now, datagram, message, actions);
+        let unacquainted = freshness.new_session || believed_lost;
+        let refuted = self.incarnation() > incarnation;
+        self.reply(now, sender, message, unacquainted, refuted, actions);
+        if !all_valid {
+            self.count_rejection(Rejection::OutOfRange);
         }
         Ok(())
     }
 
-    /// Answers what may be an hour old. Nothing that it says is taken; only a living sender can answer what it is told.
+    fn freshness(&self, datagram: &Datagram) -> Freshness {
+        let known = &self.members[datagram.from as usize];
+        Freshness {
+            written_in_this_session: datagram.to == self.session,
+            new_session: known.session != datagram.session,
+            may_be_later_process: known.session == 0 || datagram.incarnation > known.incarnation,
+        }
+    }
+
+    /// Sends what a datagram calls for. `unacquainted` is set if the sender was not known or believed
+    /// dead before it, `refuted` if the datagram made this limiter refute a suspicion.
+    fn reply(
+        &mut self,
+        now: Micros,
+        sender: usize,
+        message: MessageKind,
+        unacquainted: bool,
+        refuted: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        match message {
+            MessageKind::Ping(_) => self.acknowledge(now, sender, actions),
+            MessageKind::Ask(target) => self.relay_probe(now, sender, target as usize, actions),
+            MessageKind::Vouch(target) => self.record_indirect_ack(target as usize),
+            MessageKind::Ack(_) | MessageKind::Gossip(_) | MessageKind::Leave(_) => {
+                let first_ack = matches!(message, MessageKind::Ack(_)) && unacquainted;
+                if first_ack || refuted {
+                    self.send(now, sender, MessageKind::Gossip(true), actions);
+                }
+            }
+        }
+    }
+
+    /// Answers a datagram that may be a replay. Nothing in it is used; the answer has the sender's
+    /// session, so that a sender that is alive can prove its next datagram.
     fn answer_unproven(
         &mut self,
         now: Micros,
         datagram: &Datagram,
-        word: Word,
-        proven: bool,
+        message: MessageKind,
+        freshness: Freshness,
         actions: &mut Vec<Action>,
-    ) -> Result<(), Fault> {
-        let answered = match word {
-            Word::Ping(_) => true,
-            Word::Ack(_) => proven,
+    ) -> Result<(), Rejection> {
+        let addressed_here = freshness.written_in_this_session;
+        let answered = match message {
+            MessageKind::Ping(_) => true,
+            MessageKind::Ack(_) => addressed_here,
             _ => false,
         };
         if !answered {
-            return Err(Fault::Stale);
-        }
-        if !self.strangers.take(now) {
-            return Err(Fault::Flood);
-        }
-        let from = datagram.from as usize;
-        let known = &self.members[from];
-        let at = known
-            .address
-            .filter(|_| known.seed)
-            .or_else(|| datagram.address());
-        let (session, heard) = (datagram.session, datagram.number);
-        let route = Route {
-            at,
-            session,
-            heard,
-            clash: proven,
-            with_part: true,
-        };
-        self.send_by(now, from, route, Word::Ack(true), actions);
-        if proven {
+            return Err(Rejection::Stale);
+        }
+        if !self.unproven_limit.take(now) {
+            return Err(Rejection::RateLimited);
+        }
+        let to = self.unproven_sender(datagram, addressed_here);
+        let message = MessageKind::Ack(true);
+        self.send_to(now, to, message, Revocations::NextPart, actions);
+        if addressed_here {
             Ok(())
         } else {
-            Err(Fault::Stale)
+            Err(Rejection::Stale)
+        }
+    }
+
+    fn unproven_sender(&self, datagram: &Datagram, addressed_here: bool) -> Destination {
+        let known = &self.members[datagram.from as usize];
+        let configured_address = known.address.filter(|_| known.seed);
+        let route = if addressed_here {
+            Route::ConflictingProcess
+        } else {
+            Route::Member
+        };
+        Destination {
+            member: datagram.from as usize,
+            address: configured_address.or_else(|| datagram.address()),
+            session: datagram.session,
+            acknowledged: datagram.number,
+            route,
         }
     }
 
-    /// Notes that the sender was heard, unless this was heard before or too much is heard.
-    fn note_heard(
+    /// Records that a datagram of the sender arrived.
+    ///
+    /// # Errors
+    ///
+    /// If it was received before, or exceeds the rate limit.
+    fn record_receipt(
         &mut self,
         now: Micros,
         datagram: &Datagram,
         new_session: bool,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), Rejection> {
         let member = &mut self.members[datagram.from as usize];
         if new_session {
-            (member.session, member.window) = (datagram.session, Window::default());
+            member.session = datagram.session;
+            member.replay_window = ReplayWindow::default();
         }
-        if !member.window.take(datagram.number) {
-            return Err(Fault::Stale);
+        if !member.replay_window.accept(datagram.number) {
+            return Err(Rejection::Stale);
         }
-        if !self.taken.take(now) {
-            return Err(Fault::Flood);
+        if !self.receive_limit.take(now) {
+            return Err(Rejection::RateLimited);
         }
-        member.heard = Some(now);
-        // One that was forgotten has to be told so.
+        member.last_received = Some(now);
+        // A forgotten member has no address, and must be reached in order to refute its death.
         member.address = member.address.or_else(|| datagram.address());
         Ok(())
     }
 
-    /// Takes what the datagram says of its sender and of others; false if some of it can't be.
+    /// Applies the updates about the sender and those in the gossip; returns false if some of these
+    /// are out of range.
     fn apply_updates(
         &mut self,
         now: Micros,
         datagram: &Datagram,
-        word: Word,
+        message: MessageKind,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let left = matches!(word, Word::Leave(_));
-        let sender = Update {
-            who: datagram.from as usize,
-            state: if left { State::Left } else { State::Alive },
+        let leaves = matches!(message, MessageKind::Leave(_));
+        let sender = StateUpdate {
+            member: datagram.from as usize,
+            state: if leaves {
+                MemberState::Left
+            } else {
+                MemberState::Alive
+            },
             incarnation: datagram.incarnation,
-            contact: datagram.address().map(|at| (at, datagram.version)),
-            by: datagram.from,
+            contact: datagram.address().map(|address| Contact {
+                address,
+                version: datagram.version,
+            }),
+            reported_by: datagram.from,
         };
         self.apply_update(now, sender, actions);
-        let mut all_read = true;
-        for news in &datagram.news {
-            let Some((who, state, at)) = news.read(self.setup.size) else {
-                all_read = false;
+        let mut all_valid = true;
+        for gossip in &datagram.news {
+            let Some(checked) = gossip.read(self.settings.size) else {
+                all_valid = false;
                 continue;
             };
-            let contact = Some((at, news.version));
-            let update = Update {
-                who,
-                state,
-                incarnation: news.incarnation,
-                contact,
-                by: news.by,
+            let update = StateUpdate {
+                member: checked.member,
+                state: checked.state,
+                incarnation: gossip.incarnation,
+                contact: Some(Contact {
+                    address: checked.address,
+                    version: gossip.version,
+                }),
+                reported_by: gossip.by,
             };
             self.apply_update(now, update, actions);
         }
-        all_read
+        all_valid
     }
 
-    /// Another member has reached the one that is probed.
-    fn note_indirect_ack(&mut self, target: usize) {
-        let waiting = |probe: &&mut super::Probe| probe.target == target && probe.indirect_sent;
-        if let Some(probe) = self.probe.as_mut().filter(waiting) {
-            probe.indirect_ack = true;
+    /// Decodes the sender's votes; `None` if the datagram carries none.
+    ///
+    /// # Errors
+    ///
+    /// If the sender's fleet has another format or size, or the votes can't be decoded.
+    fn revocations_of(&self, datagram: &Datagram) -> Result<Option<RevocationWindows>, Rejection> {
+        let size = self.settings.size;
+        if datagram.format != self.settings.encoding.format() {
+            return Err(Rejection::WrongFormat);
         }
-    }
-
-    /// What the sender says of the set of released leases, if it is of a fleet of this format and size.
-    fn released_by(&self, datagram: &Datagram) -> Result<Option<SaidPart>, Fault> {
-        let Setup { size, encoding, .. } = self.setup;
-        match encoding {
-            _ if datagram.format != encoding.format() => Err(Fault::Format),
-            Encoding::Whole => Ok(Some(SaidPart::whole(&datagram.released, size as usize))),
-            Encoding::Parts { .. } if datagram.limiters != size => Err(Fault::Fleet),
-            Encoding::Parts { .. } if !datagram.released.is_empty() => Err(Fault::Strange),
-            Encoding::Parts { window, .. } => match &datagram.released_part {
-                Some(part) => part.read(size, window).map(Some).ok_or(Fault::Strange),
-                None => Ok(None),
-            },
+        let window = match self.settings.encoding {
+            Encoding::Whole => {
+                let votes = RevocationWindows::whole(&datagram.released, size as usize);
+                return Ok(Some(votes));
+            }
+            Encoding::Parts { window, .. } => window,
+        };
+        if datagram.limiters != size {
+            return Err(Rejection::WrongFleet);
         }
+        if !datagram.released.is_empty() {
+            return Err(Rejection::OutOfRange);
+        }
+        let Some(part) = &datagram.released_part else {
+            return Ok(None);
+        };
+        let votes = part.read(size, window).ok_or(Rejection::OutOfRange)?;
+        Ok(Some(votes))
     }
 }
--- a/src/membership/view/suspicion.rs
+++ b/src/membership/view/suspicion.rs
@@ -1,70 +1,62 @@
-//! Suspicion: how long a member that does not answer may still say that it lives.
+//! Suspicions: how long a member that does not answer may refute that it is dead.
+//!
+//! A suspicion times out sooner the more members confirm it, as in "Lifeguard: Local Health Awareness
+//! for More Accurate Failure Detection" (Dadgar, Phillips, Currey, 2017).
 
-use super::table::Update;
-use super::{Action, View};
 use crate::decision::Micros;
-use crate::membership::datagram::{State, Word};
 
-/// Further accusers that bring a suspicion down to its shortest time.
-pub(super) const CONFIRMATIONS: usize = 3;
+/// Confirmations by further members that bring a suspicion down to its shortest time.
+const CONFIRMATIONS: usize = 3;
+/// Shortest time of a suspicion in protocol periods, for each power of ten of the fleet's size.
+const MIN_TIMEOUT_PERIODS: f64 = 2.0;
+/// Ratio of the longest time of a suspicion to the shortest.
+const MAX_TIMEOUT_FACTOR: f64 = 3.0;
+/// Progress towards the shortest time in a fleet so small that nobody can confirm a suspicion.
+const UNCONFIRMABLE_PROGRESS: f64 = 0.4;
 
-/// A suspicion lasts so many periods at the least, for each power of ten of the fleet, and so many times that at
-/// the most.
-const SUSPICION_PERIODS: f64 = 2.0;
-const SUSPICION_MAX_FACTOR: f64 = 3.0;
-
-/// A member that does not answer, until it says that it lives or is declared dead.
+/// A suspicion of one member.
 #[derive(Debug)]
 pub(super) struct Suspicion {
+    /// When this limiter began to suspect the member.
     pub(super) began: Micros,
-    /// Found by this one, which goes on asking.
-    pub(super) own: bool,
-    pub(super) accusers: Vec<u32>,
+    /// This limiter found it by its own probes, and goes on probing the member.
+    pub(super) found_here: bool,
+    /// Numbers of the limiters that have found it by their own probes.
+    accusers: Vec<u32>,
 }
 
-impl View {
-    /// Declares dead whose suspicion has lasted long enough, and goes on asking the others.
-    pub(super) fn check_suspicions(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        for who in self.suspects.clone() {
-            let member = &self.members[who];
-            let Some(suspicion) = &member.suspicion else {
-                continue;
-            };
-            let (own, incarnation) = (suspicion.own, member.incarnation);
-            // Whom this one hears is not dead, whatever others make of it.
-            let heard = member.heard.map_or(0, |at| at + 2 * self.setup.period);
-            let over = heard.max(suspicion.began + self.suspicion_timeout(suspicion));
-            if now >= over {
-                self.counts.found_dead += 1;
-                let (state, by) = (State::Dead, self.setup.me);
-                self.apply_update(
-                    now,
-                    Update {
-                        who,
-                        state,
-                        incarnation,
-                        contact: None,
-                        by,
-                    },
-                    actions,
-                );
-            } else if own {
-                self.send(now, who, Word::Ping(true), actions);
-            }
+impl Suspicion {
+    /// Returns a suspicion that limiter `accuser` reported, in the view of limiter `own`.
+    pub(super) fn new(now: Micros, accuser: u32, own: u32) -> Self {
+        Self {
+            began: now,
+            found_here: accuser == own,
+            accusers: vec![accuser],
+        }
+    }
+
+    /// Adds the report of a further accuser; returns false if it changes nothing.
+    pub(super) fn confirm(&mut self, accuser: u32, own: u32) -> bool {
+        if self.accusers.len() > CONFIRMATIONS || self.accusers.contains(&accuser) {
+            return false;
         }
+        self.accusers.push(accuser);
+        self.found_here |= accuser == own;
+        true
     }
 
-    /// How long a suspicion lasts: the shorter the more members have it of themselves.
-    fn suspicion_timeout(&self, suspicion: &Suspicion) -> Micros {
-        let least = SUSPICION_PERIODS * (self.members.len() as f64).log10().max(1.0);
-        let wanted = CONFIRMATIONS.min(self.members.len().saturating_sub(3));
-        let further = suspicion.accusers.len().saturating_sub(1).min(wanted);
-        let confirmed = match wanted {
-            // Nobody else could have it so.
-            0 => 0.4,
-            _ => (further as f64 + 1.0).ln() / (wanted as f64 + 1.0).ln(),
+    /// Returns the time in protocol periods after which the member is declared dead, in a fleet of
+    /// `limiters`.
+    pub(super) fn timeout_periods(&self, limiters: usize) -> f64 {
+        let shortest = MIN_TIMEOUT_PERIODS * (limiters as f64).log10().max(1.0);
+        // The suspected member, this limiter and one further can't confirm what the third reported.
+        let possible = CONFIRMATIONS.min(limiters.saturating_sub(3));
+        let confirmations = self.accusers.len().saturating_sub(1).min(possible);
+        let progress = if possible == 0 {
+            UNCONFIRMABLE_PROGRESS
+        } else {
+            (confirmations as f64 + 1.0).ln() / (possible as f64 + 1.0).ln()
         };
-        let periods = least * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1.0) * confirmed);
-        (periods * self.local_health() * self.setup.period as f64) as Micros
+        shortest * (MAX_TIMEOUT_FACTOR - (MAX_TIMEOUT_FACTOR - 1.0) * progress)
     }
 }
--- a/src/membership/view/table.rs
+++ b/src/membership/view/table.rs
@@ -1,139 +1,149 @@
-//! The membership table: which update of a member goes before what is known, and when the dead are forgotten.
+//! The membership table: which updates override what is known of a member.
 
-use super::suspicion::{Suspicion, CONFIRMATIONS};
-use super::{Action, Change, View};
+use super::action::{Action, StateChange};
+use super::suspicion::Suspicion;
+use super::View;
 use crate::decision::Micros;
-use crate::membership::datagram::State;
+use crate::membership::member_state::MemberState;
 use std::net::SocketAddrV4;
 
-/// What is said of a member.
+/// How a member is reached, and its version.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Update {
+pub(super) struct Contact {
+    pub(super) address: SocketAddrV4,
+    pub(super) version: u32,
+}
+
+/// An update about a member, by this limiter or by gossip.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct StateUpdate {
     /// Its number.
-    pub(super) who: usize,
-    pub(super) state: State,
-    /// Its incarnation that this is true of.
+    pub(super) member: usize,
+    pub(super) state: MemberState,
+    /// The member's incarnation that the state belongs to.
     pub(super) incarnation: u64,
-    /// Where it is reached and its version, if that is said too.
-    pub(super) contact: Option<(SocketAddrV4, u32)>,
-    /// Who said so first.
-    pub(super) by: u32,
+    /// Its address and version, if the update has them.
+    pub(super) contact: Option<Contact>,
+    /// The limiter that reported the state first.
+    pub(super) reported_by: u32,
 }
 
 impl View {
-    /// Forgets who has been dead for long, and looks for leases that are to be released.
-    pub(super) fn forget(&mut self, now: Micros) {
-        if now >= self.release_at {
-            self.release_at = self.released.scan(now, &self.leases);
-        }
-        if now < self.forget_at {
-            return;
-        }
-        self.forget_at = Micros::MAX;
-        for (who, member) in self.members.iter_mut().enumerate() {
-            if !matches!(member.state, State::Dead | State::Left) {
-                continue;
-            }
-            let due = member.since + self.setup.forget;
-            if now < due {
-                self.forget_at = self.forget_at.min(due);
-                continue;
-            }
-            (member.state, member.forgotten, member.since) = (State::Unknown, true, now);
-            self.retransmits[who] = 0;
-            if !member.seed {
-                member.address = None;
-            }
-        }
-    }
-
-    /// Takes what is said of a member, if it is newer than what is known: of a later incarnation, or worse.
-    pub(super) fn apply_update(&mut self, now: Micros, update: Update, actions: &mut Vec<Action>) {
-        let Update {
-            who,
-            state,
-            incarnation,
-            contact,
-            by,
-        } = update;
-        if who == self.setup.me as usize {
-            return self.refute(state, incarnation);
+    /// Applies an update if it overrides what is known: by a higher incarnation, or by a later state
+    /// of the same.
+    pub(super) fn apply_update(
+        &mut self,
+        now: Micros,
+        update: StateUpdate,
+        actions: &mut Vec<Action>,
+    ) {
+        if update.member == self.own_index() {
+            return self.refute(update.state, update.incarnation);
         }
-        let member = &mut self.members[who];
-        let known = if member.forgotten {
-            State::Left
+        let member = &self.members[update.member];
+        let known_state = if member.forgotten {
+            MemberState::Left
         } else {
             member.state
         };
-        if (incarnation, state) <= (member.incarnation, known) {
-            if (incarnation, state, known) == (member.incarnation, State::Suspect, State::Suspect) {
-                self.confirm_suspicion(who, by);
+        if (update.incarnation, update.state) <= (member.incarnation, known_state) {
+            let same_suspicion = update.incarnation == member.incarnation
+                && update.state == MemberState::Suspect
+                && known_state == MemberState::Suspect;
+            if same_suspicion {
+                self.confirm_suspicion(update.member, update.reported_by);
             }
             return;
         }
-        let before = member.state;
-        (member.state, member.incarnation, member.by) = (state, incarnation, by);
+        let previous = member.state;
+        self.store_update(now, &update);
+        self.update_lease(now, &update, previous);
+        if update.state != previous {
+            self.note_change(now, &update, previous, actions);
+        }
+        self.enqueue(update.member);
+    }
+
+    fn store_update(&mut self, now: Micros, update: &StateUpdate) {
+        let own = self.settings.me;
+        let member = &mut self.members[update.member];
+        member.state = update.state;
+        member.incarnation = update.incarnation;
+        member.reported_by = update.reported_by;
         member.forgotten = false;
-        if let Some((at, version)) = contact {
-            member.version = version;
+        if let Some(contact) = update.contact {
+            member.version = contact.version;
             if !member.seed {
-                member.address = Some(at);
+                member.address = Some(contact.address);
             }
         }
-        member.suspicion = (state == State::Suspect).then(|| Suspicion {
-            began: now,
-            own: by == self.setup.me,
-            accusers: vec![by],
-        });
-        self.suspects.retain(|suspect| *suspect != who);
-        if state == State::Suspect {
-            self.suspects.push(who);
+        self.suspects.retain(|suspect| *suspect != update.member);
+        if update.state == MemberState::Suspect {
+            member.suspicion = Some(Suspicion::new(now, update.reported_by, own));
+            self.suspects.push(update.member);
+        } else {
+            member.suspicion = None;
+        }
+    }
+
+    /// Starts or stops the renewal of the member's lease if it came to life or died.
+    fn update_lease(&mut self, now: Micros, update: &StateUpdate, previous: MemberState) {
+        let alive = update.state.lives();
+        if alive == previous.lives() {
+            return;
         }
-        if state.lives() != before.lives() {
-            self.living[who] = state.lives();
-            self.release_at = now;
-            self.released
-                .changed(now, who, state.lives(), &mut self.leases[who]);
+        self.alive[update.member] = alive;
+        self.next_revocation_at = now;
+        let lease = &mut self.leases[update.member];
+        if alive {
+            self.revoked.on_peer_alive(now, update.member, lease);
+        } else {
+            self.revoked.on_peer_dead(now, lease);
         }
-        if state != before {
-            self.members[who].since = now;
-            if !state.lives() {
-                self.forget_at = self.forget_at.min(now + self.setup.forget);
-            }
-            actions.push(Action::Changed(Change {
-                who: who as u32,
-                before,
-                state,
-                incarnation,
-                by,
-            }));
+    }
+
+    fn note_change(
+        &mut self,
+        now: Micros,
+        update: &StateUpdate,
+        previous: MemberState,
+        actions: &mut Vec<Action>,
+    ) {
+        self.members[update.member].since = now;
+        if !update.state.lives() {
+            self.next_forget_at = self.next_forget_at.min(now + self.settings.forget);
         }
-        self.enqueue(who);
+        actions.push(Action::Changed(StateChange {
+            limiter: update.member as u32,
+            previous,
+            state: update.state,
+            incarnation: update.incarnation,
+            by: update.reported_by,
+        }));
     }
 
-    /// Says that this member lives, under a higher incarnation, if something else is said of it.
-    fn refute(&mut self, state: State, incarnation: u64) {
-        let me = self.setup.me as usize;
-        let own = &mut self.members[me];
-        let accused = incarnation == own.incarnation && state != State::Alive;
+    /// Raises the own incarnation if an update contradicts that this limiter is alive.
+    fn refute(&mut self, state: MemberState, incarnation: u64) {
+        let own_index = self.own_index();
+        let own = &mut self.members[own_index];
+        let accused = incarnation == own.incarnation && state != MemberState::Alive;
         if accused || incarnation > own.incarnation {
             own.incarnation = incarnation + 1;
-            self.counts.refuted += 1;
-            self.enqueue(me);
+            self.counters.refuted += 1;
+            self.enqueue(own_index);
         }
     }
 
-    /// Another member has the same suspicion of itself.
-    fn confirm_suspicion(&mut self, who: usize, by: u32) {
-        let member = &mut self.members[who];
-        let Some(suspicion) = &mut member.suspicion else {
+    /// Records that a further member suspects `member` by its own probes.
+    fn confirm_suspicion(&mut self, member: usize, accuser: u32) {
+        let own = self.settings.me;
+        let suspected = &mut self.members[member];
+        let Some(suspicion) = &mut suspected.suspicion else {
             return;
         };
-        if suspicion.accusers.len() <= CONFIRMATIONS && !suspicion.accusers.contains(&by) {
-            suspicion.accusers.push(by);
-            suspicion.own |= by == self.setup.me;
-            member.by = by;
-            self.enqueue(who);
+        if suspicion.confirm(accuser, own) {
+            suspected.reported_by = accuser;
+            self.enqueue(member);
         }
     }
 }
--- a/src/quota_lease/server.rs
+++ b/src/quota_lease/server.rs
@@ -12,7 +12,7 @@
 use crate::decision::Micros;
 use crate::decision::QuotaShares;
 use crate::log_throttle::LogThrottle;
-use crate::membership::link::Fleet;
+use crate::membership::fleet::Fleet;
 use crate::threads::spawn;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender};
 use prost::Message;
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -1,9 +1,16 @@
 //! Datagrams between limiters: what opens and what does not, and the parts of the set of released leases.
 
-use mossrill::membership::datagram::*;
-use mossrill::membership::released::{
-    insert, parts, Encoding, ReleasedPart, SaidPart, MOST_BY_BIT, WINDOW,
+use mossrill::membership::bitset;
+use mossrill::membership::datagram::{
+    Datagram, GossipUpdate, MessageKind, MAX_DATAGRAM_BYTES, MAX_LIMITERS, TAG_BYTES,
 };
+use mossrill::membership::format::{
+    Encoding, FORMAT, MAX_WHOLE_SET_LIMITERS, PARTS_FORMAT, WINDOW,
+};
+use mossrill::membership::key::Key;
+use mossrill::membership::rejection::Rejection;
+use mossrill::membership::revocation::{encode_parts, RevocationPart, RevocationWindows};
+use mossrill::membership::version;
 use proptest::prelude::*;
 
 fn datagram() -> Datagram {
@@ -19,9 +26,9 @@
         grants: true,
         ip: 0x7f00_0001,
         port: 7_946,
-        version: version("0.1.0"),
-        word: Some(Word::Ping(true)),
-        news: vec![News {
+        version: version::encode("0.1.0"),
+        word: Some(MessageKind::Ping(true)),
+        news: vec![GossipUpdate {
             who: 2,
             state: 3,
             incarnation: 8,
@@ -45,23 +52,32 @@
     let sealed = key.seal(&datagram());
     assert_eq!(key.open("ferry", &sealed), Ok(datagram()));
     assert_eq!(sealed.len(), datagram().size());
-    assert_eq!(other.open("ferry", &sealed), Err(Fault::Foreign));
-    assert_eq!(key.open("cargo", &sealed), Err(Fault::Fleet));
+    assert_eq!(
+        other.open("ferry", &sealed),
+        Err(Rejection::Unauthenticated)
+    );
+    assert_eq!(key.open("cargo", &sealed), Err(Rejection::WrongFleet));
     assert_eq!(
         key.open("ferry", &sealed[..sealed.len() - 1]),
-        Err(Fault::Foreign)
+        Err(Rejection::Unauthenticated)
+    );
+    assert_eq!(
+        key.open("ferry", &sealed[..TAG_BYTES]),
+        Err(Rejection::InvalidSize)
+    );
+    assert_eq!(
+        key.open("ferry", &[0; MAX_DATAGRAM_BYTES + 1]),
+        Err(Rejection::InvalidSize)
     );
-    assert_eq!(key.open("ferry", &sealed[..TAG]), Err(Fault::Size));
-    assert_eq!(key.open("ferry", &[0; LONGEST + 1]), Err(Fault::Size));
     type Change = fn(&mut Datagram);
-    let changes: [(Change, Fault); 7] = [
-        (|d| d.format = 0, Fault::Format),
-        (|d| d.format = 3, Fault::Format),
-        (|d| d.word = None, Fault::Garbled),
-        (|d| d.session = 0, Fault::Garbled),
-        (|d| d.port = 0, Fault::Strange),
-        (|d| d.ip = 0xe000_0001, Fault::Strange),
-        (|d| d.incarnation = u64::MAX, Fault::Strange),
+    let changes: [(Change, Rejection); 7] = [
+        (|d| d.format = 0, Rejection::WrongFormat),
+        (|d| d.format = 3, Rejection::WrongFormat),
+        (|d| d.word = None, Rejection::Malformed),
+        (|d| d.session = 0, Rejection::Malformed),
+        (|d| d.port = 0, Rejection::OutOfRange),
+        (|d| d.ip = 0xe000_0001, Rejection::OutOfRange),
+        (|d| d.incarnation = u64::MAX, Rejection::OutOfRange),
     ];
     for (change, fault) in changes {
         let mut changed = datagram();
@@ -81,16 +97,16 @@
         let mut sealed = key.seal(&datagram());
         let bit = bit % (sealed.len() * 8);
         sealed[bit / 8] ^= 1 << (bit % 8);
-        prop_assert_eq!(key.open("ferry", &sealed), Err(Fault::Foreign));
+        prop_assert_eq!(key.open("ferry", &sealed), Err(Rejection::Unauthenticated));
     }
 }
 
 /// The bits of a part as a set of numbers.
-fn numbers(part: &SaidPart, window: usize) -> Vec<u32> {
+fn numbers(part: &RevocationWindows, window: usize) -> Vec<u32> {
     let mut numbers = Vec::new();
     for (index, bits) in part.windows.iter().enumerate() {
         let first = (part.first_window + index) * window;
-        let has = |n: &usize| mossrill::membership::released::has(bits, *n);
+        let has = |n: &usize| bitset::contains(bits, *n);
         numbers.extend((0..bits.len() * 8).filter(has).map(|n| (first + n) as u32));
     }
     numbers
@@ -98,21 +114,25 @@
 
 fn bits_of(set: &[u32]) -> Vec<u8> {
     let mut bits = Vec::new();
-    set.iter().for_each(|who| insert(&mut bits, *who as usize));
+    set.iter()
+        .for_each(|who| bitset::insert(&mut bits, *who as usize));
     bits
 }
 
 #[test]
 fn fleets_up_to_the_limit_of_the_version_before_keep_its_format() {
-    assert_eq!(Encoding::of(MOST_BY_BIT), Encoding::Whole);
-    assert_eq!(Encoding::of(MOST_BY_BIT).format(), FORMAT);
-    assert_eq!(Encoding::of(MOST_BY_BIT + 1).format(), PARTS_FORMAT);
+    assert_eq!(Encoding::of(MAX_WHOLE_SET_LIMITERS), Encoding::Whole);
+    assert_eq!(Encoding::of(MAX_WHOLE_SET_LIMITERS).format(), FORMAT);
+    assert_eq!(
+        Encoding::of(MAX_WHOLE_SET_LIMITERS + 1).format(),
+        PARTS_FORMAT
+    );
     // Neither of the new fields is written there, so that the bytes are those of that version.
     let plain = datagram();
     let size = plain.size();
     let larger = Datagram {
         limiters: 1,
-        released_part: Some(ReleasedPart::default()),
+        released_part: Some(RevocationPart::default()),
         ..plain
     };
     assert!(larger.size() > size);
@@ -121,22 +141,22 @@
 #[test]
 fn the_longest_part_leaves_room_for_a_word_on_the_receiver() {
     // Every second limiter is released, which no run shortens.
-    let set: Vec<u32> = (0..MOST_LIMITERS / 2).map(|n| 2 * n + 1).collect();
+    let set: Vec<u32> = (0..MAX_LIMITERS / 2).map(|n| 2 * n + 1).collect();
     let Encoding::Parts {
         window,
         most_run_bytes,
-    } = Encoding::of(MOST_LIMITERS)
+    } = Encoding::of(MAX_LIMITERS)
     else {
         panic!("parts")
     };
-    let parts = parts(&bits_of(&set), MOST_LIMITERS, window, most_run_bytes);
-    assert_eq!(parts.len() as u32, MOST_LIMITERS.div_ceil(WINDOW));
+    let parts = encode_parts(&bits_of(&set), MAX_LIMITERS, window, most_run_bytes);
+    assert_eq!(parts.len() as u32, MAX_LIMITERS.div_ceil(WINDOW));
     let most = 1 << 52;
-    let news = News {
-        who: MOST_LIMITERS - 1,
+    let news = GossipUpdate {
+        who: MAX_LIMITERS - 1,
         state: 4,
         incarnation: most,
-        by: MOST_LIMITERS - 1,
+        by: MAX_LIMITERS - 1,
         ip: u32::MAX,
         port: 65_535,
         version: 999_999_999,
@@ -145,7 +165,7 @@
         let longest = Datagram {
             format: PARTS_FORMAT,
             fleet: "sixteen bytes ab".into(),
-            from: MOST_LIMITERS - 1,
+            from: MAX_LIMITERS - 1,
             incarnation: most,
             session: u64::MAX,
             to: u64::MAX,
@@ -156,13 +176,17 @@
             ip: u32::MAX,
             port: 65_535,
             version: 999_999_999,
-            word: Some(Word::Ask(MOST_LIMITERS - 1)),
+            word: Some(MessageKind::Ask(MAX_LIMITERS - 1)),
             news: vec![news.clone()],
             released: Vec::new(),
             released_part: Some(part),
-            limiters: MOST_LIMITERS,
+            limiters: MAX_LIMITERS,
         };
-        assert!(longest.size() <= LONGEST, "{} bytes", longest.size());
+        assert!(
+            longest.size() <= MAX_DATAGRAM_BYTES,
+            "{} bytes",
+            longest.size()
+        );
     }
 }
 
@@ -170,7 +194,7 @@
 fn parts_with_bad_offsets_bits_or_runs_are_not_read() {
     const LIMITERS: u32 = 2_001;
     let part = |first, count, bits: &[u8], runs: &[u32]| {
-        let part = ReleasedPart {
+        let part = RevocationPart {
             first,
             count,
             bits: bits.to_vec(),
@@ -212,7 +236,7 @@
     /// All parts together say the set, and nobody else.
     #[test]
     fn parts_say_the_set(
-        limiters in 1u32..=MOST_LIMITERS, window in prop::sample::select(vec![8u32, 64, WINDOW]),
+        limiters in 1u32..=MAX_LIMITERS, window in prop::sample::select(vec![8u32, 64, WINDOW]),
         most_run_bytes in 0u32..120, share in 0.0f64..1.0, run in 1u32..200, seed in any::<u64>(),
     ) {
         // Runs of chance length of released and of others.
@@ -226,10 +250,10 @@
             at = end;
         }
         let mut said = Vec::new();
-        for part in parts(&bits_of(&set), limiters, window, most_run_bytes) {
+        for part in encode_parts(&bits_of(&set), limiters, window, most_run_bytes) {
             let read = part.read(limiters, window);
             prop_assert!(read.is_some(), "{:?}", part);
-            said.extend(numbers(&read.unwrap_or_else(|| SaidPart::whole(&[], 8)), window as usize));
+            said.extend(numbers(&read.unwrap_or_else(|| RevocationWindows::whole(&[], 8)), window as usize));
         }
         prop_assert_eq!(said, set);
     }
@@ -243,7 +267,7 @@
     ) {
         for (bits, runs) in [(bits.clone(), Vec::new()), (Vec::new(), runs.clone()), (bits, runs)] {
             for first in [first, 0, WINDOW] {
-                let part = ReleasedPart { first, count, bits: bits.clone(), runs: runs.clone() };
+                let part = RevocationPart { first, count, bits: bits.clone(), runs: runs.clone() };
                 if let Some(said) = part.read(2_000, WINDOW) {
                     prop_assert!(numbers(&said, WINDOW as usize).iter().all(|who| *who < 2_000));
                 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -2,10 +2,39 @@
 //! any moment, whatever is said, heard late or lost, and whenever a core looks, nobody shares out what is still held.
 
 use mossrill::decision::QuotaShares;
-use mossrill::membership::parts::{quota_shares, PeerLease, Released};
-use mossrill::membership::released::{Encoding, SaidPart};
+use mossrill::membership::format::Encoding;
+use mossrill::membership::lease::{PeerLease, RevokedLeases};
+use mossrill::membership::quota_shares::LeaseView;
+use mossrill::membership::revocation::RevocationWindows;
 use stateright::{Checker, Model, Property};
 
+/// The shares of a limiter that keeps half of its share in any case.
+fn quota_shares(
+    now: u64,
+    limiter: u32,
+    alive: &[bool],
+    leases: &[PeerLease],
+    revoked: &RevokedLeases,
+) -> QuotaShares {
+    let view = LeaseView {
+        limiter,
+        guaranteed: 0.5,
+        alive,
+        leases,
+        revoked,
+    };
+    view.quota_shares(now)
+}
+
+/// Notifies a limiter that it believes a peer alive or dead now.
+fn believe(revoked: &mut RevokedLeases, now: u64, peer: usize, alive: bool, lease: &mut PeerLease) {
+    if alive {
+        revoked.on_peer_alive(now, peer, lease);
+    } else {
+        revoked.on_peer_dead(now, lease);
+    }
+}
+
 /// A lease lasts a step of time, and a tenth longer where clocks may drift.
 const STEP: u64 = 10;
 const LEASE: u64 = STEP;
@@ -14,12 +43,12 @@
 const CUT: usize = 2;
 const OTHERS: [usize; 2] = [0, 1];
 
-fn nobody_released() -> Released {
-    Released::new(LEASE, 3, Encoding::Whole)
+fn nobody_released() -> RevokedLeases {
+    RevokedLeases::new(LEASE, 3, Encoding::Whole)
 }
 
-fn said(released: &Released) -> SaidPart {
-    SaidPart::whole(released.bits(), 3)
+fn said(released: &RevokedLeases) -> RevocationWindows {
+    RevocationWindows::whole(released.bits(), 3)
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,7 +58,7 @@
     lives: [bool; 2],
     /// Ways of each limiter to each.
     ways: [[PeerLease; 3]; 3],
-    released: [Released; 3],
+    released: [RevokedLeases; 3],
     /// What the core of number 0 was told last: its lease, whether it shares out what number 2 held, and to when. The
     /// core of number 2 has a lease as soon as it is renewed, and may use it to its end.
     told: (u64, bool, u64),
@@ -64,7 +93,7 @@
             .collect();
         quota_shares(
             self.now,
-            (who as u32, 0.5),
+            who as u32,
             &living,
             &self.ways[who],
             &self.released[who],
@@ -102,8 +131,8 @@
     fn init_states(&self) -> Vec<State> {
         // Everybody has held everybody for living for long, and has just said so.
         let (mut way, mut released) = (PeerLease::new(0, 0), nobody_released());
-        released.changed(0, 0, true, &mut way);
-        way.told(LEASE, true, None);
+        believe(&mut released, 0, 0, true, &mut way);
+        way.on_datagram(LEASE, true, None);
         let own = PeerLease::default();
         let ways = std::array::from_fn(|who| {
             std::array::from_fn(|other| {
@@ -144,19 +173,21 @@
                 state.now += STEP;
                 for who in OTHERS {
                     let ways = state.ways[who].clone();
-                    state.released[who].scan(now + STEP, &ways);
+                    state.released[who].revoke_expired(now + STEP, &ways);
                 }
             }
             Step::Believe(who, lives) => {
                 state.lives[who] = lives;
                 let (ways, released) = (&mut state.ways[who], &mut state.released[who]);
-                released.changed(now, CUT, lives, &mut ways[CUT]);
+                believe(released, now, CUT, lives, &mut ways[CUT]);
                 match self.0 {
-                    Without::Waiting if !lives => _ = released.scan(now + 10 * LEASE, &ways[..]),
+                    Without::Waiting if !lives => {
+                        _ = released.revoke_expired(now + 10 * LEASE, &ways[..])
+                    }
                     // As if nothing had been said of it.
                     Without::WaitingAgain if lives => {
                         ways[CUT] = PeerLease::new(0, 0);
-                        nobody_released().changed(now, CUT, true, &mut ways[CUT]);
+                        believe(&mut nobody_released(), now, CUT, true, &mut ways[CUT]);
                     }
                     _ => {}
                 }
@@ -164,7 +195,7 @@
             Step::Say(way) => {
                 let (who, to) = WAYS[way];
                 let (grants, part) = (state.ways[who][to].grants(now), said(&state.released[who]));
-                state.ways[to][who].told(now, grants, Some(&part));
+                state.ways[to][who].on_datagram(now, grants, Some(&part));
             }
             Step::Tell => state.tell(),
         }
@@ -216,13 +247,13 @@
 /// A lease of the tests below, which tell the time themselves.
 const SHORT: u64 = 10;
 
-fn nobody() -> Released {
-    Released::new(SHORT, 3, Encoding::Whole)
+fn nobody() -> RevokedLeases {
+    RevokedLeases::new(SHORT, 3, Encoding::Whole)
 }
 
 /// The whole set, as it is said.
-fn whole(bits: &[u8]) -> Option<SaidPart> {
-    Some(SaidPart::whole(bits, 3))
+fn whole(bits: &[u8]) -> Option<RevocationWindows> {
+    Some(RevocationWindows::whole(bits, 3))
 }
 
 #[test]
@@ -233,16 +264,15 @@
         PeerLease::new(0, SHORT),
     ];
     let released = nobody();
-    let until =
-        |ways: &[PeerLease]| quota_shares(100, (0, 0.5), &[true; 3], ways, &released).lease_ends;
+    let until = |ways: &[PeerLease]| quota_shares(100, 0, &[true; 3], ways, &released).lease_ends;
     assert_eq!(until(&ways), 0);
-    ways[1].told(90, true, whole(&[]).as_ref());
+    ways[1].on_datagram(90, true, whole(&[]).as_ref());
     assert_eq!(until(&ways), 100);
     // A later one that does not renew, or an older one that did, changes nothing.
-    ways[1].told(95, false, whole(&[]).as_ref());
-    ways[1].told(80, true, whole(&[]).as_ref());
+    ways[1].on_datagram(95, false, whole(&[]).as_ref());
+    ways[1].on_datagram(80, true, whole(&[]).as_ref());
     assert_eq!(until(&ways), 100);
-    ways[2].told(97, true, whole(&[]).as_ref());
+    ways[2].on_datagram(97, true, whole(&[]).as_ref());
     assert_eq!(until(&ways), 107);
 }
 
@@ -255,19 +285,19 @@
         PeerLease::new(0, SHORT),
     ];
     // Number 1 lives, number 2 dies at 20.
-    released.changed(1, 1, true, &mut ways[1]);
-    released.changed(1, 2, true, &mut ways[2]);
-    released.changed(20, 2, false, &mut ways[2]);
-    released.scan(30, &ways);
+    believe(&mut released, 1, 1, true, &mut ways[1]);
+    believe(&mut released, 1, 2, true, &mut ways[2]);
+    believe(&mut released, 20, 2, false, &mut ways[2]);
+    released.revoke_expired(30, &ways);
     assert!(released.bits().is_empty());
-    released.scan(31, &ways);
+    released.revoke_expired(31, &ways);
     assert_eq!(released.bits(), [4]);
-    let standing = |now, ways: &[PeerLease], released: &Released| {
-        quota_shares(now, (0, 0.5), &[true, true, false], ways, released)
+    let standing = |now, ways: &[PeerLease], released: &RevokedLeases| {
+        quota_shares(now, 0, &[true, true, false], ways, released)
     };
-    ways[1].told(30, true, whole(&[]).as_ref());
+    ways[1].on_datagram(30, true, whole(&[]).as_ref());
     assert_eq!(standing(32, &ways, &released).reassigned, [false; 3]);
-    ways[1].told(31, true, whole(&[4]).as_ref());
+    ways[1].on_datagram(31, true, whole(&[4]).as_ref());
     let now = standing(32, &ways, &released);
     assert_eq!(now.reassigned, [false, false, true]);
     assert_eq!(now.share(32, 0..3), Some(0.5 / 3.0 + 0.25));
@@ -279,7 +309,7 @@
     // What was said too long ago counts no more.
     assert_eq!(standing(41, &ways, &released).reassigned, [false; 3]);
     // Back: renewed again only after everybody has forgotten that it was released.
-    released.changed(35, 2, true, &mut ways[2]);
+    believe(&mut released, 35, 2, true, &mut ways[2]);
     assert!(released.bits().is_empty());
     assert!(!ways[2].grants(45) && ways[2].grants(46));
 }
@@ -293,11 +323,11 @@
         window: 8,
         most_run_bytes: 0,
     };
-    let mut released = Released::new(SHORT, SIZE as u32, encoding);
+    let mut released = RevokedLeases::new(SHORT, SIZE as u32, encoding);
     let mut ways = vec![PeerLease::new(0, SHORT); SIZE];
     ways[0] = PeerLease::default();
-    (1..ALIVE).for_each(|who| released.changed(0, who, true, &mut ways[who]));
-    released.scan(11, &ways);
+    (1..ALIVE).for_each(|who| believe(&mut released, 0, who, true, &mut ways[who]));
+    released.revoke_expired(11, &ways);
     let parts: Vec<_> = (0..2)
         .map(|turn| released.part(turn).expect("a part").clone())
         .collect();
@@ -305,11 +335,11 @@
     let said = |turn: usize| parts[turn].read(SIZE as u32, 8);
     let standing = |now, ways: &[PeerLease]| {
         let living: Vec<bool> = (0..SIZE).map(|who| who < ALIVE).collect();
-        quota_shares(now, (0, 0.5), &living, ways, &released)
+        quota_shares(now, 0, &living, ways, &released)
     };
     // Ten others have said so of numbers 9 to 15 at 20, and of 16 to 19 at 25.
     for way in &mut ways[1..11] {
-        way.told(20, true, said(0).as_ref());
+        way.on_datagram(20, true, said(0).as_ref());
     }
     assert_eq!(
         standing(26, &ways)
@@ -320,7 +350,7 @@
         7
     );
     for way in &mut ways[1..11] {
-        way.told(25, true, said(1).as_ref());
+        way.on_datagram(25, true, said(1).as_ref());
     }
     let both = standing(26, &ways);
     assert_eq!(
@@ -338,11 +368,11 @@
     // Nor does a renewal without a part.
     ways[1..11]
         .iter_mut()
-        .for_each(|way| way.told(34, true, None));
+        .for_each(|way| way.on_datagram(34, true, None));
     assert!(standing(35, &ways).reassigned.iter().all(|given| !given));
     // One vote less than a majority is none.
     for way in &mut ways[1..10] {
-        way.told(40, true, said(0).as_ref());
+        way.on_datagram(40, true, said(0).as_ref());
     }
     assert!(standing(41, &ways).reassigned.iter().all(|given| !given));
 }
@@ -356,8 +386,8 @@
     };
     for windows in 1..=6 {
         let size = 8 * windows;
-        let mut released = Released::new(SHORT, size as u32, encoding);
-        released.scan(11, &vec![PeerLease::new(0, SHORT); size]);
+        let mut released = RevokedLeases::new(SHORT, size as u32, encoding);
+        released.revoke_expired(11, &vec![PeerLease::new(0, SHORT); size]);
         let firsts = |turns: &mut dyn Iterator<Item = usize>| {
             let mut firsts: Vec<_> = turns
                 .map(|turn| released.part(turn).expect("a part").first)
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -3,11 +3,13 @@
 #[path = "common/net.rs"]
 mod net;
 
-use mossrill::membership::datagram::{
-    Datagram, Fault, Key, State, Word, FORMAT, PARTS_FORMAT, TAG,
-};
-use mossrill::membership::released::{Encoding, ReleasedPart};
-use mossrill::membership::view::{Action, View};
+use mossrill::membership::datagram::{Datagram, GossipUpdate, MessageKind, TAG_BYTES};
+use mossrill::membership::format::{Encoding, FORMAT, PARTS_FORMAT};
+use mossrill::membership::key::Key;
+use mossrill::membership::member_state::MemberState;
+use mossrill::membership::rejection::Rejection;
+use mossrill::membership::revocation::RevocationPart;
+use mossrill::membership::view::{Action, View, ViewSettings};
 use net::*;
 use proptest::prelude::*;
 
@@ -51,7 +53,7 @@
     assert!(
         net.changes[before..]
             .iter()
-            .all(|(.., change)| change.state == State::Left),
+            .all(|(.., change)| change.state == MemberState::Left),
         "found out"
     );
     net.start(2);
@@ -69,7 +71,7 @@
         net.run(180 * SECOND);
         let dead = net.changes[before..]
             .iter()
-            .filter(|(.., c)| c.state == State::Dead)
+            .filter(|(.., c)| c.state == MemberState::Dead)
             .count();
         assert_eq!(dead, 0, "at a loss of {loss}");
     }
@@ -118,7 +120,7 @@
             .filter(|(who, _)| *who != 3)
             .all(|(_, p)| p.view.state(3) == state)
     };
-    assert!(others(&net, State::Dead));
+    assert!(others(&net, MemberState::Dead));
     assert!(net.processes[3]
         .as_ref()
         .is_some_and(|p| p.told.share(net.now, 0..7) == Some(0.5 / 7.0)));
@@ -198,12 +200,12 @@
     net.kill(4);
     net.run(30 * SECOND);
     let (view, now) = (&mut net.processes[0].as_mut().expect("up").view, net.now);
-    assert_eq!(view.state(4), State::Unknown);
-    let row = view.rows().remove(4);
+    assert_eq!(view.state(4), MemberState::Unknown);
+    let row = view.member_statuses().remove(4);
     assert_eq!(row.address, None);
-    let old = mossrill::membership::datagram::News {
+    let old = GossipUpdate {
         who: 4,
-        state: State::Alive.number(),
+        state: MemberState::Alive.number(),
         incarnation: row.incarnation,
         by: 4,
         ip: u32::from(*address(4).ip()),
@@ -218,24 +220,24 @@
         &mut todo,
     );
     let view = &mut net.processes[0].as_mut().expect("up").view;
-    for state in [State::Alive, State::Suspect, State::Dead] {
+    for state in [MemberState::Alive, MemberState::Suspect, MemberState::Dead] {
         let mut word = caught.clone();
         word.number += 100 + u64::from(state.number());
-        word.news = vec![mossrill::membership::datagram::News {
+        word.news = vec![GossipUpdate {
             state: state.number(),
             ..old.clone()
         }];
         view.heard(now, word, &mut todo).expect("taken");
-        assert_eq!(view.state(4), State::Unknown, "by {state:?}");
+        assert_eq!(view.state(4), MemberState::Unknown, "by {state:?}");
     }
     let mut word = caught;
     word.number += 200;
-    word.news = vec![mossrill::membership::datagram::News {
+    word.news = vec![GossipUpdate {
         incarnation: old.incarnation + 1,
         ..old
     }];
     view.heard(now, word, &mut todo).expect("taken");
-    assert_eq!(view.state(4), State::Alive);
+    assert_eq!(view.state(4), MemberState::Alive);
 }
 
 /// The next datagram of a view to the first limiter.
@@ -265,7 +267,7 @@
         now,
         &mut Vec::new(),
     );
-    let state = |view: &View| view.rows();
+    let state = |view: &View| view.member_statuses();
     let view = &mut net.processes[0].as_mut().expect("up").view;
     let mut todo = Vec::new();
     view.heard(now, caught.clone(), &mut todo).expect("new");
@@ -280,7 +282,7 @@
     let before = state(view);
     todo.clear();
     let mut poison = caught;
-    poison.word = Some(Word::Ping(true));
+    poison.word = Some(MessageKind::Ping(true));
     for _ in 0..1_000 {
         assert!(view.heard(now + SECOND, poison.clone(), &mut todo).is_err());
     }
@@ -368,30 +370,30 @@
 #[test]
 fn datagrams_of_another_format_or_size_or_with_bad_parts_are_dropped_and_counted() {
     type Change = fn(&mut Datagram);
-    let changes: [(Change, Fault); 6] = [
-        (|d| d.format = FORMAT, Fault::Format),
-        (|d| d.limiters = 19, Fault::Fleet),
-        (|d| d.limiters = 0, Fault::Fleet),
-        (|d| d.released = vec![1], Fault::Strange),
+    let changes: [(Change, Rejection); 6] = [
+        (|d| d.format = FORMAT, Rejection::WrongFormat),
+        (|d| d.limiters = 19, Rejection::WrongFleet),
+        (|d| d.limiters = 0, Rejection::WrongFleet),
+        (|d| d.released = vec![1], Rejection::OutOfRange),
         (
             |d| {
-                d.released_part = Some(ReleasedPart {
+                d.released_part = Some(RevocationPart {
                     first: 4,
                     count: 8,
-                    ..ReleasedPart::default()
+                    ..RevocationPart::default()
                 })
             },
-            Fault::Strange,
+            Rejection::OutOfRange,
         ),
         (
             |d| {
-                d.released_part = Some(ReleasedPart {
+                d.released_part = Some(RevocationPart {
                     first: 24,
                     count: 8,
-                    ..ReleasedPart::default()
+                    ..RevocationPart::default()
                 })
             },
-            Fault::Strange,
+            Rejection::OutOfRange,
         ),
     ];
     let mut net = Net::new(20, 19).with(|setup| setup.encoding = SMALL_PARTS);
@@ -404,7 +406,7 @@
         &mut Vec::new(),
     );
     let view = &mut net.processes[0].as_mut().expect("up").view;
-    let (before, counts) = (view.rows(), view.counts().clone());
+    let (before, counts) = (view.member_statuses(), view.counters().clone());
     for (index, (change, fault)) in changes.into_iter().enumerate() {
         let mut bad = good.clone();
         change(&mut bad);
@@ -416,11 +418,17 @@
         );
         assert!(todo.is_empty());
     }
-    assert_eq!(view.rows(), before);
-    let dropped =
-        |fault: Fault| view.counts().faults[fault as usize] - counts.faults[fault as usize];
+    assert_eq!(view.member_statuses(), before);
+    let dropped = |fault: Rejection| {
+        view.counters().rejected[fault as usize] - counts.rejected[fault as usize]
+    };
     assert_eq!(
-        [Fault::Format, Fault::Fleet, Fault::Strange].map(dropped),
+        [
+            Rejection::WrongFormat,
+            Rejection::WrongFleet,
+            Rejection::OutOfRange
+        ]
+        .map(dropped),
         [1, 2, 3]
     );
     // And one of the format of large fleets where the whole set is carried.
@@ -437,7 +445,10 @@
         limiters: 3,
         ..good
     };
-    assert_eq!(view.heard(now, large, &mut Vec::new()), Err(Fault::Format));
+    assert_eq!(
+        view.heard(now, large, &mut Vec::new()),
+        Err(Rejection::WrongFormat)
+    );
 }
 
 #[test]
@@ -460,7 +471,7 @@
     for length in 0..sealed.len() {
         assert!(key.open("ferry", &sealed[..length]).is_err());
         // Cut by one that has the key, before it is sealed.
-        let Some(body) = sealed.get(TAG..length) else {
+        let Some(body) = sealed.get(TAG_BYTES..length) else {
             continue;
         };
         let Ok(short) = <Datagram as prost::Message>::decode(body) else {
@@ -512,7 +523,7 @@
     net.run(60 * SECOND);
     let seen = || {
         net.up()
-            .map(|(who, p)| (who, p.view.incarnation(), p.view.rows()))
+            .map(|(who, p)| (who, p.view.incarnation(), p.view.member_statuses()))
             .collect::<Vec<_>>()
     };
     prop_assert!(net.settled(), "{:#?}", seen());
@@ -551,7 +562,7 @@
     fn all_parts_together_stay_within_the_whole_where_released_leases_are_told_in_parts(
         size in 9usize..18, seed in any::<u64>(), kept in prop::sample::select(vec![0.1, 0.5]), steps in steps(17),
     ) {
-        let change = |setup: &mut mossrill::membership::view::Setup| (setup.kept, setup.encoding) = (kept, SMALL_PARTS);
+        let change = |setup: &mut ViewSettings| (setup.kept, setup.encoding) = (kept, SMALL_PARTS);
         let net = Net::new(size as u32, seed).with(change);
         all_parts_stay_within_the_whole(net, steps)?;
     }
