--- a/src/admin/line.rs
+++ b/src/admin/line.rs
@@ -1,33 +1,24 @@
-//! Where operators call: threads of its own, few callers at a time, each for a short time.
+//! Executes admin calls.
 
-use super::{stat, word, Call, LONGEST_CALL};
+use crate::admin::{acknowledgement, render_metrics, Call, CallError};
 use crate::core::AdminCommand;
 use crate::decision::ServerId;
 use crate::membership::link::Fleet;
 use crate::metrics::Metrics;
-use crate::threads::{lock, spawn};
 use crossbeam_channel::{bounded, Sender};
-use slog::{info, warn, Logger};
-use std::collections::VecDeque;
-use std::io::{ErrorKind, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex};
-use std::thread;
-use std::time::{Duration, Instant};
+use slog::{info, Logger};
+use std::sync::Arc;
+use std::time::Duration;
 
-/// Callers at a time; a further one takes the place of the one that has been there longest without a whole call.
-const CALLERS: usize = 8;
-/// A caller waits a second for its answer: it has half of it for its call, and the core most of the rest.
-const CALL_WAIT: Duration = Duration::from_millis(500);
-const CORE_WAIT: Duration = Duration::from_millis(800);
-/// A caller that does not read its answer is left.
-const WRITE_WAIT: Duration = Duration::from_millis(300);
-/// Wait after a failed accept, as when descriptors run out.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
+pub use crate::admin::listener::listen;
+
+/// The core confirms a command within this time. Operators wait a second for an answer, and half of it may have passed
+/// until the call was complete.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What calls are answered from.
 pub struct AdminContext {
-    /// The figures.
+    /// The metrics of this process.
     pub figures: Arc<Metrics>,
     /// The limiter's place in its fleet, if it has one.
     pub fleet: Option<Fleet>,
@@ -35,124 +26,56 @@
     pub ready: Box<dyn Fn() -> bool + Send + Sync>,
     /// Passes a command to the core.
     pub command: Box<dyn Fn(AdminCommand) + Send + Sync>,
-    /// For what operators changed.
+    /// Receives a line for each command.
     pub log: Logger,
 }
 
-/// Listens for operators.
-pub fn listen(at: SocketAddr, context: AdminContext) -> std::io::Result<SocketAddr> {
-    let named =
-        |e: std::io::Error| std::io::Error::new(e.kind(), format!("key \"control\": {at}: {e}"));
-    let listener = TcpListener::bind(at).map_err(named)?;
-    let bound = listener.local_addr()?;
-    spawn("control", move || accept(&listener, &Arc::new(context)))?;
-    Ok(bound)
-}
-
-/// Connections on which no whole call has come yet, the oldest first.
-type Silent = Arc<Mutex<VecDeque<Arc<TcpStream>>>>;
-
-fn accept(listener: &TcpListener, context: &Arc<AdminContext>) {
-    let silent = Silent::default();
-    loop {
-        let stream = match listener.accept() {
-            Ok((stream, _)) => Arc::new(stream),
-            Err(fault) => {
-                warn!(context.log, "accept failed"; "error" => %fault);
-                thread::sleep(ACCEPT_WAIT);
-                continue;
-            }
+impl AdminContext {
+    /// Executes a call and renders its answer.
+    pub(super) fn answer(&self, call: Call) -> String {
+        let result = match call {
+            Call::ShowStat => Ok(self.show_stat()),
+            Call::ShowFleet => self.show_fleet(),
+            Call::Ready => self.ready().map(|()| acknowledgement(Ok(()))),
+            Call::DisableServer(id) => self.confirm(id, AdminCommand::Disable),
+            Call::EnableServer(id) => self.confirm(id, AdminCommand::Enable),
         };
-        {
-            let mut silent = lock(&silent);
-            if silent.len() >= CALLERS {
-                silent
-                    .pop_front()
-                    .into_iter()
-                    .for_each(|oldest| _ = oldest.shutdown(Shutdown::Both));
-            }
-            silent.push_back(stream.clone());
-        }
-        let (own, at) = (silent.clone(), context.clone());
-        if let Err(fault) = spawn("control-call", move || at.serve(&stream, &own)) {
-            warn!(context.log, "no thread for an admin call"; "error" => %fault);
-            lock(&silent).clear();
-        }
+        result.unwrap_or_else(|error| acknowledgement(Err(&error.to_string())))
     }
-}
 
-/// Reads one line.
-///
-/// Guards against callers that say nothing, half a line or an endless one: each is answered or left in time.
-fn call(mut stream: &TcpStream) -> Result<Vec<u8>, &'static str> {
-    let (began, mut line) = (Instant::now(), Vec::new());
-    loop {
-        let left = CALL_WAIT.saturating_sub(began.elapsed());
-        let mut part = [0; LONGEST_CALL];
-        if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
-            return Err("no whole line in time");
-        }
-        match stream.read(&mut part) {
-            // A caller that ends its sending has ended its line.
-            Ok(0) => return Ok(line),
-            Ok(read) => line.extend_from_slice(&part[..read]),
-            Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Err("no whole line in time"),
-        }
-        if let Some(end) = line.iter().position(|b| *b == b'\n') {
-            line.truncate(end);
-            return Ok(line);
-        }
-        if line.len() > LONGEST_CALL {
-            return Err("the line is too long");
-        }
+    fn show_stat(&self) -> String {
+        let fleet_metrics = self.fleet.as_ref().map_or(Vec::new(), Fleet::figures);
+        render_metrics(&self.figures, fleet_metrics)
     }
-}
 
-impl AdminContext {
-    fn serve(&self, stream: &Arc<TcpStream>, silent: &Silent) {
-        let call = call(stream);
-        lock(silent).retain(|other| !Arc::ptr_eq(other, stream));
-        let answer = match call.and_then(|line| Call::parse(&line)) {
-            Ok(call) => self.answer(call),
-            Err(why) => word(Err(why)),
-        };
-        _ = stream.set_write_timeout(Some(WRITE_WAIT));
-        _ = (&**stream).write_all(answer.as_bytes());
-        _ = stream.shutdown(Shutdown::Write);
+    fn show_fleet(&self) -> Result<String, CallError> {
+        let fleet = self.fleet.as_ref().ok_or(CallError::NoFleet)?;
+        let members = fleet.show().ok_or(CallError::NotMember)?;
+        Ok(members + "END\n")
     }
 
-    fn answer(&self, call: Call) -> String {
-        match call {
-            Call::ShowStat => stat(
-                &self.figures,
-                self.fleet.as_ref().map_or(Vec::new(), Fleet::figures),
-            ),
-            Call::ShowFleet => match self.fleet.as_ref().map(Fleet::show) {
-                Some(Some(text)) => text + "END\n",
-                Some(None) => word(Err("this process does not speak for its limiter now")),
-                None => word(Err("no fleet is configured")),
-            },
-            Call::Ready if (self.ready)() => word(Ok(())),
-            Call::Ready => word(Err("this process can't serve yet")),
-            Call::DisableServer(id) => self.command(id, AdminCommand::Disable),
-            Call::EnableServer(id) => self.command(id, AdminCommand::Enable),
+    fn ready(&self) -> Result<(), CallError> {
+        if (self.ready)() {
+            Ok(())
+        } else {
+            Err(CallError::NotReady)
         }
     }
 
-    fn command(
+    /// Passes a command for an upstream server to the core and waits for its confirmation.
+    fn confirm(
         &self,
         id: ServerId,
         command: impl Fn(ServerId, Sender<bool>) -> AdminCommand,
-    ) -> String {
-        let (told, taken) = bounded(1);
-        let command = command(id, told);
+    ) -> Result<String, CallError> {
+        let (confirm, confirmed) = bounded(1);
+        let command = command(id, confirm);
         info!(self.log, "admin command"; "command" => ?command);
         (self.command)(command);
-        word(match taken.recv_timeout(CORE_WAIT) {
-            Ok(true) => Ok(()),
-            Ok(false) => Err("no server of this id was ever listed"),
-            Err(_) => Err("not taken in time; it may still be"),
-        })
+        match confirmed.recv_timeout(CONFIRMATION_TIMEOUT) {
+            Ok(true) => Ok(acknowledgement(Ok(()))),
+            Ok(false) => Err(CallError::UnknownServer),
+            Err(_) => Err(CallError::Unconfirmed),
+        }
     }
 }
--- /dev/null
+++ b/src/admin/listener.rs
@@ -0,0 +1,126 @@
+//! Accepts operators' connections: a thread for each, few at a time, each for a short time.
+
+use crate::admin::line::AdminContext;
+use crate::admin::{acknowledgement, Call, CallError, LONGEST_CALL};
+use crate::threads::{lock, spawn};
+use slog::warn;
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Connections without a complete call; a further one closes the oldest of them.
+const MAX_PENDING_CONNECTIONS: usize = 8;
+/// A call is complete within this time after its connection was accepted.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of writing an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Wait after a failed accept, as when descriptors run out.
+const ACCEPT_RETRY_WAIT: Duration = Duration::from_millis(20);
+
+/// Listens for operators at an address and answers their calls. Returns the address that was bound.
+///
+/// # Errors
+///
+/// If the address can't be bound; the error names the key of the configuration and the address.
+pub fn listen(at: SocketAddr, context: AdminContext) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind(at)
+        .map_err(|error| io::Error::new(error.kind(), format!("key \"control\": {at}: {error}")))?;
+    let bound = listener.local_addr()?;
+    let context = Arc::new(context);
+    spawn("control", move || accept(&listener, &context))?;
+    Ok(bound)
+}
+
+/// Connections without a complete call, the oldest first.
+#[derive(Clone, Default)]
+struct PendingConnections(Arc<Mutex<VecDeque<Arc<TcpStream>>>>);
+
+impl PendingConnections {
+    /// Adds a connection, and closes the oldest one if there are too many.
+    fn add(&self, stream: Arc<TcpStream>) {
+        let mut streams = lock(&self.0);
+        if streams.len() >= MAX_PENDING_CONNECTIONS {
+            if let Some(oldest) = streams.pop_front() {
+                _ = oldest.shutdown(Shutdown::Both);
+            }
+        }
+        streams.push_back(stream);
+    }
+
+    fn remove(&self, stream: &Arc<TcpStream>) {
+        lock(&self.0).retain(|other| !Arc::ptr_eq(other, stream));
+    }
+
+    fn clear(&self) {
+        lock(&self.0).clear();
+    }
+}
+
+fn accept(listener: &TcpListener, context: &Arc<AdminContext>) {
+    let pending = PendingConnections::default();
+    loop {
+        match listener.accept() {
+            Ok((stream, _)) => start_call(Arc::new(stream), &pending, context),
+            Err(error) => {
+                warn!(context.log, "accept failed"; "error" => %error);
+                thread::sleep(ACCEPT_RETRY_WAIT);
+            }
+        }
+    }
+}
+
+/// Serves a connection on a thread of its own.
+fn start_call(stream: Arc<TcpStream>, pending: &PendingConnections, context: &Arc<AdminContext>) {
+    pending.add(stream.clone());
+    let thread_pending = pending.clone();
+    let thread_context = context.clone();
+    let work = move || serve(&stream, &thread_pending, &thread_context);
+    if let Err(error) = spawn("control-call", work) {
+        warn!(context.log, "no thread for an admin call"; "error" => %error);
+        pending.clear();
+    }
+}
+
+fn serve(stream: &Arc<TcpStream>, pending: &PendingConnections, context: &AdminContext) {
+    let line = read_line(stream);
+    pending.remove(stream);
+    let answer = match line.and_then(|line| Call::parse(&line)) {
+        Ok(call) => context.answer(call),
+        Err(error) => acknowledgement(Err(&error.to_string())),
+    };
+    _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+    _ = (&**stream).write_all(answer.as_bytes());
+    _ = stream.shutdown(Shutdown::Write);
+}
+
+/// Reads one line, without its end.
+///
+/// Guards against operators' tools that send nothing, an incomplete line or an endless one: each gets an answer in time.
+fn read_line(mut stream: &TcpStream) -> Result<Vec<u8>, CallError> {
+    let began = Instant::now();
+    let mut line = Vec::new();
+    loop {
+        let remaining = CALL_TIMEOUT.saturating_sub(began.elapsed());
+        if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
+            return Err(CallError::Incomplete);
+        }
+        let mut bytes = [0; LONGEST_CALL];
+        match stream.read(&mut bytes) {
+            // The end of the stream ends the line too.
+            Ok(0) => return Ok(line),
+            Ok(read) => line.extend_from_slice(&bytes[..read]),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(_) => return Err(CallError::Incomplete),
+        }
+        if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
+            line.truncate(end);
+            return Ok(line);
+        }
+        if line.len() > LONGEST_CALL {
+            return Err(CallError::TooLong);
+        }
+    }
+}
--- a/src/log_throttle.rs
+++ b/src/log_throttle.rs
@@ -1,24 +1,35 @@
-//! A limit on log lines that bad input could otherwise repeat without end.
+//! A rate limit for log lines that bad input could repeat without end.
 
-use std::sync::{Mutex, PoisonError};
+use crate::threads::lock;
+use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Between two lines of one kind.
-const EVERY: Duration = Duration::from_secs(1);
+/// The least time between two lines.
+const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets one line a second through and counts the others.
+/// Permits one line a second and counts the suppressed ones.
 #[derive(Debug, Default)]
-pub struct LogThrottle(Mutex<(Option<Instant>, u64)>);
+pub struct LogThrottle(Mutex<ThrottleState>);
+
+#[derive(Debug, Default)]
+struct ThrottleState {
+    last_line: Option<Instant>,
+    suppressed: u64,
+}
 
 impl LogThrottle {
-    /// How many lines were kept back since the last one, if one may be written now.
+    /// Returns the number of lines that were suppressed since the last one if a line may be written now; otherwise counts
+    /// this line as suppressed and returns none.
     pub fn permit(&self) -> Option<u64> {
-        let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.0.is_some_and(|last| last.elapsed() < EVERY) {
-            state.1 += 1;
+        let mut state = lock(&self.0);
+        if state
+            .last_line
+            .is_some_and(|last| last.elapsed() < LINE_INTERVAL)
+        {
+            state.suppressed += 1;
             return None;
         }
-        state.0 = Some(Instant::now());
-        Some(std::mem::take(&mut state.1))
+        state.last_line = Some(Instant::now());
+        Some(std::mem::take(&mut state.suppressed))
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,35 +1,70 @@
-//! Counters that operators are shown. They are kept where the thing happens, and read without asking the core.
+//! Metrics for operators: counted where the event happens, and read without the core.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// How a request ended, as its agent was told.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// With a ticket node's value.
+    /// With a value from an upstream server.
     Served,
-    /// Trying again is harmless.
+    /// Rejected: nothing was done, so the client may retry.
     Rejected,
-    /// Promising nothing, or the agent had gone.
+    /// Failed, perhaps after an upstream server had done it, or the client disconnected.
     Failed,
 }
 
-/// All figures of one process; they begin at 0.
+/// All metrics of one process; they begin at 0.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// By class: its name, and requests served, refused and failed.
-    classes: Vec<(String, [AtomicU64; 3])>,
+    classes: Vec<ClassMetrics>,
     attempts: AtomicU64,
     in_flight: AtomicU64,
-    servers: [AtomicUsize; 2],
+    known_servers: AtomicUsize,
+    excluded_servers: AtomicUsize,
+}
+
+/// Requests of one class that ended, by outcome.
+#[derive(Debug, Default)]
+struct ClassMetrics {
+    name: String,
+    served: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
+}
+
+impl ClassMetrics {
+    fn count(&self, outcome: RequestOutcome) {
+        let counter = match outcome {
+            RequestOutcome::Served => &self.served,
+            RequestOutcome::Rejected => &self.rejected,
+            RequestOutcome::Failed => &self.failed,
+        };
+        counter.fetch_add(1, Relaxed);
+    }
+
+    fn values(&self) -> [(String, u64); 3] {
+        [
+            ("served", &self.served),
+            ("refused", &self.rejected),
+            ("failed", &self.failed),
+        ]
+        .map(|(outcome, counter)| {
+            let name = format!("requests.{}.{outcome}", self.name);
+            (name, counter.load(Relaxed))
+        })
+    }
 }
 
 impl Metrics {
-    /// Metrics of these classes, which are told as 0 until a request of theirs has ended.
+    /// Metrics of these classes, each shown from the start.
     pub fn new(classes: Vec<String>) -> Arc<Self> {
         let classes = classes
             .into_iter()
-            .map(|name| (name, Default::default()))
+            .map(|name| ClassMetrics {
+                name,
+                ..ClassMetrics::default()
+            })
             .collect();
         Arc::new(Self {
             classes,
@@ -37,79 +72,74 @@
         })
     }
 
-    /// A request of this class has been taken.
+    /// Counts a request of the class with this index as in flight until the result is dropped.
     pub fn taken(self: &Arc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.fetch_add(1, Relaxed);
         InFlightRequest {
-            figures: self.clone(),
+            metrics: self.clone(),
             class,
-            end: RequestOutcome::Failed,
+            outcome: RequestOutcome::Failed,
         }
     }
 
-    /// An attempt has been written whole to a ticket node.
+    /// Counts an attempt that was written whole to an upstream server.
     pub fn attempt(&self) {
         self.attempts.fetch_add(1, Relaxed);
     }
 
-    /// Requests taken whose answer is not written.
+    /// The number of requests that were taken and whose reply is not written.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
 
-    /// So many ticket nodes are listed, and so many of them avoided now.
+    /// Sets the numbers of upstream servers that are listed, and that are excluded from load balancing.
     pub fn servers(&self, known: usize, excluded: usize) {
-        self.servers[0].store(known, Relaxed);
-        self.servers[1].store(excluded, Relaxed);
+        self.known_servers.store(known, Relaxed);
+        self.excluded_servers.store(excluded, Relaxed);
     }
 
-    /// Each figure's name and value.
+    /// Each metric's name and value, in the order of the admin interface.
     pub fn all(&self) -> Vec<(String, u64)> {
-        let words = ["served", "refused", "failed"];
-        let class = |(name, ends): &(String, [AtomicU64; 3])| {
-            let one = |(word, count): (&str, &AtomicU64)| {
-                (format!("requests.{name}.{word}"), count.load(Relaxed))
-            };
-            words.into_iter().zip(ends).map(one).collect::<Vec<_>>()
-        };
-        let mut all: Vec<_> = self.classes.iter().flat_map(class).collect();
-        let servers = self
-            .servers
-            .each_ref()
-            .map(|count| count.load(Relaxed) as u64);
-        let rest = [
+        let process_metrics = [
             ("attempts", self.attempts.load(Relaxed)),
             ("in_flight", self.in_flight.load(Relaxed)),
-            ("servers_known", servers[0]),
-            ("servers_excluded", servers[1]),
+            ("servers_known", self.known_servers.load(Relaxed) as u64),
+            (
+                "servers_excluded",
+                self.excluded_servers.load(Relaxed) as u64,
+            ),
         ];
-        all.extend(rest.map(|(name, value)| (name.to_owned(), value)));
-        all
+        let process_metrics = process_metrics.map(|(name, value)| (name.to_owned(), value));
+        self.classes
+            .iter()
+            .flat_map(ClassMetrics::values)
+            .chain(process_metrics)
+            .collect()
     }
 }
 
-/// A request that has been taken: counted once, when this is dropped, as failed unless something else was told.
+/// A request in flight. Dropping it counts the request once, as failed unless [`Self::finish`] was called.
 ///
-/// Guards against requests that end where nobody thought of counting them.
+/// Guards against requests that end in a place without a count.
 #[derive(Debug)]
 pub struct InFlightRequest {
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     class: usize,
-    end: RequestOutcome,
+    outcome: RequestOutcome,
 }
 
 impl InFlightRequest {
-    /// The whole answer has been written.
-    pub fn finish(mut self, end: RequestOutcome) {
-        self.end = end;
+    /// Counts the request with this outcome; its reply was written whole.
+    pub fn finish(mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        if let Some((_, ends)) = self.figures.classes.get(self.class) {
-            ends[self.end as usize].fetch_add(1, Relaxed);
+        if let Some(class) = self.metrics.classes.get(self.class) {
+            class.count(self.outcome);
         }
-        self.figures.in_flight.fetch_sub(1, Relaxed);
+        self.metrics.in_flight.fetch_sub(1, Relaxed);
     }
 }
--- a/tests/units/admin_calls.rs
+++ b/tests/units/admin_calls.rs
@@ -1,22 +1,22 @@
 //! Admin calls as text: what is read from a line, and what is answered.
 
-use mossrill::admin::{stat, word, Call};
+use mossrill::admin::{acknowledgement, render_metrics, Call};
 use mossrill::decision::ServerId;
 use mossrill::metrics::Metrics;
 use mossrill::metrics::RequestOutcome;
 
 #[test]
 fn calls_are_read_to_the_word() {
-    let node = || ServerId::from("s-5be2a07c");
+    let server = || ServerId::from("s-5be2a07c");
     assert_eq!(Call::parse(b"ready\r"), Ok(Call::Ready));
     assert_eq!(Call::parse(b"show-stat"), Ok(Call::ShowStat));
     assert_eq!(
         Call::parse(b"disable-server s-5be2a07c"),
-        Ok(Call::DisableServer(node()))
+        Ok(Call::DisableServer(server()))
     );
     assert_eq!(
         Call::parse(b"enable-server  s-5be2a07c "),
-        Ok(Call::EnableServer(node()))
+        Ok(Call::EnableServer(server()))
     );
     let bad: [&[u8]; 8] = [
         b"",
@@ -29,21 +29,22 @@
         b"\xff",
     ];
     for line in bad {
-        let why = Call::parse(line).expect_err("no such call");
-        assert!(word(Err(why)).starts_with("NO "), "{line:?}");
+        let error = Call::parse(line).expect_err("no such call");
+        let answer = acknowledgement(Err(&error.to_string()));
+        assert!(answer.starts_with("NO "), "{line:?}");
     }
 }
 
 #[test]
 fn each_request_is_counted_once_at_its_end() {
-    let figures = Metrics::new(vec!["look".into(), "pay".into()]);
-    let (served, gone, open) = (figures.taken(0), figures.taken(1), figures.taken(1));
+    let metrics = Metrics::new(vec!["look".into(), "pay".into()]);
+    let (served, gone, open) = (metrics.taken(0), metrics.taken(1), metrics.taken(1));
     served.finish(RequestOutcome::Served);
     drop(gone);
-    figures.attempt();
-    figures.servers(3, 1);
-    insta::assert_snapshot!(stat(&figures, Vec::new()));
+    metrics.attempt();
+    metrics.servers(3, 1);
+    insta::assert_snapshot!(render_metrics(&metrics, Vec::new()));
     open.finish(RequestOutcome::Rejected);
-    assert!(figures.all().contains(&("requests.pay.refused".into(), 1)));
-    assert!(figures.all().contains(&("in_flight".into(), 0)));
+    assert!(metrics.all().contains(&("requests.pay.refused".into(), 1)));
+    assert!(metrics.all().contains(&("in_flight".into(), 0)));
 }
