--- a/benches/capacity/limiter.rs
+++ b/benches/capacity/limiter.rs
@@ -4,7 +4,9 @@
 use super::shared_counter::SharedCounter;
 use super::traffic::{Tenant, Traffic};
 use super::world::{members, settings, SECOND, START};
-use mossrill::decision::*;
+use mossrill::decision::{
+    Action, AttemptResult, Event, Micros, Outcome, Request, RequestId, ServerId, UpdateScope,
+};
 use mossrill::Engine;
 
 /// How long a client waits.
--- a/benches/capacity/page/alternatives.rs
+++ b/benches/capacity/page/alternatives.rs
@@ -1,7 +1,11 @@
 //! Ways to carry what is missing, reckoned from the same slopes. Nothing here was built or measured as a whole.
 
 use super::run::{PageError, Run};
-use super::target::*;
+use super::target::{
+    Unit, ADDED, BATCH_ENTRY, BATCH_HEAD, CONFIGURATION_CHANGES_A_DAY, CONTROL_BYTES, CONTROL_CORE,
+    CONTROL_MACHINES, CONTROL_MEMORY, DAY, IN_FORCE, LIMITERS, REQUESTS, ROUTES, SERVERS, SERVICES,
+    TENANTS,
+};
 use super::{two_digits, Amount, Line};
 use std::fmt::Write;
 
--- a/benches/capacity/page/events.rs
+++ b/benches/capacity/page/events.rs
@@ -1,7 +1,11 @@
 //! What single events cost. Bytes are given as the time that they take at the bytes a second that control may use.
 
 use super::run::{PageError, Reading, Run};
-use super::target::*;
+use super::target::{
+    server_restarts, Unit, ADDED, CONTROL_BYTES, CONTROL_MEMORY, CUT_SECONDS, DAY,
+    ENTRIES_OF_A_RESTART, IN_FORCE, RACK_SERVERS, ROUTES, SERVERS, TENANTS, TURN, ZONE_LIMITERS,
+    ZONE_SERVERS,
+};
 use super::{Amount, Line};
 
 const MICROS: f64 = 1e6;
--- a/benches/capacity/page/steady.rs
+++ b/benches/capacity/page/steady.rs
@@ -1,7 +1,11 @@
 //! What each role spends all day.
 
 use super::run::{PageError, Run};
-use super::target::*;
+use super::target::{
+    limiter_restarts, server_restarts, Unit, ADDED, CONFIGURATION_CHANGES_A_DAY, CONTROL_BYTES,
+    CONTROL_CORE, CONTROL_MACHINES, CONTROL_MEMORY, DAY, ENTRIES_OF_A_RESTART, IDLE_SECONDS,
+    LIMITERS, LONGEST_NEWS, REQUESTS, ROUTES, SCRAPE_SECONDS, SERVERS, SERVICES, TENANTS,
+};
 use super::{Amount, Line};
 use mossrill::membership::datagram::MOST_LIMITERS;
 
--- a/benches/capacity/world.rs
+++ b/benches/capacity/world.rs
@@ -1,6 +1,8 @@
 //! Settings, servers and texts of a made-up fleet.
 
-use mossrill::decision::*;
+use mossrill::decision::{
+    Endpoint, Idempotency, Limits, Micros, Plan, Readiness, RequestClass, Safety, Settings,
+};
 use serde_json::{json, Value};
 
 /// One second in microseconds.
--- a/benches/quotas/fleet.rs
+++ b/benches/quotas/fleet.rs
@@ -3,8 +3,12 @@
 use crate::counter::Counter;
 use crate::tables::{Cause, Tables, Way};
 use crate::world::{Account, Beyond, Kind, MEAN_UNITS, SECOND};
-use mossrill::decision::*;
 use mossrill::decision::{counter_key, counter_window};
+use mossrill::decision::{
+    AccountId, Action, AttemptResult, Endpoint, Event, Idempotency, KeyScope, Limits, Micros,
+    Outcome, Plan, Prices, Readiness, Request, RequestClass, RequestId, ServerId, Settings,
+    UpdateScope,
+};
 use mossrill::Engine;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/lab/src/engine_host.rs
+++ b/lab/src/engine_host.rs
@@ -3,7 +3,10 @@
 
 use crate::messages::DecisionCounts;
 use crate::population::Population;
-use mossrill::decision::*;
+use mossrill::decision::{
+    AccountId, Action, AttemptResult, Endpoint, Event, Idempotency, Limits, Micros, Outcome, Plan,
+    Prices, Readiness, Request, RequestClass, RequestId, Safety, ServerId, Settings, UpdateScope,
+};
 use mossrill::Engine;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
