--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `mossrill check`: whether a limiter could start with a configuration file.
+//! `mossrill check`: checks a configuration file without starting a limiter.
 
 use super::configuration::{self, ConfigurationError};
 use serde_json::Value;
@@ -6,25 +6,25 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Key that only files of a limiter on the platform have.
+/// Key that only configuration files of a limiter on the platform have.
 const PLATFORM_KEY: &str = "settings";
 
-/// Checks a file and says what is wrong with it, on standard error.
+/// Checks a file and prints what is wrong with it to standard error.
 pub fn check(path: &Path) -> ExitCode {
-    // Nobody may read what is said: the exit code says it too.
-    match faults(path) {
+    // A closed output is ignored: the exit code has the result too.
+    match validate(path) {
         Ok(()) => {
             _ = writeln!(io::stdout(), "{}: no fault found", path.display());
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            _ = writeln!(io::stderr(), "{fault}");
+        Err(error) => {
+            _ = writeln!(io::stderr(), "{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn faults(path: &Path) -> Result<(), ConfigurationError> {
+fn validate(path: &Path) -> Result<(), ConfigurationError> {
     let text = configuration::read(path)?;
     let is_platform =
         serde_json::from_str(&text).is_ok_and(|value: Value| value.get(PLATFORM_KEY).is_some());
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -1,53 +1,55 @@
-//! Reading of configuration files, with the faults that a user is told.
+//! Reads configuration files, with errors that name the file.
 
 use mossrill::config::{self, OpenApi, Platform};
 use std::fs;
 use std::path::Path;
 use thiserror::Error;
 
-/// Why there is no configuration.
+/// Why a configuration file was rejected.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// A file can't be read as text.
-    #[error("{path}: {fault}")]
+    /// The file can't be read as UTF-8 text.
+    #[error("{path}: {error}")]
     Unreadable {
         /// The file.
         path: String,
         /// The reason.
-        fault: std::io::Error,
+        #[source]
+        error: std::io::Error,
     },
-    /// The file has been read, and holds no good configuration.
-    #[error("{path}: {fault}")]
+    /// The file does not hold a valid configuration.
+    #[error("{path}: {error}")]
     Invalid {
         /// The file.
         path: String,
         /// What is wrong, with the key.
-        fault: config::Fault,
+        error: config::Fault,
     },
 }
 
 /// Reads a file as UTF-8.
 pub fn read(path: &Path) -> Result<String, ConfigurationError> {
-    fs::read_to_string(path).map_err(|fault| ConfigurationError::Unreadable {
+    fs::read_to_string(path).map_err(|error| ConfigurationError::Unreadable {
         path: path.display().to_string(),
-        fault,
+        error,
     })
 }
 
-/// The configuration of a limiter with an OpenAPI front; its description stands beside the file.
+/// Parses the configuration of a limiter with an OpenAPI front; its description is in the same folder.
 pub fn openapi(path: &Path, text: &str) -> Result<OpenApi, ConfigurationError> {
-    let beside = |name: &str| read(&path.with_file_name(name)).map_err(|fault| fault.to_string());
-    config::openapi(text, beside).map_err(|fault| invalid(path, fault))
+    let read_sibling =
+        |name: &str| read(&path.with_file_name(name)).map_err(|error| error.to_string());
+    config::openapi(text, read_sibling).map_err(|error| invalid(path, error))
 }
 
-/// The configuration of a limiter on the platform; variables of the environment stand in for absent keys.
+/// Parses the configuration of a limiter on the platform; environment variables replace absent keys.
 pub fn platform(path: &Path, text: &str) -> Result<Platform, ConfigurationError> {
-    config::platform(text, |name| std::env::var(name).ok()).map_err(|fault| invalid(path, fault))
+    config::platform(text, |name| std::env::var(name).ok()).map_err(|error| invalid(path, error))
 }
 
-fn invalid(path: &Path, fault: config::Fault) -> ConfigurationError {
+fn invalid(path: &Path, error: config::Fault) -> ConfigurationError {
     ConfigurationError::Invalid {
         path: path.display().to_string(),
-        fault,
+        error,
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the program: what it takes, and its exit codes.
+//! The command line of the program: its arguments and exit codes.
 
 mod check;
 mod configuration;
@@ -43,7 +43,7 @@
 
 /// Runs the program with the arguments of this process. Wrong usage, `--help` and `--version` end the process here.
 pub fn main() -> ExitCode {
-    // The usual start, hundreds of which one machine may see, pays nothing for reading arguments that are not there.
+    // Without arguments the parser is not run: a machine may start hundreds of limiters at once.
     if std::env::args_os().len() <= 1 {
         return start::start(None);
     }
--- a/src/cli/start.rs
+++ b/src/cli/start.rs
@@ -1,4 +1,4 @@
-//! Starting a limiter, and the signals that stop it or have it read its configuration again.
+//! Starts a limiter and handles its signals: SIGTERM stops it, SIGHUP reloads its configuration.
 
 use super::configuration::{self, ConfigurationError};
 use mossrill::client::ClientProtocol;
@@ -14,12 +14,12 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Variable that names the configuration file of a limiter on the platform.
+/// Environment variable with the path of the configuration file of a limiter on the platform.
 const PLATFORM_FILE: &str = "EDGE_CONFIG";
-/// Variable that names a folder that successive processes of a limiter share.
-const COMMON_FOLDER: &str = "TMPDIR";
+/// Environment variable with the path of a folder that successive processes of a limiter share.
+const SHARED_FOLDER: &str = "TMPDIR";
 
-/// Why no limiter runs.
+/// Why a limiter can't start.
 #[derive(Debug, Error)]
 enum StartError {
     #[error("signals: {0}")]
@@ -32,44 +32,45 @@
     Limiter(#[from] io::Error),
 }
 
-/// Runs a limiter with this file, or with the one that EDGE_CONFIG names, until it is stopped.
+/// Runs a limiter with this configuration file, or with the one that EDGE_CONFIG names, until it is stopped.
 pub fn start(file: Option<PathBuf>) -> ExitCode {
     let drain =
         slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(io::stderr())).build();
     let log = Logger::root(drain.fuse(), o!());
     match run(file, &log) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            crit!(log, "cannot start"; "error" => %fault);
+        Err(error) => {
+            crit!(log, "cannot start"; "error" => %error);
             ExitCode::FAILURE
         }
     }
 }
 
 fn run(file: Option<PathBuf>, log: &Logger) -> Result<(), StartError> {
-    // Before anything listens: the words to stop or to read the configuration again may come at any time.
+    // Before anything listens: a signal may be received at any time.
     let signals = Signals::new([SIGTERM, SIGHUP]).map_err(StartError::Signals)?;
-    let folder = std::env::var_os(COMMON_FOLDER).map(PathBuf::from);
+    let shared_folder = std::env::var_os(SHARED_FOLDER).map(PathBuf::from);
     match file {
         Some(path) => {
-            let read_again = move || configuration::openapi(&path, &configuration::read(&path)?);
-            let mut config = read_again()?;
-            config.common.common_folder = folder;
-            serve(openapi::start(config, log), read_again, signals, log)
+            let load = move || configuration::openapi(&path, &configuration::read(&path)?);
+            let mut config = load()?;
+            config.common.common_folder = shared_folder;
+            serve(openapi::start(config, log), load, signals, log)
         }
         None => {
             let path = PathBuf::from(std::env::var(PLATFORM_FILE).map_err(|_| StartError::NoFile)?);
-            let read_again = move || configuration::platform(&path, &configuration::read(&path)?);
-            let mut config = read_again()?;
-            config.common.common_folder = folder;
-            serve(platform::start(config, log), read_again, signals, log)
+            let load = move || configuration::platform(&path, &configuration::read(&path)?);
+            let mut config = load()?;
+            config.common.common_folder = shared_folder;
+            serve(platform::start(config, log), load, signals, log)
         }
     }
 }
 
+/// Runs a limiter until SIGTERM. `load` reads its configuration again on SIGHUP.
 fn serve<P: ClientProtocol, C: 'static>(
     limiter: io::Result<(Limiter<P>, Reload<C>)>,
-    read_again: impl Fn() -> Result<C, ConfigurationError> + Send + 'static,
+    load: impl Fn() -> Result<C, ConfigurationError> + Send + 'static,
     mut signals: Signals,
     log: &Logger,
 ) -> Result<(), StartError> {
@@ -82,11 +83,11 @@
                 info!(signal_log, "shutdown requested");
                 return stopper.stop();
             }
-            // Guards against a file that is bad or only half written: what is in use stays in use.
-            match read_again() {
-                Ok(config) => reload(config),
-                Err(fault) => {
-                    error!(signal_log, "configuration rejected, the previous one stays in use"; "error" => %fault);
+            // A file that is invalid or only half written changes nothing.
+            match load() {
+                Ok(configuration) => reload(configuration),
+                Err(rejection) => {
+                    error!(signal_log, "configuration rejected, the previous one stays in use"; "error" => %rejection);
                 }
             }
         }
--- /dev/null
+++ b/src/process/assembly.rs
@@ -0,0 +1,330 @@
+//! The start of a limiter, in the order in which its parts need each other.
+
+use super::connection_limits::ConnectionLimits;
+use super::core_queue::CoreQueue;
+use super::listener::bind;
+use super::transport::LimiterTransport;
+use super::upgrade::{UpgradeChannel, UpgradeControl};
+use super::Limiter;
+use crate::admin::line::{self, AdminContext};
+use crate::client::{ClientProtocol, Front};
+use crate::config::Common;
+use crate::core::{Clock, Command, Core};
+use crate::counter::{CountLines, Counted};
+use crate::decision::{QuotaShares, RequestClass, UpdateScope};
+use crate::handover::{Beside, Limiting};
+use crate::membership::link::{Fleet, Place};
+use crate::metrics::Metrics;
+use crate::quota_lease::config::LimiterLeases;
+use crate::quota_lease::link::AllocatorLinks;
+use crate::threads::spawn;
+use crate::upstream::{UpstreamPool, UpstreamPoolOptions};
+use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
+use slog::{info, o, Logger};
+use std::io;
+use std::mem::take;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+
+impl<P: ClientProtocol> Limiter<P> {
+    /// Starts everything but the core. `counter` starts the client of the counter, if there is one, which
+    /// passes its replies to the function that it is given.
+    ///
+    /// # Errors
+    /// A socket can't be opened or a thread can't be started.
+    pub fn start(
+        mut common: Common,
+        client_protocol: P,
+        upstream_protocol: P::Upstream,
+        counter: impl FnOnce(Counted) -> io::Result<Option<CountLines>>,
+        log: &Logger,
+    ) -> io::Result<Self> {
+        let (input_sender, inputs) = unbounded();
+        let (command_sender, commands) = unbounded();
+        let assembly = Assembly::<P> {
+            queue: CoreQueue::new(input_sender, command_sender),
+            metrics: Metrics::new(take(&mut common.class_names)),
+            limits: ConnectionLimits::new(common.descriptors),
+            log,
+        };
+        let mut channel = assembly.open_upgrade_channel(&mut common);
+        let upstream = assembly.upstream_pool(&common, upstream_protocol);
+        let counter = counter(assembly.queue.counter_replies())?;
+        let front = assembly.front(client_protocol, &mut channel);
+        let connections = Connections {
+            upstream,
+            counter,
+            front,
+        };
+        let started = assembly.start_services(&mut common, &connections, channel)?;
+        let longest_deadline = longest_deadline(&common.settings.classes);
+        let core = assembly.core(
+            common,
+            started.transport,
+            started.clock,
+            started.endpoints_known,
+        );
+        Ok(Self {
+            core,
+            inputs,
+            commands,
+            queue: assembly.queue,
+            connections,
+            upgrade: started.upgrade,
+            fleet: started.fleet,
+            limiter_count: started.limiter_count,
+            longest_deadline,
+            bound: started.bound,
+            control: started.admin,
+        })
+    }
+}
+
+/// The connections of a limiter to its clients, upstream servers and counter.
+pub(super) struct Connections<P: ClientProtocol> {
+    pub(super) front: Arc<Front<P>>,
+    pub(super) upstream: UpstreamPool<P::Upstream>,
+    pub(super) counter: Option<CountLines>,
+}
+
+/// What is started round the connections of a limiter.
+struct Services<P: ClientProtocol> {
+    transport: LimiterTransport<P::Upstream>,
+    clock: Clock,
+    /// The core sends on it once it knows an upstream server.
+    endpoints_known: Sender<()>,
+    upgrade: Option<Arc<Beside>>,
+    fleet: Option<Fleet>,
+    limiter_count: Arc<AtomicU32>,
+    bound: SocketAddr,
+    admin: Option<SocketAddr>,
+}
+
+/// What the steps of the start have in common.
+struct Assembly<'a, P: ClientProtocol> {
+    queue: CoreQueue<P::Upstream>,
+    metrics: Arc<Metrics>,
+    limits: ConnectionLimits,
+    log: &'a Logger,
+}
+
+impl<P: ClientProtocol> Assembly<'_, P> {
+    fn log_of(&self, part: &'static str) -> Logger {
+        self.log.new(o!("part" => part))
+    }
+
+    /// Joins a predecessor, if there is one. Operators have to be told when a new process may take over:
+    /// without an admin interface, and without a folder, none may.
+    fn open_upgrade_channel(&self, common: &mut Common) -> UpgradeChannel {
+        let folder = common.common_folder.take();
+        let folder = folder.filter(|_| common.control.is_some());
+        UpgradeChannel::open(folder, self.log_of("handover"))
+    }
+
+    fn upstream_pool(&self, common: &Common, protocol: P::Upstream) -> UpstreamPool<P::Upstream> {
+        UpstreamPool::new(UpstreamPoolOptions {
+            links: common.links,
+            max_connections: self.limits.upstream(false),
+            protocol,
+            events: self.queue.upstream_events(),
+            metrics: self.metrics.clone(),
+            log: self.log_of("upstream"),
+        })
+    }
+
+    fn front(&self, protocol: P, channel: &mut UpgradeChannel) -> Arc<Front<P>> {
+        Front::new(
+            protocol,
+            self.limits.clients(false),
+            channel.read_interrupt.take(),
+            self.queue.client_events::<P>(),
+            self.metrics.clone(),
+            self.log_of("clients"),
+        )
+    }
+
+    /// Starts what accepts connections and what runs beside them.
+    fn start_services(
+        &self,
+        common: &mut Common,
+        connections: &Connections<P>,
+        channel: UpgradeChannel,
+    ) -> io::Result<Services<P>> {
+        let (endpoints_known, first_endpoints) = bounded(1);
+        let cached = take(&mut common.known);
+        self.queue
+            .update_endpoints(&connections.upstream, UpdateScope::Cached, cached);
+        let listener = listen(common, &connections.front, &channel)?;
+        let bound = listener.local_addr()?;
+        let clock = Clock::start();
+        let limiter_count = Arc::new(AtomicU32::new(common.settings.limiters));
+        let fleet = self.start_fleet(common.fleet.take(), clock, &limiter_count)?;
+        let upgrade_control = self.upgrade_control(connections, listener, fleet.clone());
+        upgrade_control.share(channel.joined.is_some());
+        let admin = self.start_admin(common.control, &connections.front, fleet.clone())?;
+        info!(self.log, "listening"; "address" => %bound, "limiter" => &common.name,
+            "control" => admin.map(|address| address.to_string()));
+        let upgrade = channel.beside.clone();
+        let peer_messages = upgrade.clone().map(Beside::teller).transpose()?;
+        start_serving(channel, first_endpoints, upgrade_control)?;
+        let transport = LimiterTransport {
+            upstream: connections.upstream.clone(),
+            counter: connections.counter.clone(),
+            allocators: self.start_allocators(common.leases.as_ref())?,
+            metrics: self.metrics.clone(),
+            peer_messages,
+            has_clients: has_clients(connections.front.clone()),
+        };
+        Ok(Services {
+            transport,
+            clock,
+            endpoints_known,
+            upgrade,
+            fleet,
+            limiter_count,
+            bound,
+            admin,
+        })
+    }
+
+    /// Joins the fleet, if there is one. `limiter_count` is the number of limiters believed alive from then
+    /// on.
+    fn start_fleet(
+        &self,
+        place: Option<Place>,
+        clock: Clock,
+        limiter_count: &Arc<AtomicU32>,
+    ) -> io::Result<Option<Fleet>> {
+        let Some(place) = place else {
+            return Ok(None);
+        };
+        let queue = self.queue.clone();
+        let limiter_count = limiter_count.clone();
+        let on_shares = move |shares: QuotaShares| {
+            limiter_count.store(shares.alive, Ordering::Relaxed);
+            queue.update_quota_shares(shares);
+        };
+        Fleet::start(place, clock, on_shares, self.log_of("membership")).map(Some)
+    }
+
+    fn upgrade_control(
+        &self,
+        connections: &Connections<P>,
+        listener: TcpListener,
+        fleet: Option<Fleet>,
+    ) -> UpgradeControl<P> {
+        UpgradeControl {
+            listener,
+            fleet,
+            front: connections.front.clone(),
+            upstream: connections.upstream.clone(),
+            limits: self.limits,
+            metrics: self.metrics.clone(),
+            queue: self.queue.clone(),
+        }
+    }
+
+    /// Starts the admin interface, if it has an address; returns the address that it is bound to.
+    fn start_admin(
+        &self,
+        address: Option<SocketAddr>,
+        front: &Arc<Front<P>>,
+        fleet: Option<Fleet>,
+    ) -> io::Result<Option<SocketAddr>> {
+        let Some(address) = address else {
+            return Ok(None);
+        };
+        let front = front.clone();
+        let queue = self.queue.clone();
+        let context = AdminContext {
+            figures: self.metrics.clone(),
+            fleet,
+            ready: Box::new(move || front.is_ready()),
+            command: Box::new(move |command| queue.command(Command::Admin(command))),
+            log: self.log_of("admin"),
+        };
+        line::listen(address, context).map(Some)
+    }
+
+    fn start_allocators(
+        &self,
+        leases: Option<&LimiterLeases>,
+    ) -> io::Result<Option<AllocatorLinks>> {
+        let Some(leases) = leases else {
+            return Ok(None);
+        };
+        AllocatorLinks::start(
+            &leases.allocators,
+            leases.timeouts,
+            &self.queue.allocator_events(),
+            &self.log_of("leases"),
+        )
+        .map(Some)
+    }
+
+    fn core(
+        &self,
+        common: Common,
+        transport: LimiterTransport<P::Upstream>,
+        clock: Clock,
+        endpoints_known: Sender<()>,
+    ) -> Core<LimiterTransport<P::Upstream>> {
+        let core = Core::new(
+            common.settings,
+            common.seed,
+            common.max_open,
+            transport,
+            clock,
+            endpoints_known,
+            self.log_of("core"),
+        );
+        match common.leases {
+            Some(leases) => core.with_leases(leases.holder(clock.now())),
+            None => core,
+        }
+    }
+}
+
+/// Accepts connections on the listener of the predecessor or on a new one. A process that has joined a
+/// predecessor does not accept yet.
+fn listen<P: ClientProtocol>(
+    common: &Common,
+    front: &Arc<Front<P>>,
+    channel: &UpgradeChannel,
+) -> io::Result<TcpListener> {
+    let listener = match &channel.joined {
+        Some(joined) => joined.listener.try_clone()?,
+        None => bind(common.listen, common.control.is_some())?,
+    };
+    front.set_accepting(channel.joined.is_none());
+    front.listen(listener.try_clone()?)?;
+    Ok(listener)
+}
+
+/// Starts the thread that has the limiter serve, once its upstream servers are known and a predecessor has
+/// handed over, and that waits for a successor then.
+fn start_serving<P: ClientProtocol>(
+    channel: UpgradeChannel,
+    first_endpoints: Receiver<()>,
+    control: UpgradeControl<P>,
+) -> io::Result<()> {
+    let endpoints_known = move |wait| first_endpoints.recv_timeout(wait).is_ok();
+    match channel.beside {
+        Some(beside) => beside.start(channel.joined, endpoints_known, Arc::new(control)),
+        None => spawn("ready", move || {
+            while !endpoints_known(Duration::MAX) {}
+            control.serving();
+        }),
+    }
+}
+
+fn has_clients<P: ClientProtocol>(front: Arc<Front<P>>) -> Box<dyn Fn() -> bool + Send> {
+    Box::new(move || !front.is_empty())
+}
+
+fn longest_deadline(classes: &[RequestClass]) -> Duration {
+    let longest = classes.iter().map(|class| class.deadline).max();
+    Duration::from_micros(longest.unwrap_or(0))
+}
--- /dev/null
+++ b/src/process/upgrade.rs
@@ -0,0 +1,147 @@
+//! An upgrade as it concerns this limiter: what another process is given, and what it hands over.
+
+use super::connection_limits::ConnectionLimits;
+use super::core_queue::CoreQueue;
+use crate::client::interruptible::ReadInterrupt;
+use crate::client::{ClientProtocol, ConnectionHandOver, Front};
+use crate::core::{Command, HandOverCommand};
+use crate::handover::link::Link;
+use crate::handover::message::{Body, LearnedState};
+use crate::handover::{Beside, Joined, Limiting};
+use crate::membership::link::Fleet;
+use crate::metrics::Metrics;
+use crate::upstream::UpstreamPool;
+use crossbeam_channel::bounded;
+use slog::{warn, Logger};
+use std::net::TcpListener;
+use std::os::fd::{AsFd, OwnedFd};
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Time that the core has for a command. It reads commands first, but may have a part of a processor alone.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The ways by which another process takes over from this one, or this one took over.
+#[derive(Default)]
+pub(super) struct UpgradeChannel {
+    /// Interrupts the readers of connections that are to be handed over.
+    pub(super) read_interrupt: Option<ReadInterrupt>,
+    /// None if no other process can take over.
+    pub(super) beside: Option<Arc<Beside>>,
+    /// The predecessor that this process has joined.
+    pub(super) joined: Option<Joined>,
+}
+
+impl UpgradeChannel {
+    /// Joins the process that serves, if the processes share a folder and there is one that serves.
+    pub(super) fn open(folder: Option<PathBuf>, log: Logger) -> Self {
+        let Some(folder) = folder else {
+            return Self::default();
+        };
+        let read_interrupt = match ReadInterrupt::new() {
+            Ok(interrupt) => interrupt,
+            Err(error) => {
+                warn!(log, "upgrades unavailable"; "error" => %error);
+                return Self::default();
+            }
+        };
+        let beside = Beside::new(&folder, log);
+        Self {
+            joined: beside.join(),
+            read_interrupt: Some(read_interrupt),
+            beside: Some(beside),
+        }
+    }
+}
+
+/// Carries out in this limiter what an upgrade asks for.
+pub(super) struct UpgradeControl<P: ClientProtocol> {
+    pub(super) listener: TcpListener,
+    pub(super) fleet: Option<Fleet>,
+    pub(super) front: Arc<Front<P>>,
+    pub(super) upstream: UpstreamPool<P::Upstream>,
+    pub(super) limits: ConnectionLimits,
+    pub(super) metrics: Arc<Metrics>,
+    pub(super) queue: CoreQueue<P::Upstream>,
+}
+
+impl<P: ClientProtocol> UpgradeControl<P> {
+    fn command(&self, command: HandOverCommand) {
+        self.queue.command(Command::HandOver(command));
+    }
+}
+
+impl<P: ClientProtocol> Limiting for UpgradeControl<P> {
+    fn listener(&self) -> &TcpListener {
+        &self.listener
+    }
+
+    fn give_state(&self) -> Option<LearnedState> {
+        let (reply, state) = bounded(1);
+        self.command(HandOverCommand::GiveState(reply));
+        state.recv_timeout(COMMAND_TIMEOUT).ok()
+    }
+
+    fn reclaim_state(&self) {
+        self.command(HandOverCommand::ReclaimState);
+    }
+
+    fn adopt_state(&self, state: LearnedState) {
+        let (reply, adopted) = bounded(1);
+        self.command(HandOverCommand::AdoptState(state, reply));
+        _ = adopted.recv_timeout(COMMAND_TIMEOUT);
+    }
+
+    fn accept(&self, goes_on: bool) {
+        self.front.set_accepting(goes_on);
+    }
+
+    fn serving(&self) {
+        self.front.set_ready();
+        if let Some(fleet) = &self.fleet {
+            fleet.speak(true);
+        }
+    }
+
+    fn hand_over(&self, to: Option<Arc<Link>>) {
+        // Two processes are one member of the fleet: the one that serves sends heartbeats.
+        if let Some(fleet) = &self.fleet {
+            fleet.speak(to.is_none());
+        }
+        if to.is_none() {
+            self.command(HandOverCommand::SuccessorGone);
+        }
+        self.front.hand_over(to.map(connection_hand_over));
+    }
+
+    fn adopt(&self, connection: OwnedFd, read: Vec<u8>) {
+        self.front.adopt(connection.into(), read);
+    }
+
+    fn hear(&self, news: Body) {
+        self.command(HandOverCommand::PeerNews(news));
+    }
+
+    fn share(&self, shared: bool) {
+        self.front.set_max_connections(self.limits.clients(shared));
+        self.upstream
+            .set_max_connections(self.limits.upstream(shared));
+    }
+
+    fn empty(&self) -> bool {
+        self.front.is_empty() && self.metrics.in_flight() == 0
+    }
+
+    fn depart(&self) {
+        self.command(HandOverCommand::Finish);
+    }
+}
+
+/// Hands connections over by a link to the other process.
+fn connection_hand_over(link: Arc<Link>) -> ConnectionHandOver {
+    Arc::new(move |stream, read| {
+        let message = Body::Connection(read.to_vec());
+        link.say(message, Some(stream.as_fd())).is_ok()
+    })
+}
