--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,6 +1,7 @@
-//! The way between the two processes of an upgrade: frames, and descriptors that come with them.
+//! The connection between the two processes of an upgrade: frames, and file descriptors that are sent with them.
 
-use super::message::{Body, Frame, LONGEST};
+use super::message::{Frame, HandoverMessage, MAX_FRAME_BYTES};
+use crate::threads::lock;
 use prost::Message;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -13,36 +14,96 @@
 use std::os::unix::net::UnixStream;
 use std::sync::Mutex;
 use std::time::Duration;
+use thiserror::Error;
 
-/// A peer that does not read for so long is given up.
-const WRITE_WAIT: Duration = Duration::from_secs(1);
+/// Time after which a peer that does not read is given up.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes of a frame's length, which precedes it as a big-endian number.
+const LENGTH_BYTES: usize = 4;
+/// Bytes that are received at once.
+const RECEIVE_BYTES: usize = 16 * 1024;
 
-/// Why nothing more is heard.
-#[derive(Debug, PartialEq)]
-pub enum Deaf {
-    /// Nothing came in time.
-    Overdue,
-    /// The peer is gone.
-    Lost,
-    /// It says what nobody understands.
-    Strange(&'static str),
+/// Why no message was received.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub enum ReceiveError {
+    /// Nothing was received in time.
+    #[error("nothing was received in time")]
+    TimedOut,
+    /// The connection is closed or broken.
+    #[error("the connection is closed")]
+    Closed,
+    /// A frame is longer than [`MAX_FRAME_BYTES`].
+    #[error("a frame is too long")]
+    FrameTooLong,
+    /// A frame is not a message.
+    #[error("a frame can't be read")]
+    UnreadableFrame,
+    /// A message came without the file descriptor that belongs to it.
+    #[error("a descriptor is missing")]
+    MissingDescriptor,
 }
 
-/// One end of the way. Said from any thread, heard by one.
+impl ReceiveError {
+    /// Whether the peer has violated the protocol.
+    pub fn is_malformed(self) -> bool {
+        match self {
+            Self::FrameTooLong | Self::UnreadableFrame | Self::MissingDescriptor => true,
+            Self::TimedOut | Self::Closed => false,
+        }
+    }
+}
+
+/// One end of the connection. Any thread may send; one thread receives.
 pub struct Link {
     stream: UnixStream,
-    saying: Mutex<()>,
-    hearing: Mutex<Hearing>,
+    /// Held while a frame is sent, so that frames don't mix.
+    send_lock: Mutex<()>,
+    received: Mutex<ReceiveBuffer>,
 }
 
+/// What was received and is not part of a message yet.
 #[derive(Default)]
-struct Hearing {
+struct ReceiveBuffer {
     bytes: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
 }
 
+impl ReceiveBuffer {
+    /// Takes the next message out, if all of it has been received.
+    fn take_message(&mut self) -> Result<Option<(HandoverMessage, Option<OwnedFd>)>, ReceiveError> {
+        let Some(length) = self.bytes.first_chunk::<LENGTH_BYTES>() else {
+            return Ok(None);
+        };
+        let length = u32::from_be_bytes(*length) as usize;
+        if length > MAX_FRAME_BYTES {
+            return Err(ReceiveError::FrameTooLong);
+        }
+        let end = LENGTH_BYTES + length;
+        if self.bytes.len() < end {
+            return Ok(None);
+        }
+        let frame = Frame::decode(&self.bytes[LENGTH_BYTES..end]);
+        self.bytes.drain(..end);
+        let message = frame
+            .ok()
+            .and_then(|frame| frame.body)
+            .ok_or(ReceiveError::UnreadableFrame)?;
+        if !message.carries_descriptor() {
+            return Ok(Some((message, None)));
+        }
+        match self.descriptors.pop_front() {
+            Some(descriptor) => Ok(Some((message, Some(descriptor)))),
+            None => Err(ReceiveError::MissingDescriptor),
+        }
+    }
+}
+
 impl Link {
-    /// A link over a connected stream, to a process of the same user.
+    /// Creates an end over a connected stream.
+    ///
+    /// # Errors
+    ///
+    /// The peer is a process of another user, or the stream can't be configured.
     pub fn new(stream: UnixStream) -> io::Result<Self> {
         let peer = rustix::net::sockopt::socket_peercred(&stream)?;
         if peer.uid != rustix::process::geteuid() {
@@ -51,110 +112,109 @@
                 "a process of another user",
             ));
         }
-        stream.set_write_timeout(Some(WRITE_WAIT))?;
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         Ok(Self {
             stream,
-            saying: Mutex::default(),
-            hearing: Mutex::default(),
+            send_lock: Mutex::default(),
+            received: Mutex::default(),
         })
     }
 
-    /// Says something, with a descriptor if there is one to give.
-    pub fn say(&self, body: Body, descriptor: Option<BorrowedFd>) -> io::Result<()> {
-        let frame = Frame { body: Some(body) };
-        let size = frame.encoded_len();
-        if size > LONGEST {
-            return Err(io::Error::new(
-                ErrorKind::InvalidInput,
-                "more than a frame may hold",
-            ));
-        }
-        let mut text = Vec::with_capacity(size + 4);
-        text.extend_from_slice(&(size as u32).to_be_bytes());
-        frame.encode(&mut text).map_err(io::Error::other)?;
-        let _turn = crate::threads::lock(&self.saying);
+    /// Sends a message, with a file descriptor if it carries one.
+    ///
+    /// # Errors
+    ///
+    /// The message is longer than [`MAX_FRAME_BYTES`], the peer does not read, or the connection is closed.
+    pub fn say(&self, message: HandoverMessage, descriptor: Option<BorrowedFd>) -> io::Result<()> {
+        let bytes = encode(message)?;
+        let _guard = lock(&self.send_lock);
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut with = SendAncillaryBuffer::new(&mut space);
-        let given: Vec<BorrowedFd> = descriptor.into_iter().collect();
-        if !given.is_empty() {
-            with.push(SendAncillaryMessage::ScmRights(&given));
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        let descriptors: Vec<BorrowedFd> = descriptor.into_iter().collect();
+        if !descriptors.is_empty() {
+            ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
         }
-        // The descriptor goes with the first byte of its frame.
+        // The descriptor is sent with the first byte of its frame.
         let sent = loop {
-            match sendmsg(
-                &self.stream,
-                &[IoSlice::new(&text)],
-                &mut with,
-                SendFlags::NOSIGNAL,
-            ) {
+            let slices = [IoSlice::new(&bytes)];
+            match sendmsg(&self.stream, &slices, &mut ancillary, SendFlags::NOSIGNAL) {
                 Err(rustix::io::Errno::INTR) => {}
-                sent => break sent?,
+                result => break result?,
             }
         };
-        (&self.stream).write_all(&text[sent..])
+        (&self.stream).write_all(&bytes[sent..])
     }
 
-    /// Nothing more is said by either end; what was said before is still heard.
-    pub fn shut(&self) {
+    /// Closes the connection for both ends. What the peer sent before can still be received.
+    pub fn shutdown(&self) {
         _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// Hears the next frame, waiting for its beginning for so long.
-    pub fn hear(&self, wait: Option<Duration>) -> Result<(Body, Option<OwnedFd>), Deaf> {
-        let mut hearing = crate::threads::lock(&self.hearing);
-        if wait == Some(Duration::ZERO) || self.stream.set_read_timeout(wait).is_err() {
-            return Err(Deaf::Overdue);
+    /// Receives the next message, with the file descriptor that it carries. Each wait for more bytes takes `timeout` at
+    /// most; with none it has no limit.
+    ///
+    /// # Errors
+    ///
+    /// Nothing came in time, the connection is closed, or the peer has violated the protocol.
+    pub fn receive(
+        &self,
+        timeout: Option<Duration>,
+    ) -> Result<(HandoverMessage, Option<OwnedFd>), ReceiveError> {
+        let mut received = lock(&self.received);
+        if timeout == Some(Duration::ZERO) || self.stream.set_read_timeout(timeout).is_err() {
+            return Err(ReceiveError::TimedOut);
         }
         loop {
-            if let Some(size) = hearing
-                .bytes
-                .first_chunk()
-                .map(|size| u32::from_be_bytes(*size) as usize)
-            {
-                if size > LONGEST {
-                    return Err(Deaf::Strange("a frame is too long"));
-                }
-                if hearing.bytes.len() >= size + 4 {
-                    let frame = Frame::decode(&hearing.bytes[4..size + 4]);
-                    hearing.bytes.drain(..size + 4);
-                    let body = frame.ok().and_then(|frame| frame.body);
-                    let body = body.ok_or(Deaf::Strange("a frame can't be read"))?;
-                    let carries = matches!(body, Body::Welcome(_) | Body::Connection(_));
-                    let descriptor = if carries {
-                        hearing.descriptors.pop_front()
-                    } else {
-                        None
-                    };
-                    return match descriptor {
-                        None if carries => Err(Deaf::Strange("a descriptor is missing")),
-                        descriptor => Ok((body, descriptor)),
-                    };
-                }
+            if let Some(message) = received.take_message()? {
+                return Ok(message);
             }
-            self.more(&mut hearing)?;
+            self.read_more(&mut received)?;
         }
     }
 
-    fn more(&self, hearing: &mut Hearing) -> Result<(), Deaf> {
-        let mut part = [0; 16 * 1024];
+    fn read_more(&self, received: &mut ReceiveBuffer) -> Result<(), ReceiveError> {
+        let mut bytes = [0; RECEIVE_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
-        let mut with = RecvAncillaryBuffer::new(&mut space);
-        let slice = &mut [IoSliceMut::new(&mut part)];
-        let got = match recvmsg(&self.stream, slice, &mut with, RecvFlags::CMSG_CLOEXEC) {
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let slices = &mut [IoSliceMut::new(&mut bytes)];
+        let count = match recvmsg(
+            &self.stream,
+            slices,
+            &mut ancillary,
+            RecvFlags::CMSG_CLOEXEC,
+        ) {
+            Ok(result) => result.bytes,
             Err(rustix::io::Errno::INTR) => return Ok(()),
-            Err(rustix::io::Errno::AGAIN) => return Err(Deaf::Overdue),
-            Err(_) => return Err(Deaf::Lost),
-            Ok(got) => got.bytes,
+            Err(rustix::io::Errno::AGAIN) => return Err(ReceiveError::TimedOut),
+            Err(_) => return Err(ReceiveError::Closed),
         };
-        for message in with.drain() {
+        for message in ancillary.drain() {
             if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-                hearing.descriptors.extend(descriptors);
+                received.descriptors.extend(descriptors);
             }
         }
-        if got == 0 {
-            return Err(Deaf::Lost);
+        if count == 0 {
+            return Err(ReceiveError::Closed);
         }
-        hearing.bytes.extend_from_slice(&part[..got]);
+        received.bytes.extend_from_slice(&bytes[..count]);
         Ok(())
     }
 }
+
+/// Encodes a message as a frame, with its length before it.
+fn encode(message: HandoverMessage) -> io::Result<Vec<u8>> {
+    let frame = Frame {
+        body: Some(message),
+    };
+    let length = frame.encoded_len();
+    if length > MAX_FRAME_BYTES {
+        return Err(io::Error::new(
+            ErrorKind::InvalidInput,
+            "more than a frame may hold",
+        ));
+    }
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
+    bytes.extend_from_slice(&(length as u32).to_be_bytes());
+    frame.encode(&mut bytes).map_err(io::Error::other)?;
+    Ok(bytes)
+}
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,195 +1,205 @@
-//! What is said in a hand-over, as protocol buffers in frames of bounded size.
+//! The messages of a hand-over, as protocol buffers in frames of bounded size.
 
 use prost::{Message, Oneof};
 
-/// The longest frame: what is known of some ten thousand agent accounts.
-pub const LONGEST: usize = 4 << 20;
+/// The longest frame, in bytes: the state of some ten thousand accounts.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// One frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// What it says.
-    #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
-    pub body: Option<Body>,
+    /// The message; none if it is of a kind that this version does not know.
+    #[prost(oneof = "HandoverMessage", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
+    pub body: Option<HandoverMessage>,
 }
 
-/// What a frame says.
+/// A message. A bool is always true: the message has no content.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Body {
-    /// The newcomer has started; its version.
+pub enum HandoverMessage {
+    /// The successor has started; the version of its hand-over.
     #[prost(uint32, tag = "1")]
     Join(u32),
-    /// The listener comes with it.
+    /// The successor is accepted. The listener comes with it.
     #[prost(bool, tag = "2")]
-    Welcome(bool),
-    /// Not with you.
+    Accept(bool),
+    /// The successor is rejected.
     #[prost(bool, tag = "3")]
-    Refuse(bool),
-    /// The newcomer could serve.
+    Reject(bool),
+    /// The successor could serve and requests the predecessor's state.
     #[prost(bool, tag = "4")]
-    Take(bool),
-    /// What the incumbent knows.
+    RequestState(bool),
+    /// The predecessor's state.
     #[prost(message, tag = "5")]
     LearnedState(LearnedState),
-    /// The newcomer serves.
+    /// The successor serves.
     #[prost(bool, tag = "6")]
     Serving(bool),
-    /// Nothing is left at the incumbent, but for these units that it has not told the counter.
+    /// The predecessor has no connection and no request left, and exits.
     #[prost(message, tag = "7")]
     FinalReport(FinalReport),
-    /// An agent's connection, with the bytes read from it and not taken.
+    /// A client connection, with the bytes that were read from it and not processed. The connection comes with it.
     #[prost(bytes = "vec", tag = "8")]
     Connection(Vec<u8>),
-    /// A ticket node was taken out or put back.
+    /// An upstream server was banned, or its ban was lifted.
     #[prost(message, tag = "9")]
     Ban(Ban),
-    /// An attempt of this account, which was out when it was given, has ended.
+    /// An attempt of this account, which was in flight when the state was sent, has ended.
     #[prost(string, tag = "10")]
     Ended(String),
 }
 
+impl HandoverMessage {
+    /// Whether a file descriptor comes with the message.
+    pub(super) fn carries_descriptor(&self) -> bool {
+        matches!(self, Self::Accept(_) | Self::Connection(_))
+    }
+}
+
+// Re-exported until the lead joins the folders.
+pub use HandoverMessage as Body;
+
 /// All that a limiter has learned and its successor would have to learn anew.
 #[derive(Clone, PartialEq, Message)]
 pub struct LearnedState {
-    /// Agent accounts.
+    /// Accounts.
     #[prost(message, repeated, tag = "1")]
     pub accounts: Vec<Account>,
-    /// Ticket nodes.
+    /// Upstream servers.
     #[prost(message, repeated, tag = "2")]
     pub nodes: Vec<Node>,
-    /// Ticket nodes that operators have taken out or put back.
+    /// Bans of upstream servers, and bans that were lifted.
     #[prost(message, repeated, tag = "3")]
     pub bans: Vec<Ban>,
-    /// By class: mean response time in µs, and the part of attempts that fail.
+    /// Mean response time of each class, in microseconds.
     #[prost(double, repeated, tag = "4")]
     pub paces: Vec<f64>,
-    /// By class, as the means.
+    /// Share of the attempts of each class that fail.
     #[prost(double, repeated, tag = "5")]
     pub fails: Vec<f64>,
-    /// Virtual time.
+    /// Virtual time of the fair queue.
     #[prost(double, tag = "6")]
     pub virtual_time: f64,
-    /// Depth D, and when it was last cut.
+    /// The concurrency limit D.
     #[prost(double, tag = "7")]
     pub depth: f64,
-    /// See `depth`.
+    /// Time at which it was last decreased, in microseconds.
     #[prost(uint64, tag = "8")]
     pub depth_cut: u64,
-    /// Sends a second.
+    /// Attempts sent a second.
     #[prost(double, tag = "9")]
     pub send_rate: f64,
-    /// Price of a call of the counter, and calls that may be out at once.
+    /// Price of a call of the counter.
     #[prost(double, tag = "10")]
     pub price: f64,
-    /// See `price`.
+    /// Calls of the counter that may be in flight at once.
     #[prost(double, tag = "11")]
     pub calls: f64,
-    /// Mean worth of a request.
+    /// Mean priority weight of a request.
     #[prost(double, tag = "12")]
     pub mean_worth: f64,
 }
 
-/// An agent account.
+/// The state of an account. Times are in microseconds of Unix time.
 #[derive(Clone, PartialEq, Message)]
 pub struct Account {
     /// Its name.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Number of its plan.
+    /// Index of its plan.
     #[prost(uint32, tag = "2")]
     pub plan: u32,
-    /// Limiters that its requests come through.
+    /// Number of limiters that receive its requests.
     #[prost(uint32, tag = "3")]
     pub spread: u32,
     /// Finish tag of its last request.
     #[prost(double, tag = "4")]
     pub finish: f64,
-    /// Units in the copy of its store.
+    /// Units in the local copy of its token bucket.
     #[prost(double, tag = "5")]
     pub level: f64,
-    /// As of this time.
+    /// Time at which the bucket had this level.
     #[prost(uint64, tag = "6")]
     pub filled: u64,
-    /// Units sent on and not told to the counter: told by the successor alone.
+    /// Units forwarded and not reported to the counter, which the successor alone reports.
     #[prost(double, tag = "7")]
     pub pending: f64,
-    /// The window, own units told in it and units elsewhere seen in it.
+    /// Number of the counting window.
     #[prost(uint64, tag = "8")]
     pub window: u64,
-    /// See `window`.
+    /// Units that this limiter reported in the window.
     #[prost(double, tag = "9")]
     pub told: f64,
-    /// See `window`.
+    /// Units of other limiters that were seen in the window.
     #[prost(double, tag = "10")]
     pub seen: f64,
-    /// Last answer of the counter; none if 0.
+    /// Time of the last reply of the counter; none if 0.
     #[prost(uint64, tag = "11")]
     pub answered: u64,
-    /// Last request.
+    /// Time of the last request.
     #[prost(uint64, tag = "12")]
     pub last_seen: u64,
-    /// Attempts out.
+    /// Attempts in flight.
     #[prost(uint32, tag = "13")]
     pub open: u32,
 }
 
-/// A ticket node.
+/// The state of an upstream server.
 #[derive(Clone, PartialEq, Message)]
 pub struct Node {
     /// Its id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Its start, as the limiter has it.
+    /// Time of its start, in microseconds of Unix time.
     #[prost(uint64, tag = "2")]
     pub started: u64,
-    /// Its pace against the others.
+    /// Its response time relative to the others.
     #[prost(double, tag = "3")]
     pub ratio: f64,
-    /// When it was last judged.
+    /// Time at which the ratio was last updated, in microseconds of Unix time.
     #[prost(uint64, tag = "4")]
     pub judged: u64,
-    /// By class: part of the attempts that failed.
+    /// Failures by class.
     #[prost(message, repeated, tag = "5")]
     pub fails: Vec<Fails>,
 }
 
-/// How often a class fails at a node.
+/// How often the attempts of a class fail at an upstream server.
 #[derive(Clone, PartialEq, Message)]
 pub struct Fails {
-    /// Number of the class.
+    /// Index of the class.
     #[prost(uint32, tag = "1")]
     pub class: u32,
-    /// Part of its attempts.
+    /// Share of its attempts that fail.
     #[prost(double, tag = "2")]
     pub part: f64,
-    /// When it was last heard.
+    /// Time of the last attempt, in microseconds of Unix time.
     #[prost(uint64, tag = "3")]
     pub at: u64,
 }
 
-/// A ticket node taken out, or put back.
+/// A ban of an upstream server, or one that was lifted.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ban {
     /// Its id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Taken out.
+    /// Whether the server is banned.
     #[prost(bool, tag = "2")]
     pub out: bool,
-    /// When it was put back.
+    /// Time at which the ban was lifted, in microseconds of Unix time.
     #[prost(uint64, tag = "3")]
     pub at: u64,
 }
 
-/// The last words.
+/// The last message of a process.
 #[derive(Clone, PartialEq, Message)]
 pub struct FinalReport {
-    /// Units sent on since, and claimed from the counter and not sent on (below nought).
+    /// Units forwarded since the state was sent, less those claimed from the counter and not forwarded.
     #[prost(message, repeated, tag = "1")]
     pub unreported: Vec<UnreportedUnits>,
 }
 
-/// Units of an account that the counter is to be told.
+/// Units of an account that are not reported to the counter.
 #[derive(Clone, PartialEq, Message)]
 pub struct UnreportedUnits {
     /// The account.
--- /dev/null
+++ b/src/handover/predecessor.rs
@@ -0,0 +1,168 @@
+//! The predecessor's side of a hand-over.
+
+use super::coordinator::{UpgradeCoordinator, POLL_INTERVAL, RETRY_INTERVAL};
+use super::link::{Link, ReceiveError};
+use super::message::HandoverMessage;
+use super::stage::{Event, HandoverFailure, PredecessorStage, Signal, Step};
+use super::{deliver, LimiterProcess};
+use crate::threads::lock;
+use slog::{info, warn};
+use std::os::fd::AsFd;
+use std::os::unix::net::UnixListener;
+use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Time within which a process that has connected must ask to be accepted.
+const JOIN_MESSAGE_TIMEOUT: Duration = Duration::from_millis(100);
+
+impl UpgradeCoordinator {
+    /// Waits for successors until this process has handed over to one, or can no longer listen. `socket` is created if
+    /// there is none.
+    pub(super) fn serve_successors<L: LimiterProcess>(
+        &self,
+        socket: Option<UnixListener>,
+        process: &L,
+    ) {
+        let mut socket = socket.or_else(|| self.bind_socket());
+        while let Some(listener) = &socket {
+            let Some(link) = self.accept_link(listener) else {
+                continue;
+            };
+            let hand_over = HandOver {
+                coordinator: self,
+                process,
+                link: &link,
+                stage: PredecessorStage::Serving,
+                stage_began: Instant::now(),
+            };
+            if hand_over.run() == PredecessorStage::Finished {
+                return;
+            }
+            // The successor may have replaced the socket before it failed.
+            if std::fs::symlink_metadata(&self.path).is_err() {
+                socket = self.bind_socket();
+            }
+        }
+    }
+
+    fn accept_link(&self, listener: &UnixListener) -> Option<Arc<Link>> {
+        let Ok((stream, _)) = listener.accept() else {
+            thread::sleep(RETRY_INTERVAL);
+            return None;
+        };
+        match Link::new(stream) {
+            Ok(link) => Some(Arc::new(link)),
+            Err(error) => {
+                warn!(self.log, "upgrade: connection rejected"; "error" => %error);
+                None
+            }
+        }
+    }
+}
+
+struct HandOver<'a, L> {
+    coordinator: &'a UpgradeCoordinator,
+    process: &'a L,
+    link: &'a Arc<Link>,
+    stage: PredecessorStage,
+    stage_began: Instant,
+}
+
+impl<L: LimiterProcess> HandOver<'_, L> {
+    /// Hands over to the process that has connected. Returns the last stage: [`PredecessorStage::Finished`], or
+    /// [`PredecessorStage::Serving`] if the hand-over failed.
+    fn run(mut self) -> PredecessorStage {
+        let log = &self.coordinator.log;
+        loop {
+            let Some(event) = self.next_event() else {
+                continue;
+            };
+            let before = self.stage;
+            for step in self.stage.on(event) {
+                self.carry_out(step);
+            }
+            if self.stage != before {
+                info!(log, "upgrade"; "stage" => self.stage.log_name());
+                self.stage_began = Instant::now();
+            }
+            match self.stage {
+                PredecessorStage::Serving => {
+                    if before == PredecessorStage::Serving {
+                        warn!(log, "upgrade: connection rejected"; "error" => ?event);
+                    }
+                    *lock(&self.coordinator.peer) = None;
+                    return self.stage;
+                }
+                PredecessorStage::Finished => return self.stage,
+                _ => {}
+            }
+        }
+    }
+
+    fn next_event(&self) -> Option<Event> {
+        match self.link.receive(Some(POLL_INTERVAL)) {
+            Ok((message, descriptor)) => {
+                deliver(message, descriptor, self.process).map(Event::Received)
+            }
+            Err(ReceiveError::TimedOut) => self.on_silence(),
+            Err(error) => Some(self.coordinator.connection_lost(error)),
+        }
+    }
+
+    fn on_silence(&self) -> Option<Event> {
+        if self.stage == PredecessorStage::Draining && self.process.empty() {
+            return Some(Event::Drained);
+        }
+        let limit = match self.stage {
+            PredecessorStage::Serving => JOIN_MESSAGE_TIMEOUT,
+            stage => stage.limit()?,
+        };
+        (self.stage_began.elapsed() >= limit).then_some(Event::TimedOut)
+    }
+
+    /// Carries a step out. A message that can't be sent is no error here: the connection is lost, which the next attempt
+    /// to receive reports.
+    fn carry_out(&self, step: Step) {
+        match step {
+            Step::Send(signal) => self.send(signal),
+            Step::CloseConnection => self.link.shutdown(),
+            Step::StopAccepting => self.process.accept(false),
+            Step::HandOverConnections => self.process.hand_over(Some(self.link.clone())),
+            Step::ResumeServing(failure) => self.resume(failure),
+            Step::ReclaimState => self.process.reclaim_state(),
+            Step::EndSharing => self.process.share(false),
+            Step::Exit => self.process.depart(),
+            // Steps of the successor.
+            Step::Serve | Step::ServeAlone(_) => {}
+        }
+    }
+
+    fn send(&self, signal: Signal) {
+        match signal {
+            Signal::Accept => {
+                self.process.share(true);
+                *lock(&self.coordinator.peer) = Some(self.link.clone());
+                let listener = self.process.listener().as_fd();
+                _ = self.link.say(HandoverMessage::Accept(true), Some(listener));
+            }
+            Signal::Reject => _ = self.link.say(HandoverMessage::Reject(true), None),
+            Signal::State => {
+                // Without an answer from the core nothing is sent: the confirmation times out and the hand-over fails.
+                if let Some(state) = self.process.give_state() {
+                    _ = self.link.say(HandoverMessage::LearnedState(state), None);
+                }
+            }
+            // The final report is sent when the process exits, with the units that the core has not reported.
+            Signal::Finished => {}
+            // Signals of the successor.
+            Signal::Join(_) | Signal::RequestState | Signal::Serving => {}
+        }
+    }
+
+    fn resume(&self, failure: HandoverFailure) {
+        warn!(self.coordinator.log, "upgrade: aborted, serving again"; "error" => %failure);
+        self.process.hand_over(None);
+        self.process.accept(true);
+    }
+}
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -4,7 +4,7 @@
 
 use crate::golden::{assert_matches, hex, recorded};
 use mossrill::handover::message::{
-    Account, Ban, Body, Fails, FinalReport, Frame, LearnedState, Node, UnreportedUnits,
+    Account, Ban, Fails, FinalReport, Frame, HandoverMessage, LearnedState, Node, UnreportedUnits,
 };
 use mossrill::membership::datagram::{Datagram, Key, News, Word, FORMAT, PARTS_FORMAT};
 use mossrill::membership::released::ReleasedPart;
@@ -66,32 +66,38 @@
     }
 }
 
-fn hand_over_bodies() -> Vec<(&'static str, Body)> {
+fn hand_over_bodies() -> Vec<(&'static str, HandoverMessage)> {
     let unreported = vec![UnreportedUnits {
         id: "0000000000000a1f".into(),
         units: -2.5,
     }];
     vec![
-        ("join", Body::Join(1)),
-        ("welcome", Body::Welcome(true)),
-        ("refuse", Body::Refuse(true)),
-        ("take", Body::Take(true)),
-        ("learned-state", Body::LearnedState(learned_state())),
-        ("serving", Body::Serving(true)),
+        ("join", HandoverMessage::Join(1)),
+        ("welcome", HandoverMessage::Accept(true)),
+        ("refuse", HandoverMessage::Reject(true)),
+        ("take", HandoverMessage::RequestState(true)),
+        (
+            "learned-state",
+            HandoverMessage::LearnedState(learned_state()),
+        ),
+        ("serving", HandoverMessage::Serving(true)),
         (
             "final-report",
-            Body::FinalReport(FinalReport { unreported }),
+            HandoverMessage::FinalReport(FinalReport { unreported }),
+        ),
+        (
+            "connection",
+            HandoverMessage::Connection(b"*3\r\n$9\r\nSVC".to_vec()),
         ),
-        ("connection", Body::Connection(b"*3\r\n$9\r\nSVC".to_vec())),
         (
             "ban",
-            Body::Ban(Ban {
+            HandoverMessage::Ban(Ban {
                 id: "node-b".into(),
                 out: true,
                 at: 5,
             }),
         ),
-        ("ended", Body::Ended("0000000000000a1f".into())),
+        ("ended", HandoverMessage::Ended("0000000000000a1f".into())),
     ]
 }
 
@@ -247,7 +253,8 @@
 
 #[test]
 fn hand_over_frames_are_written_and_read_as_recorded() {
-    let frame = |(name, body): (&str, Body)| (name.to_owned(), Frame { body: Some(body) });
+    let frame =
+        |(name, body): (&str, HandoverMessage)| (name.to_owned(), Frame { body: Some(body) });
     let frames: Vec<_> = hand_over_bodies().into_iter().map(frame).collect();
     compare("hand-over.txt", &frames);
 }
--- a/tests/golden/wire_texts.rs
+++ b/tests/golden/wire_texts.rs
@@ -10,7 +10,7 @@
 use mossrill::decision::{Idempotency, Outcome, ServerId};
 use mossrill::discovery;
 use mossrill::handover::link::Link;
-use mossrill::handover::message::Body;
+use mossrill::handover::message::HandoverMessage;
 use mossrill::metrics::{Metrics, RequestOutcome};
 use mossrill::openapi::client_protocol::HttpClientProtocol;
 use mossrill::openapi::description::{Description, Operation};
@@ -351,10 +351,10 @@
 fn hand_over_frames_on_a_connection_are_those_recorded() {
     let (own, mut other) = UnixStream::pair().expect("a connection");
     let link = Link::new(own).expect("a link");
-    link.say(Body::Join(1), None).expect("a frame");
-    link.say(Body::Ended("account".into()), None)
+    link.say(HandoverMessage::Join(1), None).expect("a frame");
+    link.say(HandoverMessage::Ended("account".into()), None)
         .expect("a frame");
-    link.shut();
+    link.shutdown();
     let mut bytes = Vec::new();
     other.read_to_end(&mut bytes).expect("bytes");
     assert_matches("hand-over-link.txt", &line("frames", &bytes));
--- a/tests/units/handover_link.rs
+++ b/tests/units/handover_link.rs
@@ -1,8 +1,8 @@
 //! Frames and descriptors between the two processes of an upgrade.
 
-use mossrill::handover::link::{Deaf, Link};
+use mossrill::handover::link::{Link, ReceiveError};
 use mossrill::handover::message::Account;
-use mossrill::handover::message::Body;
+use mossrill::handover::message::HandoverMessage;
 use mossrill::handover::message::LearnedState;
 use std::io::Read;
 use std::io::Write;
@@ -29,7 +29,7 @@
         id: format!("{n:016x}"),
         ..Account::default()
     });
-    let given = Body::LearnedState(LearnedState {
+    let given = HandoverMessage::LearnedState(LearnedState {
         accounts: accounts.collect(),
         ..LearnedState::default()
     });
@@ -37,64 +37,79 @@
         scope.spawn(|| {
             use std::os::fd::AsFd;
             one.say(given.clone(), None).expect("said");
-            one.say(Body::Connection(b"half".to_vec()), Some(stream.as_fd()))
-                .expect("said");
-            one.say(Body::Serving(true), None).expect("said");
+            one.say(
+                HandoverMessage::Connection(b"half".to_vec()),
+                Some(stream.as_fd()),
+            )
+            .expect("said");
+            one.say(HandoverMessage::Serving(true), None).expect("said");
         });
-        assert_eq!(other.hear(WAIT).expect("heard").0, given);
-        let (body, descriptor) = other.hear(WAIT).expect("heard");
-        assert_eq!(body, Body::Connection(b"half".to_vec()));
+        assert_eq!(other.receive(WAIT).expect("heard").0, given);
+        let (body, descriptor) = other.receive(WAIT).expect("heard");
+        assert_eq!(body, HandoverMessage::Connection(b"half".to_vec()));
         let mut moved = TcpStream::from(descriptor.expect("a connection"));
         std::io::Write::write_all(&mut moved, b"here").expect("written");
-        assert_eq!(other.hear(WAIT).expect("heard").0, Body::Serving(true));
+        assert_eq!(
+            other.receive(WAIT).expect("heard").0,
+            HandoverMessage::Serving(true)
+        );
     });
     let mut told = [0; 4];
     client.read_exact(&mut told).expect("read");
     assert_eq!(&told, b"here");
     drop(one);
-    assert_eq!(other.hear(WAIT).map(|(body, _)| body), Err(Deaf::Lost));
+    assert_eq!(
+        other.receive(WAIT).map(|(body, _)| body),
+        Err(ReceiveError::Closed)
+    );
 }
 
 #[test]
-fn what_was_said_before_the_way_was_shut_is_heard_and_nothing_after() {
-    // Who owns what was given hangs on it.
+fn messages_sent_before_shutdown_are_received_and_none_after() {
+    // It decides which process owns the state.
     let (one, other) = pair();
     let other = Link::new(other).expect("a link");
-    other.say(Body::Serving(true), None).expect("said");
-    one.shut();
-    assert!(other.say(Body::Serving(true), None).is_err());
-    assert_eq!(one.hear(WAIT).expect("heard").0, Body::Serving(true));
-    assert_eq!(one.hear(WAIT).map(|(body, _)| body), Err(Deaf::Lost));
+    other
+        .say(HandoverMessage::Serving(true), None)
+        .expect("said");
+    one.shutdown();
+    assert!(other.say(HandoverMessage::Serving(true), None).is_err());
+    assert_eq!(
+        one.receive(WAIT).expect("heard").0,
+        HandoverMessage::Serving(true)
+    );
+    assert_eq!(
+        one.receive(WAIT).map(|(body, _)| body),
+        Err(ReceiveError::Closed)
+    );
 }
 
 #[test]
-fn what_nobody_understands_is_known_for_that() {
+fn malformed_frames_are_told_from_timeouts_and_closed_connections() {
     for (bytes, why) in [
-        (
-            &b"\xff\xff\xff\xff"[..],
-            Deaf::Strange("a frame is too long"),
-        ),
+        (&b"\xff\xff\xff\xff"[..], ReceiveError::FrameTooLong),
         (
             &b"\0\0\0\x03\x2a\xff\x01"[..],
-            Deaf::Strange("a frame can't be read"),
+            ReceiveError::UnreadableFrame,
         ),
-        (&b"\0\0\0\0"[..], Deaf::Strange("a frame can't be read")),
+        (&b"\0\0\0\0"[..], ReceiveError::UnreadableFrame),
         // Welcome without the listener.
-        (
-            &b"\0\0\0\x02\x10\x01"[..],
-            Deaf::Strange("a descriptor is missing"),
-        ),
+        (&b"\0\0\0\x02\x10\x01"[..], ReceiveError::MissingDescriptor),
         // Truncated.
-        (&b"\0\0\0\x09\x10"[..], Deaf::Lost),
+        (&b"\0\0\0\x09\x10"[..], ReceiveError::Closed),
     ] {
         let (link, mut peer) = pair();
         peer.write_all(bytes).expect("written");
         drop(peer);
-        assert_eq!(link.hear(WAIT).map(|(body, _)| body), Err(why), "{bytes:?}");
+        assert_eq!(
+            link.receive(WAIT).map(|(body, _)| body),
+            Err(why),
+            "{bytes:?}"
+        );
     }
     let (link, _silent) = pair();
     let nothing = link
-        .hear(Some(Duration::from_millis(1)))
+        .receive(Some(Duration::from_millis(1)))
         .map(|(body, _)| body);
-    assert_eq!(nothing, Err(Deaf::Overdue));
+    assert_eq!(nothing, Err(ReceiveError::TimedOut));
 }
--- a/tests/units/handover_stages.rs
+++ b/tests/units/handover_stages.rs
@@ -1,59 +1,64 @@
 //! The two state machines of a hand-over, against each other.
 
-use mossrill::handover::stage::{Do, Event, Incumbent, Newcomer, Word, VERSION};
+use mossrill::handover::stage::{Event, PredecessorStage, Signal, Step, SuccessorStage, VERSION};
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
-/// Both sides with what is under way between them, and what a client would find.
+/// Both processes with the messages in flight between them, and whether clients are accepted.
 struct Pair {
-    old: Incumbent,
-    new: Newcomer,
-    to_old: VecDeque<Word>,
-    to_new: VecDeque<Word>,
-    old_lives: bool,
-    new_lives: bool,
-    old_accepts: bool,
-    new_accepts: bool,
-    shut: bool,
-    /// What was given is the old one's again, or the new one's.
-    taken_back: bool,
-    taken: bool,
+    predecessor: PredecessorStage,
+    successor: SuccessorStage,
+    to_predecessor: VecDeque<Signal>,
+    to_successor: VecDeque<Signal>,
+    predecessor_runs: bool,
+    successor_runs: bool,
+    predecessor_accepts: bool,
+    successor_accepts: bool,
+    connection_closed: bool,
+    /// The predecessor has reclaimed the state that it sent, or the successor has adopted it.
+    reclaimed: bool,
+    adopted: bool,
 }
 
 impl Pair {
-    fn incumbent(&mut self, event: Event) {
-        if !self.old_lives {
+    fn on_predecessor(&mut self, event: Event) {
+        if !self.predecessor_runs {
             return;
         }
-        for todo in self.old.on(event) {
-            match todo {
-                Do::Say(word) => self.to_new.push_back(word),
-                Do::Shut => self.shut = true,
-                Do::TakeBack => self.taken_back = true,
-                Do::Pause => self.old_accepts = false,
-                Do::Resume(_) => self.old_accepts = true,
-                Do::Depart => {
-                    assert!(self.new_accepts, "left with nobody to accept");
-                    self.old_lives = false;
+        for step in self.predecessor.on(event) {
+            match step {
+                Step::Send(signal) => self.to_successor.push_back(signal),
+                Step::CloseConnection => self.connection_closed = true,
+                Step::ReclaimState => self.reclaimed = true,
+                Step::StopAccepting => self.predecessor_accepts = false,
+                Step::ResumeServing(_) => self.predecessor_accepts = true,
+                Step::Exit => {
+                    assert!(self.successor_accepts, "left with nobody to accept");
+                    self.predecessor_runs = false;
                 }
                 _ => {}
             }
         }
     }
 
-    fn newcomer(&mut self, event: Event) {
-        if !self.new_lives {
+    fn on_successor(&mut self, event: Event) {
+        if !self.successor_runs {
             return;
         }
-        for todo in self.new.on(event) {
-            match todo {
-                Do::Say(_) if self.shut || !self.old_lives => self.newcomer(Event::Lost),
-                Do::Say(word) => {
-                    self.to_old.push_back(word);
-                    self.newcomer(Event::Told);
+        for step in self.successor.on(event) {
+            match step {
+                Step::Send(_) if self.connection_closed || !self.predecessor_runs => {
+                    self.on_successor(Event::ConnectionLost)
+                }
+                Step::Send(signal) => {
+                    self.to_predecessor.push_back(signal);
+                    self.on_successor(Event::Sent);
+                }
+                Step::Serve => {
+                    self.successor_accepts = true;
+                    self.adopted = true;
                 }
-                Do::Serve => (self.new_accepts, self.taken) = (true, true),
-                Do::ServeAlone(_) => self.new_accepts = true,
+                Step::ServeAlone(_) => self.successor_accepts = true,
                 _ => {}
             }
         }
@@ -61,74 +66,92 @@
 }
 
 proptest! {
-    /// Any order of words that come late, of time-outs and deaths leaves one that serves: words are never lost or
-    /// swapped on a stream, all else may happen at any time.
+    /// Any order of late messages, timeouts and crashes leaves a process that serves. Messages on a stream are never lost
+    /// or reordered; all else may happen at any time.
     #[test]
-    fn whatever_happens_one_is_left_that_serves(steps in prop::collection::vec(0u8..9, 0..60)) {
+    fn one_process_serves_after_any_order_of_events(steps in prop::collection::vec(0u8..9, 0..60)) {
         let mut pair = Pair {
-            old: Incumbent::Alone, new: Newcomer::Joining,
-            to_old: VecDeque::from([Word::Join(VERSION)]), to_new: VecDeque::new(),
-            old_lives: true, new_lives: true, old_accepts: true, new_accepts: false,
-            shut: false, taken_back: false, taken: false,
+            predecessor: PredecessorStage::Serving, successor: SuccessorStage::Joining,
+            to_predecessor: VecDeque::from([Signal::Join(VERSION)]), to_successor: VecDeque::new(),
+            predecessor_runs: true, successor_runs: true, predecessor_accepts: true, successor_accepts: false,
+            connection_closed: false, reclaimed: false, adopted: false,
         };
         for step in steps {
             match step {
-                0 | 1 => if let Some(word) = pair.to_old.pop_front() { pair.incumbent(Event::Heard(word)) },
-                2 | 3 => if let Some(word) = pair.to_new.pop_front() { pair.newcomer(Event::Heard(word)) },
-                4 => pair.newcomer(Event::Listed),
-                5 => pair.incumbent(Event::Empty),
-                6 => if pair.old.limit().is_some() { pair.incumbent(Event::Overdue) },
-                7 => if pair.new.limit().is_some() { pair.newcomer(Event::Overdue) },
-                // One of the two dies, the newcomer more often: it is the one that was never tried.
-                _ => if pair.old_lives && pair.new_lives {
-                    if pair.new == Newcomer::Sharing { pair.old_lives = false } else { pair.new_lives = false }
+                0 | 1 => if let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) },
+                2 | 3 => if let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) },
+                4 => pair.on_successor(Event::EndpointsKnown),
+                5 => pair.on_predecessor(Event::Drained),
+                6 => if pair.predecessor.limit().is_some() { pair.on_predecessor(Event::TimedOut) },
+                7 => if pair.successor.limit().is_some() { pair.on_successor(Event::TimedOut) },
+                // One of the two crashes, the successor more often: it has not proven itself yet.
+                _ => if pair.predecessor_runs && pair.successor_runs {
+                    if pair.successor == SuccessorStage::Sharing { pair.predecessor_runs = false } else { pair.successor_runs = false }
                 },
             }
         }
-        // What was said is still heard, then the end of the stream, and no stage outlasts its time.
-        while let Some(word) = pair.to_old.pop_front() { pair.incumbent(Event::Heard(word)) }
-        while let Some(word) = pair.to_new.pop_front() { pair.newcomer(Event::Heard(word)) }
-        if !pair.new_lives || pair.shut { pair.incumbent(Event::Lost) }
-        if !pair.old_lives { pair.newcomer(Event::Lost) }
-        pair.newcomer(Event::Listed);
+        // What was sent is still received, then the end of the stream, and no stage outlasts its limit.
+        while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
+        while let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) }
+        if !pair.successor_runs || pair.connection_closed { pair.on_predecessor(Event::ConnectionLost) }
+        if !pair.predecessor_runs { pair.on_successor(Event::ConnectionLost) }
+        pair.on_successor(Event::EndpointsKnown);
         for _ in 0..2 {
-            while let Some(word) = pair.to_old.pop_front() { pair.incumbent(Event::Heard(word)) }
-            while let Some(word) = pair.to_new.pop_front() { pair.newcomer(Event::Heard(word)) }
-            if pair.old.limit().is_some() { pair.incumbent(Event::Overdue) }
-            if pair.new.limit().is_some() { pair.newcomer(Event::Overdue) }
-            // What was said before the way was shut comes before its end.
-            while let Some(word) = pair.to_old.pop_front() { pair.incumbent(Event::Heard(word)) }
-            if pair.shut { pair.incumbent(Event::Lost) }
+            while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
+            while let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) }
+            if pair.predecessor.limit().is_some() { pair.on_predecessor(Event::TimedOut) }
+            if pair.successor.limit().is_some() { pair.on_successor(Event::TimedOut) }
+            // What was sent before the connection was closed comes before its end.
+            while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
+            if pair.connection_closed { pair.on_predecessor(Event::ConnectionLost) }
         }
-        prop_assert!(!(pair.taken && pair.taken_back), "told to the counter by both");
-        let serves = (pair.old_lives && pair.old_accepts) || (pair.new_lives && pair.new_accepts);
-        prop_assert!(serves, "{:?} {:?}", pair.old, pair.new);
+        prop_assert!(!(pair.adopted && pair.reclaimed), "reported to the counter by both");
+        let serves = (pair.predecessor_runs && pair.predecessor_accepts) || (pair.successor_runs && pair.successor_accepts);
+        prop_assert!(serves, "{:?} {:?}", pair.predecessor, pair.successor);
     }
 }
 
 #[test]
-fn a_hand_over_goes_word_by_word() {
-    let (mut old, mut new) = (Incumbent::Alone, Newcomer::Joining);
+fn a_hand_over_exchanges_its_messages_in_order() {
+    let (mut predecessor, mut successor) = (PredecessorStage::Serving, SuccessorStage::Joining);
+    assert_eq!(
+        predecessor.on(Event::Received(Signal::Join(VERSION))),
+        [Step::Send(Signal::Accept)]
+    );
+    assert_eq!(successor.on(Event::Received(Signal::Accept)), []);
+    assert_eq!(
+        successor.on(Event::EndpointsKnown),
+        [Step::Send(Signal::RequestState)]
+    );
+    assert_eq!(
+        predecessor.on(Event::Received(Signal::RequestState)),
+        [Step::StopAccepting, Step::Send(Signal::State)]
+    );
+    assert_eq!(
+        successor.on(Event::Received(Signal::State)),
+        [Step::Send(Signal::Serving)]
+    );
+    assert_eq!(successor.on(Event::Sent), [Step::Serve]);
+    assert_eq!(
+        predecessor.on(Event::Received(Signal::Serving)),
+        [Step::HandOverConnections]
+    );
+    assert_eq!(
+        predecessor.on(Event::Drained),
+        [Step::Exit, Step::Send(Signal::Finished)]
+    );
     assert_eq!(
-        old.on(Event::Heard(Word::Join(VERSION))),
-        [Do::Say(Word::Welcome)]
+        successor.on(Event::Received(Signal::Finished)),
+        [Step::EndSharing]
     );
-    assert_eq!(new.on(Event::Heard(Word::Welcome)), []);
-    assert_eq!(new.on(Event::Listed), [Do::Say(Word::Take)]);
+    // Another version is rejected, and the predecessor continues to serve.
+    let mut predecessor = PredecessorStage::Serving;
     assert_eq!(
-        old.on(Event::Heard(Word::Take)),
-        [Do::Pause, Do::Say(Word::Given)]
+        predecessor.on(Event::Received(Signal::Join(VERSION + 1))),
+        [Step::Send(Signal::Reject)]
     );
-    assert_eq!(new.on(Event::Heard(Word::Given)), [Do::Say(Word::Serving)]);
-    assert_eq!(new.on(Event::Told), [Do::Serve]);
-    assert_eq!(old.on(Event::Heard(Word::Serving)), [Do::HandOver]);
-    assert_eq!(old.on(Event::Empty), [Do::Depart, Do::Say(Word::Bye)]);
-    assert_eq!(new.on(Event::Heard(Word::Bye)), [Do::Whole]);
-    // Another version is turned away, and the incumbent serves on.
-    let mut old = Incumbent::Alone;
     assert_eq!(
-        old.on(Event::Heard(Word::Join(VERSION + 1))),
-        [Do::Say(Word::Refuse)]
+        (predecessor, predecessor.limit()),
+        (PredecessorStage::Serving, None)
     );
-    assert_eq!((old, old.limit()), (Incumbent::Alone, None));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod peers;
 
 use mossrill::handover::link::Link;
-use mossrill::handover::message::{Account, Body, LearnedState};
+use mossrill::handover::message::{Account, HandoverMessage, LearnedState};
 use peers::*;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -127,19 +127,26 @@
     let link = Link::new(UnixStream::connect(folder.socket()).expect("a socket")).expect("a link");
     let wait = Some(Duration::from_secs(20));
     if steps > 0 {
-        link.say(Body::Join(mossrill::handover::stage::VERSION), None)
-            .expect("said");
-        assert!(matches!(link.hear(wait), Ok((Body::Welcome(_), Some(_)))));
+        link.say(
+            HandoverMessage::Join(mossrill::handover::stage::VERSION),
+            None,
+        )
+        .expect("said");
+        assert!(matches!(
+            link.receive(wait),
+            Ok((HandoverMessage::Accept(_), Some(_)))
+        ));
     }
     if steps > 1 {
-        link.say(Body::Take(true), None).expect("said");
+        link.say(HandoverMessage::RequestState(true), None)
+            .expect("said");
         // An attempt that ends meanwhile may be told of first.
-        let mut heard = link.hear(wait);
-        while matches!(heard, Ok((Body::Ended(_), _))) {
-            heard = link.hear(wait);
+        let mut heard = link.receive(wait);
+        while matches!(heard, Ok((HandoverMessage::Ended(_), _))) {
+            heard = link.receive(wait);
         }
         assert!(
-            matches!(heard, Ok((Body::LearnedState(_), _))),
+            matches!(heard, Ok((HandoverMessage::LearnedState(_), _))),
             "{:?}",
             heard.map(|(body, _)| body)
         );
@@ -183,9 +190,11 @@
             7 => {
                 let link = Link::new(UnixStream::connect(folder.socket()).expect("a socket"))
                     .expect("a link");
-                link.say(Body::Join(99), None).expect("said");
-                let answer = link.hear(Some(Duration::from_secs(20))).expect("an answer");
-                assert!(matches!(answer, (Body::Refuse(_), None)));
+                link.say(HandoverMessage::Join(99), None).expect("said");
+                let answer = link
+                    .receive(Some(Duration::from_secs(20)))
+                    .expect("an answer");
+                assert!(matches!(answer, (HandoverMessage::Reject(_), None)));
             }
             9 | 15 => drop(caller(&folder, 1)),
             11 | 17 => drop(caller(&folder, 2)),
@@ -292,14 +301,21 @@
     let old = thread::spawn(move || {
         let wait = Some(Duration::from_secs(20));
         let link = Link::new(place.accept().expect("a newcomer").0).expect("a link");
-        assert!(matches!(link.hear(wait), Ok((Body::Join(_), None))));
+        assert!(matches!(
+            link.receive(wait),
+            Ok((HandoverMessage::Join(_), None))
+        ));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        link.say(Body::Welcome(true), Some(listener.as_fd()))
+        link.say(HandoverMessage::Accept(true), Some(listener.as_fd()))
             .expect("said");
-        assert!(matches!(link.hear(wait), Ok((Body::Take(_), None))));
+        assert!(matches!(
+            link.receive(wait),
+            Ok((HandoverMessage::RequestState(_), None))
+        ));
         // The core has given, another thread tells of the end, and it is the first to reach the way.
         let account = "00000000b4d65521".to_owned();
-        link.say(Body::Ended(account.clone()), None).expect("said");
+        link.say(HandoverMessage::Ended(account.clone()), None)
+            .expect("said");
         let account = Account {
             id: account,
             spread: 1,
@@ -308,14 +324,17 @@
             ..Account::default()
         };
         link.say(
-            Body::LearnedState(LearnedState {
+            HandoverMessage::LearnedState(LearnedState {
                 accounts: vec![account],
                 ..LearnedState::default()
             }),
             None,
         )
         .expect("said");
-        assert!(matches!(link.hear(wait), Ok((Body::Serving(_), None))));
+        assert!(matches!(
+            link.receive(wait),
+            Ok((HandoverMessage::Serving(_), None))
+        ));
         link
     });
     let new = start(&folder.0, "overtaken", &told);
@@ -379,7 +398,8 @@
     }
     // It is about to hand over when the word to stop comes, and then the newcomer dies.
     let link = caller(&folder, 2);
-    link.say(Body::Serving(true), None).expect("said");
+    link.say(HandoverMessage::Serving(true), None)
+        .expect("said");
     old.logged("Leaving");
     old.signal("TERM");
     old.logged("shutting down");
@@ -422,7 +442,8 @@
     );
     // Serving: the old one waits for what is owed on each connection, and reads from none.
     let link = caller(&folder, 2);
-    link.say(Body::Serving(true), None).expect("said");
+    link.say(HandoverMessage::Serving(true), None)
+        .expect("said");
     thread::sleep(Duration::from_millis(200));
     drop(left);
     assert_eq!(first.answer(), "first");
