--- /dev/null
+++ b/src/platform/command.rs
@@ -0,0 +1,195 @@
+//! Parses and validates commands of the platform's clients. The themed names of fields end here.
+
+use crate::decision::{AccountId, Idempotency, RequestId};
+use crate::platform::client_protocol::PlatformClientProtocol;
+use crate::platform::upstream_protocol::FIELDS;
+use crate::protocol::resp::RespError;
+use std::ops::Range;
+use std::str::FromStr;
+use std::time::Duration;
+use thiserror::Error;
+
+/// The word of a command that names the account.
+const ACCOUNT: usize = 1;
+/// The word of a command that is the request's id.
+const REQUEST_ID: usize = 2;
+/// The most words of a command.
+const MAX_WORDS: usize = 5;
+/// The longest id or idempotency key, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Hexadecimal digits of an account.
+const ACCOUNT_DIGITS: usize = 16;
+/// Accounts are numbers below this.
+const ACCOUNT_LIMIT: u64 = 1 << 33;
+
+/// Why a command is not a valid request. The text goes to the client.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub(super) enum CommandError {
+    /// Not RESP; what follows on the connection can't be parsed.
+    #[error(transparent)]
+    Resp(#[from] RespError),
+    #[error("command too long")]
+    TooLong,
+    #[error("unknown command")]
+    UnknownCommand,
+    #[error("bad account")]
+    Account,
+    #[error("bad id")]
+    RequestId,
+    #[error("unknown class")]
+    UnknownClass,
+    #[error("unknown plan")]
+    UnknownPlan,
+    #[error("bad units, spread or first")]
+    Units,
+    #[error("the class goes with the other command")]
+    WrongCommand,
+    #[error("bad k")]
+    IdempotencyKey,
+    #[error("bad d")]
+    Deadline,
+}
+
+/// A valid request command.
+pub(super) struct RequestCommand {
+    pub(super) account: AccountId,
+    pub(super) id: RequestId,
+    /// Index of the class.
+    pub(super) class: usize,
+    /// Index of the plan.
+    pub(super) plan: usize,
+    /// The client's deadline, at most the longest of the class.
+    pub(super) timeout: Duration,
+    pub(super) units: f64,
+    /// The number of limiters that the account's requests are spread over.
+    pub(super) limiter_count: u32,
+    /// The first of these limiters.
+    pub(super) first_limiter: u32,
+    /// Where the digits of the deadline are in the buffer.
+    pub(super) deadline_at: Range<usize>,
+}
+
+/// The fields of a command, each none if it is absent or invalid.
+#[derive(Default)]
+struct Fields<'a> {
+    class: Option<usize>,
+    plan: Option<usize>,
+    deadline_ms: Option<u64>,
+    deadline_at: Range<usize>,
+    idempotency_key: Option<&'a str>,
+    units: Option<f64>,
+    limiter_count: Option<u32>,
+    first_limiter: Option<u32>,
+}
+
+impl PlatformClientProtocol {
+    /// Parses and validates a request command.
+    ///
+    /// Guards against commands that no client of ours would send, under the name of a regular account: the decision
+    /// module must not receive their plan, units or limiters, nor an upstream server the rest.
+    pub(super) fn parse(
+        &self,
+        bytes: &[u8],
+        words: &[Range<usize>],
+    ) -> Result<RequestCommand, CommandError> {
+        let word = |index: usize| text(&bytes[words[index].clone()]);
+        let is_submit = word(0).eq_ignore_ascii_case("SVC.SUBMIT");
+        let is_query = word(0).eq_ignore_ascii_case("SVC.QUERY");
+        if !(is_submit || is_query) || words.len() > MAX_WORDS {
+            return Err(CommandError::UnknownCommand);
+        }
+        if !is_account(word(ACCOUNT)) {
+            return Err(CommandError::Account);
+        }
+        if !is_name(word(REQUEST_ID)) {
+            return Err(CommandError::RequestId);
+        }
+        let fields = self.parse_fields(word(FIELDS), words[FIELDS].start);
+        let class = fields.class.ok_or(CommandError::UnknownClass)?;
+        let plan = fields.plan.ok_or(CommandError::UnknownPlan)?;
+        let units = fields.units.ok_or(CommandError::Units)?;
+        let limiter_count = fields.limiter_count.ok_or(CommandError::Units)?;
+        let first_limiter = fields.first_limiter.ok_or(CommandError::Units)?;
+        let class_settings = self.classes.get(class);
+        let (max_timeout, idempotency) = *class_settings.ok_or(CommandError::UnknownClass)?;
+        if is_submit == (idempotency == Idempotency::Idempotent) {
+            return Err(CommandError::WrongCommand);
+        }
+        let needs_key = matches!(idempotency, Idempotency::Keyed(_));
+        if needs_key && !fields.idempotency_key.is_some_and(is_name) {
+            return Err(CommandError::IdempotencyKey);
+        }
+        let deadline_ms = fields.deadline_ms.ok_or(CommandError::Deadline)?;
+        Ok(RequestCommand {
+            account: AccountId::from(word(ACCOUNT)),
+            id: RequestId::from(word(REQUEST_ID)),
+            class,
+            plan,
+            timeout: Duration::from_millis(deadline_ms).min(max_timeout),
+            units,
+            limiter_count,
+            first_limiter,
+            deadline_at: fields.deadline_at,
+        })
+    }
+
+    /// Parses `name=value` pairs that begin at `start` in the buffer; the last of a name counts.
+    fn parse_fields<'a>(&self, pairs: &'a str, start: usize) -> Fields<'a> {
+        let mut fields = Fields::default();
+        let mut position = start;
+        for pair in pairs.split(',') {
+            let end = position + pair.len();
+            match pair.split_once('=') {
+                Some(("c", value)) => fields.class = self.names.class(value),
+                Some(("t", value)) => fields.plan = self.names.plan(value),
+                Some(("d", value)) => {
+                    fields.deadline_ms = parse_if(value, |deadline_ms| *deadline_ms > 0);
+                    fields.deadline_at = position + "d=".len()..end;
+                }
+                Some(("k", value)) => fields.idempotency_key = Some(value),
+                Some(("units", value)) => {
+                    fields.units =
+                        parse_if(value, |units| *units > 0.0 && *units <= self.most_units);
+                }
+                Some(("spread", value)) => {
+                    fields.limiter_count =
+                        parse_if(value, |count| (1..=self.limiters).contains(count));
+                }
+                Some(("first", value)) => {
+                    fields.first_limiter = parse_if(value, |first| *first < self.limiters);
+                }
+                _ => {}
+            }
+            position = end + ",".len();
+        }
+        fields
+    }
+
+    /// The class that a rejected command names, if it names one.
+    pub(super) fn class_of_rejected(&self, fields: &[u8]) -> Option<usize> {
+        String::from_utf8_lossy(fields)
+            .split(',')
+            .find_map(|pair| self.names.class(pair.strip_prefix("c=")?))
+    }
+}
+
+fn text(word: &[u8]) -> &str {
+    std::str::from_utf8(word).unwrap_or("")
+}
+
+fn parse_if<T: FromStr>(value: &str, is_valid: impl Fn(&T) -> bool) -> Option<T> {
+    value.parse().ok().filter(is_valid)
+}
+
+/// Whether a word is an account: 16 hexadecimal digits, a number below 2^33.
+fn is_account(word: &str) -> bool {
+    let is_hexadecimal = word.bytes().all(|byte| byte.is_ascii_hexdigit());
+    word.len() == ACCOUNT_DIGITS
+        && is_hexadecimal
+        && u64::from_str_radix(word, 16).is_ok_and(|number| number < ACCOUNT_LIMIT)
+}
+
+/// Whether a word may be an id or an idempotency key.
+fn is_name(word: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&word.len()) && word.bytes().all(|byte| byte.is_ascii_graphic())
+}
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,68 +1,116 @@
-//! A limiter on the platform: what it is told joined to what it speaks.
+//! A limiter on the platform: its protocols, service discovery and quota counter.
 
 pub mod client_protocol;
+mod command;
+mod command_reader;
+mod streamed_value;
 pub mod upstream_protocol;
 
 use crate::config::Platform;
 use crate::counter::http::QuotaCounter;
 use crate::counter::CountLines;
-use crate::discovery::{self, PollSettings};
+use crate::decision::Settings;
+use crate::discovery::{self, PollSettings, Watch};
 use crate::platform::client_protocol::PlatformClientProtocol;
 use crate::platform::upstream_protocol::PlatformUpstreamProtocol;
 use crate::process::{Limiter, Reload};
+use crate::simulator::Names;
 use slog::{info, o, warn, Logger};
 use std::io;
+use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Starts a limiter on the platform, all but its core. The second is what a new configuration is given to.
+/// Starts a limiter on the platform, all but its core. The second result applies a new configuration.
+///
+/// # Errors
+///
+/// If an address can't be bound or a thread can't be started.
 pub fn start(
     config: Platform,
     log: &Logger,
 ) -> io::Result<(Limiter<PlatformClientProtocol>, Reload<Platform>)> {
     let settings = &config.common.settings;
-    let classes = settings
-        .classes
-        .iter()
-        .map(|c| (Duration::from_micros(c.deadline), c.idempotency))
-        .collect();
-    let (limiters, most_units) = (settings.limiters, config.most_units);
-    let agents = PlatformClientProtocol {
-        names: config.names,
-        classes,
-        most_units,
-        limiters,
+    let drain_grace = Duration::from_micros(settings.safety.drain_grace);
+    let counter_timeout = Duration::from_micros(settings.counter_timeout);
+    let generation = config.common.known.generation;
+    let seed = config.common.seed;
+    let addresses = Addresses {
+        discovery: config.node_list,
+        counter: config.quota_counter,
     };
-    let protocol = PlatformUpstreamProtocol(config.load_fields);
-    let (generation, seed) = (config.common.known.generation, config.common.seed);
-    let grace = Duration::from_micros(settings.safety.drain_grace);
-    let wait = Duration::from_micros(settings.counter_timeout);
-    let (mut list_at, mut counter_at) = (config.node_list, config.quota_counter);
+    let clients = client_protocol(settings, config.names, config.most_units);
+    let upstream = PlatformUpstreamProtocol(config.load_fields);
     let counter_log = log.new(o!("part" => "counter"));
-    let counter = |counted| match counter_at {
-        Some(at) => CountLines::start(at, wait, QuotaCounter, counted, &counter_log).map(Some),
+    let start_counter = |counted| match addresses.counter {
+        Some(address) => CountLines::start(
+            address,
+            counter_timeout,
+            QuotaCounter,
+            counted,
+            &counter_log,
+        )
+        .map(Some),
         None => Ok(None),
     };
-    let limiter = Limiter::start(config.common, agents, protocol, counter, log)?;
-    let list_log = log.new(o!("part" => "discovery"));
+    let limiter = Limiter::start(config.common, clients, upstream, start_counter, log)?;
     let poll_settings = PollSettings {
         limiter_count: limiter.limiters(),
-        drain_grace: grace,
+        drain_grace,
         seed,
     };
-    let watch =
-        discovery::start_watch(list_at, generation, poll_settings, limiter.news(), list_log)?;
-    let (lines, log) = (limiter.count_lines(), log.clone());
-    let reload = move |config: Platform| {
-        if config.node_list != list_at {
+    let watch = discovery::start_watch(
+        addresses.discovery,
+        generation,
+        poll_settings,
+        limiter.news(),
+        log.new(o!("part" => "discovery")),
+    )?;
+    let reload = reload(addresses, watch, limiter.count_lines(), log.clone());
+    Ok((limiter, reload))
+}
+
+/// The addresses that a new configuration can change without a restart.
+struct Addresses {
+    discovery: SocketAddr,
+    counter: Option<SocketAddr>,
+}
+
+fn client_protocol(settings: &Settings, names: Names, most_units: f64) -> PlatformClientProtocol {
+    let classes = settings
+        .classes
+        .iter()
+        .map(|class| (Duration::from_micros(class.deadline), class.idempotency))
+        .collect();
+    PlatformClientProtocol {
+        names,
+        classes,
+        most_units,
+        limiters: settings.limiters,
+    }
+}
+
+/// Applies new addresses of service discovery and the counter.
+fn reload(
+    mut current: Addresses,
+    watch: Watch,
+    counter: Option<CountLines>,
+    log: Logger,
+) -> Reload<Platform> {
+    Box::new(move |config: Platform| {
+        if config.node_list != current.discovery {
             watch.move_to(config.node_list);
         }
-        match (&lines, config.quota_counter) {
-            (Some(lines), Some(at)) if counter_at != Some(at) => lines.move_to(at),
+        match (&counter, config.quota_counter) {
+            (Some(counter), Some(address)) if current.counter != Some(address) => {
+                counter.move_to(address);
+            }
             (None, Some(_)) => warn!(log, "counter change needs a restart"),
             _ => {}
         }
-        (list_at, counter_at) = (config.node_list, config.quota_counter.or(counter_at));
-        info!(log, "configuration reloaded"; "discovery" => %list_at, "counter" => ?counter_at);
-    };
-    Ok((limiter, Box::new(reload)))
+        current = Addresses {
+            discovery: config.node_list,
+            counter: config.quota_counter.or(current.counter),
+        };
+        info!(log, "configuration reloaded"; "discovery" => %current.discovery, "counter" => ?current.counter);
+    })
 }
--- a/src/platform/upstream_protocol.rs
+++ b/src/platform/upstream_protocol.rs
@@ -1,137 +1,84 @@
-//! How the platform words an attempt, and what its ticket nodes answer.
+//! The platform's upstream protocol: attempts as RESP commands, and the answers of upstream servers.
 
 use crate::decision::Outcome;
+use crate::platform::streamed_value::{StreamEnd, StreamedValue};
 use crate::protocol::buffers::{Buffer, SIZE};
 use crate::protocol::resp::{self, Reply};
 use crate::upstream::{Connection, Exchange, UpstreamProtocol};
-use crossbeam_channel::{bounded, Sender};
+use crossbeam_channel::bounded;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::ops::Range;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What the answer of a ticket node that served begins with: value, use and load.
+/// The beginning of an answer with a value: an array of value, usage and load report.
 const SERVED: &[u8] = b"*3\r\n";
-/// Place of the names and values among a command's words.
+/// The place of the load report in that array.
+const LOAD_REPORT: usize = 2;
+/// The word of a command that holds its fields.
 pub const FIELDS: usize = 3;
+/// An upstream server that has begun a streamed value and sends nothing for this long has failed. No deadline ends the
+/// copy sooner.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+// Re-exported until the lead joins the folders.
+pub use STALL_TIMEOUT as STALLED;
+/// Timeout of usage and load report after a streamed value that the client has received.
+const TRAILING_TIMEOUT: Duration = Duration::from_millis(500);
+/// The most bytes read at a time after a streamed value.
+const TRAILING_PIECE_BYTES: usize = 1_024;
+/// No further bytes are read after a streamed value once this many were received.
+const MAX_TRAILING_BYTES: usize = 4 * TRAILING_PIECE_BYTES;
 
-/// A command as it goes on to a ticket node: as it came, but for the time left.
+/// A command to be forwarded: as received, but for its deadline.
 pub struct PlatformCall {
-    /// The agent's command.
+    /// The client's command.
     pub buffer: Buffer,
-    /// Its words.
+    /// Its words, as ranges of the buffer.
     pub words: Vec<Range<usize>>,
-    /// Where the value of `d` stands; empty where the agent gave none.
+    /// Where the digits of the deadline are; empty if the command has none.
     pub wait: Range<usize>,
 }
 
 impl PlatformCall {
-    /// Writes the command with the time that the limiter waits; how many bytes it takes.
-    fn word(&self, mut to: &mut [u8], left: Duration) -> io::Result<usize> {
-        let room = to.len();
-        let wait = left.as_millis().max(1).to_string();
+    /// Writes the command with the time left as its deadline. Returns the number of bytes written.
+    fn encode(&self, mut to: &mut [u8], time_left: Duration) -> io::Result<usize> {
+        let capacity = to.len();
+        let deadline = time_left.as_millis().max(1).to_string();
         write!(to, "*{}\r\n", self.words.len())?;
-        for (place, word) in self.words.iter().enumerate() {
-            if place == FIELDS && !self.wait.is_empty() {
-                let (before, after) = (word.start..self.wait.start, self.wait.end..word.end);
-                write!(to, "${}\r\n", before.len() + wait.len() + after.len())?;
-                to.write_all(&self.buffer[before])?;
-                to.write_all(wait.as_bytes())?;
-                to.write_all(&self.buffer[after])?;
+        for (index, word) in self.words.iter().enumerate() {
+            if index == FIELDS && !self.wait.is_empty() {
+                let before = &self.buffer[word.start..self.wait.start];
+                let after = &self.buffer[self.wait.end..word.end];
+                let length = before.len() + deadline.len() + after.len();
+                write!(to, "${length}\r\n")?;
+                to.write_all(before)?;
+                to.write_all(deadline.as_bytes())?;
+                to.write_all(after)?;
             } else {
                 write!(to, "${}\r\n", word.len())?;
                 to.write_all(&self.buffer[word.clone()])?;
             }
             to.write_all(b"\r\n")?;
         }
-        Ok(room - to.len())
+        Ok(capacity - to.len())
     }
 }
 
-/// A value as a ticket node serves it.
+/// A value from an upstream server.
 pub enum Served {
-    /// It has come.
+    /// The whole value was received.
     Whole {
-        /// The node's answer.
+        /// The answer of the upstream server.
         buffer: Buffer,
-        /// Where the value stands in it.
+        /// Where the value is in it.
         value: Range<usize>,
     },
-    /// It begins to come, and is longer than a buffer.
-    Long(Long),
+    /// A value longer than a buffer, the beginning of which was received.
+    Streamed(StreamedValue),
 }
 
-/// A value that is passed on as it comes, by the thread that writes to the agent: a slow agent slows down the one
-/// connection that the value comes on, and no piece of it is held but the one in hand.
-pub struct Long {
-    from: Arc<Connection>,
-    /// What has been read of it, and perhaps beyond.
-    first: Vec<u8>,
-    length: usize,
-    /// To the thread of the attempt.
-    ended: Sender<Passed>,
-}
-
-/// How the passing on of a long value ended.
-enum Passed {
-    /// The agent has it whole; these bytes came behind it.
-    Whole(Vec<u8>),
-    /// The node broke off, said nothing for too long or said what has no place.
-    Broken,
-    /// The agent took no more.
-    Left,
-}
-
-impl Long {
-    /// Writes the value to the agent as it comes. An agent whose value breaks off is told by the end of its connection.
-    pub fn pass_on(self, to: &TcpStream) -> io::Result<()> {
-        let (passed, end) = match self.pass(to) {
-            Ok(rest) => (Passed::Whole(rest), Ok(())),
-            Err((passed, fault)) => (passed, Err(fault)),
-        };
-        _ = self.ended.try_send(passed);
-        end
-    }
-
-    fn pass(&self, mut to: &TcpStream) -> Result<Vec<u8>, (Passed, io::Error)> {
-        let left = |fault| (Passed::Left, fault);
-        let broken = || (Passed::Broken, io::Error::from(ErrorKind::UnexpectedEof));
-        let (mut piece, mut come, mut due) = ([0; PIECE], self.first.clone(), self.length);
-        write!(to, "${due}\r\n").map_err(left)?;
-        loop {
-            let part = due.min(come.len());
-            to.write_all(&come[..part]).map_err(left)?;
-            (due, come) = (due - part, come.split_off(part));
-            // What stands behind the value says whether its length was right.
-            if due == 0 && come.len() >= 2 {
-                if !come.starts_with(b"\r\n") {
-                    return Err(broken());
-                }
-                to.write_all(b"\r\n").map_err(left)?;
-                return Ok(come.split_off(2));
-            }
-            let read = match (&self.from.stream).read(&mut piece) {
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => continue,
-                Ok(0) | Err(_) => return Err(broken()),
-                Ok(read) => read,
-            };
-            let whole = due.min(read);
-            to.write_all(&piece[..whole]).map_err(left)?;
-            due -= whole;
-            come.extend_from_slice(&piece[whole..read]);
-        }
-    }
-}
-
-/// What is passed on at a time.
-const PIECE: usize = 16 * 1024;
-/// A node that has begun a long value and gives nothing more of it for so long has broken off. No deadline cuts it off.
-pub const STALLED: Duration = Duration::from_secs(5);
-/// What comes behind a long value is waited for so long, once the agent has it.
-const BEHIND: Duration = Duration::from_millis(500);
-
-/// RESP to ticket nodes, with the names of the figures in a load report, in the module's order.
+/// The upstream protocol, with the names of the figures in a load report in the order of the settings.
 pub struct PlatformUpstreamProtocol(pub Vec<String>);
 
 impl UpstreamProtocol for PlatformUpstreamProtocol {
@@ -140,7 +87,7 @@
 
     fn write(&self, call: &PlatformCall, mut to: &TcpStream, left: Duration) -> io::Result<()> {
         let mut command = Buffer::take();
-        let size = call.word(&mut command, left)?;
+        let size = call.encode(&mut command, left)?;
         to.write_all(&command[..size])
     }
 
@@ -150,171 +97,178 @@
         from: &Arc<Connection>,
         begins: &dyn Fn(Served),
     ) -> Exchange<Served> {
-        let done = match self.answer(&from.stream) {
-            Answer::Done(done) => done,
-            Answer::Long { first, length } => return self.long(from, first, length, begins),
+        let exchange = match self.read_answer(&from.stream) {
+            Answer::Complete(exchange) => exchange,
+            Answer::LongValue { received, length } => {
+                return self.stream_value(from, received, length, begins)
+            }
         };
-        match (done.outcome, &done.value) {
-            // A load report where a value was due serves nobody.
-            (Outcome::Ok, None) => Exchange::broke(Outcome::Error),
-            _ => done,
+        // A load report in place of a value serves no request.
+        if exchange.outcome == Outcome::Ok && exchange.value.is_none() {
+            return Exchange::broke(Outcome::Error);
         }
+        exchange
     }
 
     fn probe(&self, mut stream: &TcpStream) -> Exchange<Served> {
-        match stream.write_all(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n") {
-            Ok(()) => match self.answer(stream) {
-                Answer::Done(done) => done,
-                Answer::Long { .. } => Exchange::broke(Outcome::Error),
-            },
-            Err(_) => Exchange::broke(Outcome::ConnectFailed),
+        if stream
+            .write_all(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
+            .is_err()
+        {
+            return Exchange::broke(Outcome::ConnectFailed);
+        }
+        match self.read_answer(stream) {
+            Answer::Complete(exchange) => exchange,
+            Answer::LongValue { .. } => Exchange::broke(Outcome::Error),
         }
     }
 }
 
-/// What a ticket node answers.
+/// An answer of an upstream server.
 enum Answer {
-    Done(Exchange<Served>),
-    /// A value of this length begins, of which so much has come.
-    Long {
-        first: Vec<u8>,
+    /// The answer was received whole, or failed.
+    Complete(Exchange<Served>),
+    /// A value longer than a buffer begins.
+    LongValue {
+        /// The bytes of the value that were received.
+        received: Vec<u8>,
         length: usize,
     },
 }
 
 impl PlatformUpstreamProtocol {
-    fn answer(&self, stream: &TcpStream) -> Answer {
-        let (mut buffer, mut end) = (Buffer::none(), 0);
+    fn read_answer(&self, stream: &TcpStream) -> Answer {
+        let broken = |outcome| Answer::Complete(Exchange::broke(outcome));
+        let mut buffer = Buffer::none();
+        let mut end = 0;
         loop {
             match buffer.read(end, stream) {
-                Ok(0) => return Answer::Done(Exchange::broke(Outcome::Reset)),
+                Ok(0) => return broken(Outcome::Reset),
                 Ok(read) => end += read,
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => {
-                    return Answer::Done(Exchange::broke(Outcome::Timeout))
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return broken(Outcome::Timeout)
                 }
-                Err(_) => return Answer::Done(Exchange::broke(Outcome::Reset)),
+                Err(_) => return broken(Outcome::Reset),
             }
-            if let Some((start, length)) = resp::long_value(&buffer[..end]) {
-                return Answer::Long {
-                    first: buffer[start..end].to_vec(),
+            let received = &buffer[..end];
+            if let Some((start, length)) = resp::long_value(received) {
+                return Answer::LongValue {
+                    received: received[start..].to_vec(),
                     length,
                 };
             }
-            // An array of any other length would be waited for in vain.
-            let other =
-                buffer[0] == b'*' && !buffer[..end].starts_with(&SERVED[..end.min(SERVED.len())]);
-            match resp::reply(&buffer[..end], 0) {
-                _ if other => return Answer::Done(Exchange::broke(Outcome::Error)),
+            if is_other_array(received) {
+                return broken(Outcome::Error);
+            }
+            match resp::reply(received, 0) {
                 Ok(Some((reply, size))) => {
-                    return Answer::Done(self.understood(buffer, reply, size == end))
+                    let is_alone = size == end;
+                    return Answer::Complete(self.decode_reply(buffer, reply, is_alone));
                 }
                 Ok(None) if end < SIZE => {}
-                _ => return Answer::Done(Exchange::broke(Outcome::Error)),
+                _ => return broken(Outcome::Error),
             }
         }
     }
 
-    /// Has a long value passed on, and waits for its end.
-    fn long(
+    /// Has a long value copied to the client, and waits for the end of that.
+    fn stream_value(
         &self,
         from: &Arc<Connection>,
-        first: Vec<u8>,
+        received: Vec<u8>,
         length: usize,
         begins: &dyn Fn(Served),
     ) -> Exchange<Served> {
-        let limit = |wait| from.stream.set_read_timeout(wait).is_ok();
-        if !limit(Some(STALLED)) {
+        if from.stream.set_read_timeout(Some(STALL_TIMEOUT)).is_err() {
             return Exchange::broke(Outcome::Reset);
         }
-        let (ended, passed) = bounded(1);
-        begins(Served::Long(Long {
-            from: from.clone(),
-            first,
+        let (ended, end) = bounded(1);
+        begins(Served::Streamed(StreamedValue {
+            connection: from.clone(),
+            received,
             length,
             ended,
         }));
-        match passed.recv() {
-            Ok(Passed::Whole(behind)) => {
-                let load = limit(Some(BEHIND))
-                    .then(|| self.behind(&from.stream, behind))
-                    .flatten();
-                let (keep, load) = (load.is_some() && limit(None), load.unwrap_or_default());
-                Exchange {
-                    outcome: Outcome::Ok,
-                    load,
-                    value: None,
-                    keep,
-                }
-            }
-            Ok(Passed::Broken) => Exchange::broke(Outcome::Reset),
-            // The agent's doing, or nobody wanted it.
-            Ok(Passed::Left) | Err(_) => Exchange::broke(Outcome::Cancelled),
+        match end.recv() {
+            Ok(StreamEnd::Complete(trailing)) => self.finish_stream(&from.stream, trailing),
+            Ok(StreamEnd::UpstreamFailed) => Exchange::broke(Outcome::Reset),
+            // The client disconnected, or nobody wanted the value.
+            Ok(StreamEnd::ClientFailed) | Err(_) => Exchange::broke(Outcome::Cancelled),
+        }
+    }
+
+    /// The exchange of a value that was copied whole. The connection is used again if usage and load report follow.
+    fn finish_stream(&self, stream: &TcpStream, trailing: Vec<u8>) -> Exchange<Served> {
+        let report = match stream.set_read_timeout(Some(TRAILING_TIMEOUT)) {
+            Ok(()) => self.read_trailing_report(stream, trailing),
+            Err(_) => None,
+        };
+        let keep = report.is_some() && stream.set_read_timeout(None).is_ok();
+        Exchange {
+            outcome: Outcome::Ok,
+            load: report.unwrap_or_default(),
+            value: None,
+            keep,
         }
     }
 
-    /// Use and load behind a value: the load, or none if the connection can't be used again.
-    fn behind(&self, mut stream: &TcpStream, mut come: Vec<u8>) -> Option<Vec<f64>> {
+    /// Reads usage and load report after a value. Returns the report; none if the connection can't be used again.
+    fn read_trailing_report(
+        &self,
+        mut stream: &TcpStream,
+        mut received: Vec<u8>,
+    ) -> Option<Vec<f64>> {
         let began = Instant::now();
-        // Each read has its time, and so have all: a node may give a byte now and then for good.
-        while began.elapsed() < BEHIND {
-            let used = resp::reply(&come, 0).ok()?;
-            let load = used
-                .map(|(_, at)| resp::reply(&come, at))
-                .transpose()
-                .ok()?
-                .flatten();
-            if let Some((load, end)) = load {
-                let report = match load {
-                    Reply::Bulk(Some(text)) => self.load(&come[text]),
+        // Each read has a timeout, and so have all together: an upstream server may send a byte now and then without end.
+        while began.elapsed() < TRAILING_TIMEOUT {
+            if let Some((report, end)) = trailing_report(&received).ok()? {
+                let load = match report {
+                    Reply::Bulk(Some(text)) => self.parse_load(&received[text]),
                     _ => Vec::new(),
                 };
-                return (end == come.len()).then_some(report);
+                return (end == received.len()).then_some(load);
+            }
+            let mut piece = [0; TRAILING_PIECE_BYTES];
+            let read = stream.read(&mut piece).ok()?;
+            if read == 0 || received.len() >= MAX_TRAILING_BYTES {
+                return None;
             }
-            let mut part = [0; 1_024];
-            let read = stream
-                .read(&mut part)
-                .ok()
-                .filter(|read| *read > 0 && come.len() < 4 * part.len())?;
-            come.extend_from_slice(&part[..read]);
+            received.extend_from_slice(&piece[..read]);
         }
         None
     }
 
-    /// What a whole reply says. `alone` if nothing came behind it.
+    /// Decodes a whole reply. `is_alone`: no bytes were received after it, so the connection can be used again.
     ///
-    /// Guards against answers that come spoilt: after one that no ticket node means, its connection stays open and
-    /// answers nothing more.
-    fn understood(&self, buffer: Buffer, reply: Reply, alone: bool) -> Exchange<Served> {
-        let done = |outcome, load, value| Exchange {
+    /// Guards against corrupt answers: after one that no upstream server means, its connection stays open and answers
+    /// nothing more.
+    fn decode_reply(&self, buffer: Buffer, reply: Reply, is_alone: bool) -> Exchange<Served> {
+        let exchange = |outcome, load, value| Exchange {
             outcome,
             load,
             value,
-            keep: alone,
+            keep: is_alone,
         };
         match reply {
             Reply::Array(Some(parts)) => {
-                let load = match parts.get(2) {
-                    Some(Reply::Bulk(Some(text))) => self.load(&buffer[text.clone()]),
+                let load = match parts.get(LOAD_REPORT) {
+                    Some(Reply::Bulk(Some(text))) => self.parse_load(&buffer[text.clone()]),
                     _ => Vec::new(),
                 };
-                match parts.into_iter().next() {
-                    Some(Reply::Bulk(Some(value))) => {
-                        done(Outcome::Ok, load, Some(Served::Whole { buffer, value }))
-                    }
-                    _ => Exchange::broke(Outcome::Error),
-                }
+                let Some(Reply::Bulk(Some(value))) = parts.into_iter().next() else {
+                    return Exchange::broke(Outcome::Error);
+                };
+                exchange(Outcome::Ok, load, Some(Served::Whole { buffer, value }))
+            }
+            Reply::Bulk(Some(report)) => {
+                exchange(Outcome::Ok, self.parse_load(&buffer[report]), None)
             }
-            Reply::Bulk(Some(report)) => done(Outcome::Ok, self.load(&buffer[report]), None),
             Reply::Error(text) => {
                 let text = &buffer[text];
-                let last = text
-                    .rsplit(|b| *b == b' ')
-                    .next()
-                    .filter(|w| w.contains(&b'='));
-                let load = last.map(|w| self.load(w)).unwrap_or_default();
-                match text.split(|b| *b == b' ').next() {
-                    Some(b"BUSY") => done(Outcome::Rejected, load, None),
-                    Some(b"ERR") => done(Outcome::Error, load, None),
+                let load = self.parse_error_load(text);
+                match text.split(|byte| *byte == b' ').next() {
+                    Some(b"BUSY") => exchange(Outcome::Rejected, load, None),
+                    Some(b"ERR") => exchange(Outcome::Error, load, None),
                     _ => Exchange::broke(Outcome::Error),
                 }
             }
@@ -322,20 +276,40 @@
         }
     }
 
-    /// A load report in the order of the settings; empty unless it holds every figure.
-    fn load(&self, report: &[u8]) -> Vec<f64> {
+    /// The load report in an error reply, which is its last word; empty if there is none.
+    fn parse_error_load(&self, text: &[u8]) -> Vec<f64> {
+        match text.rsplit(|byte| *byte == b' ').next() {
+            Some(report) if report.contains(&b'=') => self.parse_load(report),
+            _ => Vec::new(),
+        }
+    }
+
+    /// A load report in the order of the settings; empty unless it has every figure.
+    fn parse_load(&self, report: &[u8]) -> Vec<f64> {
         let text = std::str::from_utf8(report).unwrap_or("");
         let figure = |name: &String| {
             let (_, value) = text
                 .split(',')
-                .filter_map(|f| f.split_once('='))
-                .find(|(n, _)| n == name)?;
-            value.parse::<f64>().ok().filter(|v| v.is_finite())
+                .filter_map(|pair| pair.split_once('='))
+                .find(|(other, _)| other == name)?;
+            let value = value.parse::<f64>().ok()?;
+            value.is_finite().then_some(value)
         };
-        self.0
-            .iter()
-            .map(figure)
-            .collect::<Option<_>>()
-            .unwrap_or_default()
+        let figures: Option<Vec<f64>> = self.0.iter().map(figure).collect();
+        figures.unwrap_or_default()
+    }
+}
+
+/// Whether the bytes begin an array that is no value with usage and load report; its end may never be received.
+fn is_other_array(received: &[u8]) -> bool {
+    let compared = received.len().min(SERVED.len());
+    received[0] == b'*' && received[..compared] != SERVED[..compared]
+}
+
+/// The load report after the usage, and where it ends; none while these are incomplete.
+fn trailing_report(received: &[u8]) -> Result<Option<(Reply, usize)>, resp::RespError> {
+    match resp::reply(received, 0)? {
+        Some((_, usage_end)) => resp::reply(received, usage_end),
+        None => Ok(None),
     }
 }
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -1,23 +1,63 @@
-//! The RESP2 codec: commands as agents send them, replies as ticket nodes and the Redis store give them.
+//! The RESP2 codec: commands as clients send them, replies as upstream servers and the Redis store send them.
 
 use std::ops::Range;
+use thiserror::Error;
 
-/// The longest value that the platform allows.
-const LONGEST: usize = 64 * 1024;
-/// The longest value that a ticket node may give; beyond [`LONGEST`] it is passed on as it comes.
-const LONGEST_VALUE: usize = 4 << 20;
-/// The longest line of any use; one that never ends is known by its being longer.
-const LONGEST_LINE: usize = 1024;
-/// Words in a command and values in an array at most; the longest in use has five.
-const MOST: usize = 16;
+/// The longest value that fits a buffer, in bytes, and the longest that the platform's clients may send.
+const MAX_VALUE_BYTES: usize = 64 * 1024;
+/// The longest value that an upstream server may send, in bytes; one beyond [`MAX_VALUE_BYTES`] is streamed.
+const MAX_STREAMED_VALUE_BYTES: usize = 4 << 20;
+/// The longest line in bytes; a longer one is an error before its end is received.
+const MAX_LINE_BYTES: usize = 1024;
+/// The longest line with a length in bytes.
+const MAX_LENGTH_LINE_BYTES: usize = 32;
+/// The most words in a command and values in an array; the longest in use has five.
+const MAX_ELEMENTS: usize = 16;
+/// How deep arrays may be nested.
+const MAX_DEPTH: usize = 3;
 
-/// What is wrong with what came in.
-pub type Malformed = &'static str;
+/// Why bytes are not valid RESP.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub enum RespError {
+    /// A line ends with a line feed alone.
+    #[error("line without a carriage return")]
+    MissingCarriageReturn,
+    /// A line is longer than any in use.
+    #[error("line too long")]
+    LineTooLong,
+    /// An integer is expected.
+    #[error("not a number")]
+    NotANumber,
+    /// A line with a length is longer than any length.
+    #[error("length too long")]
+    LengthTooLong,
+    /// A length is negative, too large or not in plain digits.
+    #[error("length out of range")]
+    LengthOutOfRange,
+    /// No line end follows a value.
+    #[error("value longer than its length")]
+    ValueTooLong,
+    /// A command has another type, or elements of other types.
+    #[error("a command is an array of bulk strings")]
+    NotACommand,
+    /// A command without words.
+    #[error("empty command")]
+    EmptyCommand,
+    /// A null among the words of a command.
+    #[error("null in a command")]
+    NullInCommand,
+    /// Arrays are nested more than three deep.
+    #[error("nested too deep")]
+    NestedTooDeep,
+    /// The first byte of a reply is no type of RESP2.
+    #[error("unknown kind of reply")]
+    UnknownType,
+}
 
-/// What was parsed and where the next begins; none while it is not whole.
-type Parsed<T> = Result<Option<(T, usize)>, Malformed>;
+/// What was parsed, and where the rest begins; none while it is incomplete.
+type Parsed<T> = Result<Option<(T, usize)>, RespError>;
 
-/// A reply; texts are ranges of the bytes that were parsed.
+/// A reply; texts are ranges of the parsed bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// `+text`.
@@ -32,29 +72,29 @@
     Array(Option<Vec<Reply>>),
 }
 
-/// A line from `at` up to its end, and where the next begins; none while it is not whole.
+/// The line that begins at `at`, without its end.
 fn line(bytes: &[u8], at: usize) -> Parsed<Range<usize>> {
     match bytes[at..].iter().position(|b| *b == b'\n') {
-        Some(0) => Err("line without a carriage return"),
-        Some(end) if bytes[at + end - 1] != b'\r' => Err("line without a carriage return"),
+        Some(0) => Err(RespError::MissingCarriageReturn),
+        Some(end) if bytes[at + end - 1] != b'\r' => Err(RespError::MissingCarriageReturn),
         Some(end) => Ok(Some((at..at + end - 1, at + end + 1))),
-        None if bytes.len() - at > LONGEST_LINE => Err("line too long"),
+        None if bytes.len() - at > MAX_LINE_BYTES => Err(RespError::LineTooLong),
         None => Ok(None),
     }
 }
 
-fn integer(bytes: &[u8]) -> Result<i64, Malformed> {
+fn integer(bytes: &[u8]) -> Result<i64, RespError> {
     std::str::from_utf8(bytes)
         .ok()
-        .and_then(|t| t.parse().ok())
-        .ok_or("not a number")
+        .and_then(|text| text.parse().ok())
+        .ok_or(RespError::NotANumber)
 }
 
-/// The number behind a type byte; none while its line is not whole.
+/// The length that begins at `at`, after a type byte; a length of -1 is none.
 fn length(bytes: &[u8], at: usize, most: usize) -> Parsed<Option<usize>> {
     let Some((text, next)) = line(bytes, at)? else {
-        return if bytes.len() - at > 32 {
-            Err("length too long")
+        return if bytes.len() - at > MAX_LENGTH_LINE_BYTES {
+            Err(RespError::LengthTooLong)
         } else {
             Ok(None)
         };
@@ -65,61 +105,70 @@
         n if n >= 0 && n as usize <= most && n.to_string().len() == digits => {
             Ok(Some((Some(n as usize), next)))
         }
-        _ => Err("length out of range"),
+        _ => Err(RespError::LengthOutOfRange),
     }
 }
 
+/// The bulk string whose length begins at `at`; none if it is null.
 fn bulk(bytes: &[u8], at: usize) -> Parsed<Option<Range<usize>>> {
-    match length(bytes, at, LONGEST)? {
+    match length(bytes, at, MAX_VALUE_BYTES)? {
         None => Ok(None),
         Some((None, next)) => Ok(Some((None, next))),
         Some((Some(size), start)) => match bytes.get(start + size..start + size + 2) {
             None => Ok(None),
             Some(b"\r\n") => Ok(Some((Some(start..start + size), start + size + 2))),
-            Some(_) => Err("value longer than its length"),
+            Some(_) => Err(RespError::ValueTooLong),
         },
     }
 }
 
-/// The words of the command that these bytes begin with, and where it ends; none while it is not whole.
+/// Parses the command at the start of these bytes: its words, as ranges, and where it ends; none while it is incomplete.
+///
+/// # Errors
+///
+/// If the bytes are not a command; what follows can't be parsed then.
 pub fn command(bytes: &[u8]) -> Parsed<Vec<Range<usize>>> {
     match bytes.first() {
         None => return Ok(None),
         Some(b'*') => {}
-        Some(_) => return Err("a command is an array of bulk strings"),
+        Some(_) => return Err(RespError::NotACommand),
     }
-    let Some((count, mut at)) = length(bytes, 1, MOST)? else {
+    let Some((count, mut at)) = length(bytes, 1, MAX_ELEMENTS)? else {
         return Ok(None);
     };
-    let count = count.filter(|n| *n > 0).ok_or("empty command")?;
+    let count = count.filter(|n| *n > 0).ok_or(RespError::EmptyCommand)?;
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
         match bytes.get(at) {
             None => return Ok(None),
             Some(b'$') => {}
-            Some(_) => return Err("a command is an array of bulk strings"),
+            Some(_) => return Err(RespError::NotACommand),
         }
         let Some((word, next)) = bulk(bytes, at + 1)? else {
             return Ok(None);
         };
-        words.push(word.ok_or("null in a command")?);
+        words.push(word.ok_or(RespError::NullInCommand)?);
         at = next;
     }
     Ok(Some((words, at)))
 }
 
-/// Where the value begins and how long it is, if these bytes begin the answer of a ticket node with a value that is
-/// longer than a buffer.
+/// If these bytes begin an upstream server's answer with a value longer than a buffer: where the value begins, and its
+/// length.
 pub fn long_value(bytes: &[u8]) -> Option<(usize, usize)> {
     let head = bytes.strip_prefix(b"*3\r\n$")?;
-    let (size, next) = length(head, 0, LONGEST_VALUE).ok().flatten()?;
-    size.filter(|size| *size > LONGEST)
+    let (size, next) = length(head, 0, MAX_STREAMED_VALUE_BYTES).ok().flatten()?;
+    size.filter(|size| *size > MAX_VALUE_BYTES)
         .map(|size| (bytes.len() - head.len() + next, size))
 }
 
-/// The reply that stands at `at`, and where it ends; none while it is not whole.
+/// Parses the reply at `at`: the reply and where it ends; none while it is incomplete.
+///
+/// # Errors
+///
+/// If the bytes are not RESP2, or exceed a limit of this module.
 pub fn reply(bytes: &[u8], at: usize) -> Parsed<Reply> {
-    nested(bytes, at, 3)
+    nested(bytes, at, MAX_DEPTH)
 }
 
 fn nested(bytes: &[u8], at: usize, depth: usize) -> Parsed<Reply> {
@@ -131,12 +180,12 @@
         b'-' => line(bytes, at + 1)?.map(|(text, next)| (Reply::Error(text), next)),
         b':' => line(bytes, at + 1)?.map(|(text, next)| match integer(&bytes[text.clone()]) {
             Ok(number) => (Reply::Integer(number), next),
-            // A figure that can't be read spoils nothing of what stands beside it.
+            // Values beside an integer that can't be parsed stay usable.
             Err(_) => (Reply::Simple(text), next),
         }),
         b'$' => bulk(bytes, at + 1)?.map(|(value, next)| (Reply::Bulk(value), next)),
         b'*' if depth > 0 => {
-            let Some((count, mut next)) = length(bytes, at + 1, MOST)? else {
+            let Some((count, mut next)) = length(bytes, at + 1, MAX_ELEMENTS)? else {
                 return Ok(None);
             };
             let Some(count) = count else {
@@ -152,12 +201,12 @@
             }
             Some((Reply::Array(Some(values)), next))
         }
-        b'*' => return Err("nested too deep"),
-        _ => return Err("unknown kind of reply"),
+        b'*' => return Err(RespError::NestedTooDeep),
+        _ => return Err(RespError::UnknownType),
     })
 }
 
-/// Appends a command made of these words.
+/// Appends a command of these words.
 pub fn write_command<'a>(to: &mut Vec<u8>, words: impl ExactSizeIterator<Item = &'a [u8]>) {
     to.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
     for word in words {
