--- a/src/protocol/buffers.rs
+++ b/src/protocol/buffers.rs
@@ -1,43 +1,48 @@
-//! Buffers of one size, used again.
+//! A pool of buffers of one size.
 //!
-//! One holds a whole command or answer: a value of 64 KiB and what goes round it. What is larger is malformed.
+//! A buffer holds a whole command or answer: a value of 64 KiB and its framing.
 
+use crate::threads::lock;
 use std::io::{self, Read};
 use std::ops::{Deref, DerefMut};
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 
-/// Bytes in a buffer.
+/// The size of a buffer in bytes.
 pub const SIZE: usize = 68 * 1024;
-/// Buffers kept for later; more are given back to the system. Bounds what a burst leaves behind to 3 MiB, of
+/// The most unused buffers in the pool; further ones are freed. Bounds the memory that a burst leaves behind to 3 MiB, of
 /// the 32 MB that a limiter may have in all.
-const KEPT: usize = 48;
-/// Bytes read before a buffer is taken: most commands whole.
-const FIRST: usize = 2 * 1024;
+const MAX_POOLED_BUFFERS: usize = 48;
+/// Bytes read on the stack before a buffer is taken; most commands fit.
+const FIRST_READ_BYTES: usize = 2 * 1024;
 
 static POOL: Mutex<Vec<Box<[u8]>>> = Mutex::new(Vec::new());
 
-/// A buffer on loan from the pool.
+/// A buffer from the pool, to which it returns when dropped.
 #[derive(Debug)]
 pub struct Buffer(Box<[u8]>);
 
 impl Buffer {
-    /// Takes one; its contents are whatever was left in it.
+    /// Takes a buffer. Its contents are those of its last use.
     pub fn take() -> Self {
-        let kept = POOL.lock().unwrap_or_else(PoisonError::into_inner).pop();
-        Self(kept.unwrap_or_else(|| vec![0; SIZE].into_boxed_slice()))
+        let pooled = lock(&POOL).pop();
+        Self(pooled.unwrap_or_else(|| vec![0; SIZE].into_boxed_slice()))
     }
 
-    /// None yet: a connection on which nothing is under way holds no buffer.
+    /// An empty buffer, for a connection with no unprocessed bytes.
     pub fn none() -> Self {
         Self(Box::default())
     }
 
-    /// Reads on behind `end`; what was none becomes one once there are bytes for it.
+    /// Reads bytes into the buffer at `end` and returns how many; 0 at the end of the stream. An empty buffer is replaced
+    /// by one from the pool once bytes were read.
     ///
-    /// Guards against hundreds of connections that say nothing: a buffer for each would be more memory than a
-    /// small limiter has.
+    /// Guards against hundreds of silent connections: a buffer for each would need more memory than a small limiter has.
+    ///
+    /// # Errors
+    ///
+    /// Those of the read; an interrupted one is repeated.
     pub fn read(&mut self, end: usize, mut from: impl Read) -> io::Result<usize> {
-        let mut first = [0; FIRST];
+        let mut first = [0; FIRST_READ_BYTES];
         let read = loop {
             let to = if self.is_empty() {
                 &mut first
@@ -45,8 +50,8 @@
                 &mut self.0[end..]
             };
             match from.read(to) {
-                // A machine that was stopped for a while and goes on: nothing is wrong with the connection.
-                Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
+                // As after the machine was suspended and resumed; the connection is intact.
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Ok(read) if !self.is_empty() => return Ok(read),
                 read => break read?,
             }
@@ -65,8 +70,8 @@
         if bytes.is_empty() {
             return;
         }
-        let mut pool = POOL.lock().unwrap_or_else(PoisonError::into_inner);
-        if pool.len() < KEPT {
+        let mut pool = lock(&POOL);
+        if pool.len() < MAX_POOLED_BUFFERS {
             pool.push(bytes);
         }
     }
