--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -4,7 +4,10 @@
 
 use crate::admin::line::{self, AdminContext};
 use crate::client::interruptible::ReadInterrupt;
-use crate::client::{ClientProtocol, ConnectionHandOver, Front, Reply, ReplySlot};
+use crate::client::{
+    ClientEvent, ClientEventSink, ClientProtocol, ConnectionHandOver, Front, Reply, ReplySlot,
+    Undelivered,
+};
 use crate::config::{Common, EndpointUpdate};
 use crate::core::{
     Answer, AttemptDeadlines, AttemptId, Clock, Command, Core, HandOverCommand, Input, Transport,
@@ -23,7 +26,9 @@
 use crate::quota_lease::config::LimiterLeases;
 use crate::quota_lease::link::{AllocatorLinks, Told};
 use crate::quota_lease::message::Report;
-use crate::upstream::{UpstreamPool, UpstreamProtocol};
+use crate::upstream::{
+    UpstreamEvent, UpstreamEventSink, UpstreamPool, UpstreamPoolOptions, UpstreamProtocol,
+};
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use slog::{info, o, warn, Logger};
 use socket2::{Domain, Socket, Type};
@@ -87,11 +92,11 @@
     }
 
     fn check_health(&mut self, node: &ServerId) {
-        self.nodes.probe(node);
+        self.nodes.check_health(node);
     }
 
     fn block_server(&mut self, node: &ServerId) {
-        self.nodes.bar(node);
+        self.nodes.block_server(node);
     }
 
     fn notify_peer_process(&mut self, news: Body) {
@@ -176,14 +181,14 @@
             .map(|folder| Beside::new(&folder, beside_log));
         let joined = beside.as_ref().and_then(|beside| beside.join());
         let nodes_log = log.new(o!("part" => "upstream"));
-        let nodes = UpstreamPool::new(
-            common.links,
-            for_nodes,
-            upstream_protocol,
-            queue.clone(),
-            figures.clone(),
-            nodes_log,
-        );
+        let nodes = UpstreamPool::new(UpstreamPoolOptions {
+            links: common.links,
+            max_connections: for_nodes,
+            protocol: upstream_protocol,
+            events: upstream_events(queue.clone()),
+            metrics: figures.clone(),
+            log: nodes_log,
+        });
         let to = queue.clone();
         let counted = move |call, outcome, total| {
             _ = to.send(Input::CounterReply {
@@ -198,7 +203,7 @@
             client_protocol,
             for_agents,
             wake,
-            queue.clone(),
+            client_events::<P>(queue.clone()),
             figures.clone(),
             agents_log,
         );
@@ -367,6 +372,54 @@
     }
 }
 
+/// Puts the events of upstream connections into the core's queue.
+fn upstream_events<S: UpstreamProtocol>(queue: Queue<S>) -> UpstreamEventSink<S::Value> {
+    Arc::new(move |event| _ = queue.send(upstream_input(event)))
+}
+
+fn upstream_input<S: UpstreamProtocol>(event: UpstreamEvent<S::Value>) -> Input<Wiring<S>> {
+    match event {
+        UpstreamEvent::ResponseStarted { attempt, value } => {
+            Input::ResponseStarted { attempt, value }
+        }
+        UpstreamEvent::AttemptEnded {
+            attempt,
+            outcome,
+            load,
+            value,
+        } => Input::AttemptEnded {
+            attempt,
+            outcome,
+            load,
+            value,
+        },
+        UpstreamEvent::HealthChecked {
+            server,
+            outcome,
+            latency,
+            load,
+        } => Input::HealthChecked {
+            server,
+            outcome,
+            latency,
+            load,
+        },
+    }
+}
+
+/// Puts the events of client connections into the core's queue.
+fn client_events<P: ClientProtocol>(queue: Queue<P::Upstream>) -> ClientEventSink<P> {
+    Box::new(move |event| {
+        let input = match event {
+            ClientEvent::Request(request) => Input::Request(request),
+            ClientEvent::Disconnected(numbers) => Input::ClientDisconnected(numbers),
+        };
+        queue
+            .send(input)
+            .map_err(|error| Undelivered::new(error.into_inner()))
+    })
+}
+
 /// A listener that a second process may have beside this one, if operators are to upgrade it.
 fn bind(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     if !shared {
@@ -459,7 +512,8 @@
         let (agents, nodes) = self.shares;
         self.front
             .set_max_connections(if shared { agents - agents / 8 } else { agents });
-        self.nodes.limit(if shared { nodes / 2 } else { nodes });
+        self.nodes
+            .set_max_connections(if shared { nodes / 2 } else { nodes });
     }
 
     fn empty(&self) -> bool {
@@ -478,7 +532,7 @@
     scope: UpdateScope,
     news: EndpointUpdate,
 ) {
-    nodes.learn(&news);
+    nodes.update(&news);
     let members = news.nodes.into_iter().map(|(member, _)| member).collect();
     _ = queue.send(Input::EndpointUpdate(scope, members));
 }
