--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! Stories of the operators' line over loopback: calls, figures against what scripted peers saw, nodes taken out.
+//! Tests of the operators' line over loopback: calls, figures against what scripted peers saw, nodes taken out.
 
 mod peers;
 
@@ -50,7 +50,7 @@
         }
     });
     let limiter = started(&[("s-1", node), ("s-2", node)]);
-    let mut agent = Agent::ready(&limiter);
+    let mut agent = Client::ready(&limiter);
     // Pipelined, so that one thread writes all the answers.
     let text = asking("look", "look-1", 1500)
         + &asking("pay", "pay-1", 1500)
@@ -64,7 +64,7 @@
     assert!(agent.answer().starts_with("-BUSY"));
     agent.say(&asking("look", "look-3", 1500).replace("d=1500", "d=ever"));
     assert_eq!(agent.answer(), "-ERR bad d");
-    let mut gone = Agent::ready(&limiter);
+    let mut gone = Client::ready(&limiter);
     gone.ask("hold", "hold-1", 1500);
     // Taken is not sent on yet: one that leaves before is no attempt.
     until(|| figures(&limiter)["attempts"], |written| *written == 5);
@@ -122,7 +122,7 @@
 fn nothing_goes_to_a_node_from_the_yes_until_it_is_put_back() {
     let (a, seen) = resp_peer(|_, words| serve(&words[2]));
     let limiter = started(&[("s-1", a)]);
-    let mut agent = Agent::ready(&limiter);
+    let mut agent = Client::ready(&limiter);
     agent.ask("look", "before", 1500);
     assert_eq!(agent.answer(), "before");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,4 @@
-//! Stories of the core alone: its edges are played by the test, nothing goes over a socket.
+//! Tests of the core alone: its edges are played by the test, nothing goes over a socket.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
 use mossrill::core::{
--- a/tests/fleet/checker.rs
+++ b/tests/fleet/checker.rs
@@ -19,7 +19,7 @@
 /// What happened. Times are left out where the order of the record is enough.
 #[derive(Clone, Debug)]
 pub enum Entry {
-    /// An agent has asked: at which limiter, in which class, for how many units of which account.
+    /// A client has asked: at which limiter, in which class, for how many units of which account.
     Asked {
         id: String,
         limiter: usize,
@@ -31,7 +31,7 @@
         id: String,
         told: Told,
     },
-    /// A ticket node has taken it.
+    /// A upstream server has taken it.
     Ran {
         id: String,
         node: usize,
--- a/tests/fleet/rig.rs
+++ b/tests/fleet/rig/processes.rs
@@ -1,72 +1,23 @@
-//! Several processes of the program, with everything between and around them in the test's hand.
+//! Limiter processes, and the calls with which a test controls and observes them.
 
-use crate::checker::{self, Bounds, Entry, Told};
-use crate::peers::*;
+use crate::checker;
+use crate::checker::{Bounds, Entry};
+use crate::peers::{entry, settings, Program};
 use crate::relay::{Relay, Script, SECRET};
+use crate::rig::load::{agent, Addresses, Load};
+use crate::rig::plan::Plan;
+use crate::rig::stand_ins::{counter, list, node, EndpointList, Record};
 use serde_json::{json, Value};
-use std::collections::HashMap;
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize};
 use std::sync::{Arc, Mutex};
-use std::thread::{self, JoinHandle};
+use std::thread;
 use std::time::{Duration, Instant};
 
 /// Long enough for a fleet to settle on a machine that does other things too.
 const SETTLED: Duration = Duration::from_secs(60);
 
-/// What happened, in the order in which it was seen.
-pub type Record = Arc<Mutex<Vec<Entry>>>;
-
-/// Where each limiter listens now; none while it is gone. A client connects with the entry locked, and an entry is
-/// cleared before its limiter ends.
-///
-/// Guards against clients that connect to a port whose limiter has ended: the system gives it to the next listener, of
-/// this test or of another process, which answers with another record's values or not at all.
-type Addresses = Arc<Vec<Mutex<Option<SocketAddr>>>>;
-
-/// How a rig is set up.
-pub struct Plan {
-    pub name: &'static str,
-    pub limiters: usize,
-    pub seed: u64,
-    /// Limiters that every one knows from the start.
-    pub seeds: usize,
-    pub nodes: usize,
-    /// Units a second and at once, of each account.
-    pub rate: f64,
-    pub burst: f64,
-    /// Share of its part that a limiter keeps.
-    pub kept: f64,
-    /// Knows of the others at all.
-    pub fleet: bool,
-}
-
-impl Plan {
-    pub fn new(name: &'static str, limiters: usize) -> Self {
-        let seed = 1_000 + limiters as u64;
-        let (nodes, seeds) = (4, limiters);
-        Self {
-            name,
-            limiters,
-            seed,
-            seeds,
-            nodes,
-            rate: 1e5,
-            burst: 2e5,
-            kept: 0.5,
-            fleet: true,
-        }
-    }
-}
-
-/// A list of ticket nodes that can be changed, as the platform's agent serves it.
-#[derive(Default)]
-struct List {
-    generation: u64,
-    entries: Vec<Value>,
-}
-
 pub struct Rig {
     plan: Plan,
     pub relay: Relay,
@@ -74,7 +25,7 @@
     told: Vec<Value>,
     folders: Vec<PathBuf>,
     pub record: Record,
-    list: Arc<Mutex<List>>,
+    list: Arc<Mutex<EndpointList>>,
     nodes: Vec<SocketAddr>,
     /// Whether the counter says anything.
     pub counts_answer: Arc<AtomicBool>,
@@ -83,82 +34,6 @@
     began: Instant,
 }
 
-impl List {
-    fn whole(&self) -> Value {
-        json!({"generation": self.generation, "reset": true, "instances": self.entries})
-    }
-}
-
-fn node(number: usize, record: &Record) -> SocketAddr {
-    let own = record.clone();
-    let (at, _) = resp_peer(move |_, words| {
-        let ran = Entry::Ran {
-            id: words[2].clone(),
-            node: number,
-            at: Instant::now(),
-        };
-        own.lock().expect("whole").push(ran);
-        thread::sleep(Duration::from_millis(5));
-        serve(&words[2])
-    });
-    at
-}
-
-/// A counter that can be silenced.
-fn counter(answers: &Arc<AtomicBool>) -> SocketAddr {
-    let (answers, totals) = (answers.clone(), Mutex::<HashMap<String, f64>>::default());
-    http_peer(move |first, _, _| {
-        if !answers.load(Ordering::SeqCst) {
-            return Act::Hang;
-        }
-        let (name, by) = counted(first);
-        let mut totals = totals.lock().expect("whole");
-        let total = totals.entry(name).or_default();
-        *total += by;
-        answer("200 OK", &total.to_string())
-    })
-}
-
-fn list(list: &Arc<Mutex<List>>) -> SocketAddr {
-    let own = list.clone();
-    peer(move |_, stream| {
-        let mut from = std::io::BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut from, false) else {
-            return;
-        };
-        let whole = |list: &List| list.whole().to_string();
-        let say = |stream: &mut TcpStream, text: &str| {
-            std::io::Write::write_all(stream, text.as_bytes()).is_ok()
-        };
-        if !first.contains("watch") {
-            let body = whole(&own.lock().expect("whole"));
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            _ = say(from.get_mut(), &(head + &body));
-            return;
-        }
-        let mut told = 0;
-        let mut good = say(
-            from.get_mut(),
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-        );
-        while good {
-            let news = {
-                let list = own.lock().expect("whole");
-                (list.generation != told).then(|| (list.generation, whole(&list) + "\n"))
-            };
-            let text = match news {
-                Some((generation, text)) => {
-                    told = generation;
-                    text
-                }
-                None => "\n".into(),
-            };
-            good = say(from.get_mut(), &format!("{:x}\r\n{text}\r\n", text.len()));
-            thread::sleep(Duration::from_millis(20));
-        }
-    })
-}
-
 impl Rig {
     /// Everything around the limiters; none of them runs yet.
     pub fn new(plan: Plan) -> Self {
@@ -172,7 +47,7 @@
             .iter()
             .enumerate()
             .map(|(n, at)| entry(&format!("s-{n}"), *at, "in_service"));
-        let list_now = Arc::new(Mutex::new(List {
+        let list_now = Arc::new(Mutex::new(EndpointList {
             generation: 8,
             entries: entries.collect(),
         }));
@@ -267,7 +142,7 @@
         self.starts += 1;
         let name = format!("{}-{who}-{}", self.plan.name, self.starts);
         self.told[who]["known"] = self.list.lock().expect("whole").whole();
-        // Agents reach a limiter where it was.
+        // Clients reach a limiter where it was.
         if let Some(program) = &self.limiters[who] {
             self.told[who]["listen"] = program.at.to_string().into();
         }
@@ -395,7 +270,7 @@
         }
     }
 
-    /// Takes a ticket node out of the list, and waits until all have heard it: nothing new goes there from then on.
+    /// Takes an upstream server out of the list, and waits until all have heard it: nothing new goes there from then on.
     pub fn drain(&self, node: usize) {
         self.relist(node, "terminating", 0);
         self.until("heard of the drain", |rig| {
@@ -410,13 +285,13 @@
         self.record.lock().expect("whole").push(barred);
     }
 
-    /// One ticket node drains and another one is cold while whatever is to come goes on.
+    /// One upstream server drains and another one is cold while whatever is to come goes on.
     pub fn cold_and_drained(&self) {
         self.drain(3);
         self.cold(2);
     }
 
-    /// A ticket node has just started and bears little.
+    /// A upstream server has just started and bears little.
     pub fn cold(&self, node: usize) {
         let now = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
@@ -439,7 +314,7 @@
         list.generation += 1;
     }
 
-    /// Agents that ask at each running limiter, one after another, until the load is ended.
+    /// Clients that ask at each running limiter, one after another, until the load is ended.
     pub fn load(&self, accounts: usize) -> Load {
         let (stop, asked) = (
             Arc::new(AtomicBool::new(false)),
@@ -492,86 +367,3 @@
             .for_each(|folder| _ = std::fs::remove_dir_all(folder));
     }
 }
-
-/// Agents that are asking.
-pub struct Load {
-    stop: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
-    agents: Vec<JoinHandle<()>>,
-}
-
-impl Load {
-    /// Waits until so many more have been answered.
-    pub fn goes_on(&self, more: usize) {
-        let now = self.asked.load(Ordering::SeqCst);
-        until(
-            || self.asked.load(Ordering::SeqCst),
-            |asked| *asked > now + more,
-        );
-    }
-
-    pub fn end(self) -> usize {
-        self.stop.store(true, Ordering::SeqCst);
-        self.agents
-            .into_iter()
-            .for_each(|agent| agent.join().expect("every answer"));
-        self.asked.load(Ordering::SeqCst)
-    }
-}
-
-/// A connection to a limiter, if it runs.
-fn connect(address: &Mutex<Option<SocketAddr>>) -> Option<TcpStream> {
-    let address = address.lock().expect("whole");
-    TcpStream::connect((*address)?).ok()
-}
-
-/// Asks at one limiter, wherever it is again after it was gone.
-fn agent(
-    limiter: usize,
-    addresses: &Addresses,
-    spread: usize,
-    accounts: usize,
-    record: &Record,
-    stop: &AtomicBool,
-    asked: &AtomicUsize,
-) {
-    let mut number = 0;
-    let mut connection: Option<Agent> = None;
-    while !stop.load(Ordering::SeqCst) {
-        let Some(own) = connection.as_mut() else {
-            connection = connect(&addresses[limiter]).and_then(Agent::try_on);
-            thread::sleep(Duration::from_millis(10));
-            continue;
-        };
-        let class = if number % 2 == 0 { "look" } else { "pay" };
-        let account = format!("{:016x}", 0xb4d6_0000 + number % accounts);
-        let id = format!("{class}-{limiter}-{number}");
-        number += 1;
-        let text = asking_for(&account, spread, class, &id, 1_500);
-        let entry = Entry::Asked {
-            id: id.clone(),
-            limiter,
-            class,
-            account,
-            units: 2,
-        };
-        record.lock().expect("whole").push(entry);
-        let told = match own.try_ask(&text) {
-            Some(line) if line.starts_with("-BUSY") => Told::Refused,
-            Some(line) if line.starts_with('-') => Told::Failed,
-            Some(value) => Told::Served(value),
-            None => {
-                connection = None;
-                Told::Nothing
-            }
-        };
-        if told == Told::Refused {
-            thread::sleep(Duration::from_millis(10));
-        }
-        record
-            .lock()
-            .expect("whole")
-            .push(Entry::Answered { id, told });
-        asked.fetch_add(1, Ordering::SeqCst);
-    }
-}
--- a/tests/jam.rs
+++ b/tests/jam.rs
@@ -1,4 +1,4 @@
-//! Jams: many gateways before nodes that queue as ticket nodes do, and clients that come again when refused.
+//! Jams: many gateways before nodes that queue as upstream servers do, and clients that come again when refused.
 
 mod common;
 use common::*;
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -1,4 +1,4 @@
-//! Stories of long values, slow peers and crowds over loopback.
+//! Tests of long values, slow peers and crowds over loopback.
 
 mod peers;
 
@@ -60,7 +60,7 @@
 }
 
 /// The first half of the value, while the second has not left the node.
-fn first_half(agent: &mut Agent) {
+fn first_half(agent: &mut Client) {
     assert_eq!(agent.line(), format!("${LENGTH}"));
     let mut half = vec![0; LENGTH / 2];
     agent.0.read_exact(&mut half).expect("the first half");
@@ -71,7 +71,7 @@
 fn a_long_value_comes_as_it_is_served_and_the_connection_goes_on() {
     let (node, go_on, _ended) = node();
     let limiter = started(node);
-    let mut agent = Agent::ready(&limiter);
+    let mut agent = Client::ready(&limiter);
     // Short ones behind it on the same connection, of which one is served at once.
     agent.say(&(asking("look", "long", 1500) + &asking("look", "short", 1500)));
     first_half(&mut agent);
@@ -89,7 +89,7 @@
     for end in [None, Some([rest(), b"more".to_vec()].concat())] {
         let (node, go_on, _ended) = node();
         let limiter = started(node);
-        let mut agent = Agent::ready(&limiter);
+        let mut agent = Client::ready(&limiter);
         agent.ask("look", "long", 1500);
         first_half(&mut agent);
         // Where the length is wrong, what stands behind the value is not the end of a line.
@@ -105,7 +105,7 @@
             "{} bytes behind the first half",
             rest.len()
         );
-        let mut agent = Agent::ready(&limiter);
+        let mut agent = Client::ready(&limiter);
         agent.ask("look", "after", 1500);
         assert_eq!(agent.answer(), "after");
     }
@@ -115,11 +115,11 @@
 fn no_time_out_cuts_off_what_a_node_still_gives() {
     let (node, go_on, _ended) = node();
     let limiter = started(node);
-    let mut agent = Agent::ready(&limiter);
+    let mut agent = Client::ready(&limiter);
     // Its time is up long before the second half comes, and so is the time of another that is asked later.
     agent.ask("look", "long", 100);
     first_half(&mut agent);
-    let mut other = Agent::ready(&limiter);
+    let mut other = Client::ready(&limiter);
     other.ask("look", "short", 1500);
     assert_eq!(other.answer(), "short");
     std::thread::sleep(std::time::Duration::from_millis(300));
@@ -133,7 +133,7 @@
 fn an_agent_that_leaves_half_way_takes_its_attempt_along() {
     let (node, go_on, ended) = node();
     let limiter = started(node);
-    let mut agent = Agent::ready(&limiter);
+    let mut agent = Client::ready(&limiter);
     agent.ask("look", "long", 1500);
     first_half(&mut agent);
     drop(agent);
@@ -147,7 +147,7 @@
 fn told_to_stop_it_waits_for_an_agent_in_the_middle_of_a_command() {
     let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
     let limiter = started(node);
-    let mut agent = Agent::ready(&limiter);
+    let mut agent = Client::ready(&limiter);
     let text = asking("look", "slow", 1500);
     let (first, rest) = text.split_at(20);
     agent.say(first);
@@ -170,7 +170,7 @@
         "threads",
         &settings(quiet_list(), quota_counter().0, &[("s-1", node)]),
     );
-    let mut agents: Vec<Agent> = (0..100).map(|_| Agent::ready_at(program.at)).collect();
+    let mut agents: Vec<Client> = (0..100).map(|_| Client::ready_at(program.at)).collect();
     for (number, agent) in agents.iter_mut().enumerate() {
         agent.ask("look", &format!("look-{number}"), 1500);
         agent.answer();
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! Stories of the OpenAPI front, over loopback: the description in `deploy/` against scripted peers.
+//! Tests of the OpenAPI front, over loopback: the description in `deploy/` against scripted peers.
 
 mod peers;
 
@@ -26,7 +26,7 @@
     file
 }
 
-/// A ticket node that answers its first requests by this list and serves the rest; what it was asked.
+/// A upstream server that answers its first requests by this list and serves the rest; what it was asked.
 fn node(first: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let (script, asked) = (Mutex::new(first.to_vec()), Arc::new(Mutex::new(Vec::new())));
     let own = asked.clone();
@@ -61,7 +61,7 @@
 }
 
 /// Sends a request and reads its answer: status line, the header lines that a client acts on, body.
-fn exchange(agent: &mut Agent, text: &str) -> String {
+fn exchange(agent: &mut Client, text: &str) -> String {
     agent.say(text);
     let (first, headers, body) = http(&mut agent.0, text.starts_with("HEAD")).expect("an answer");
     let told = [
@@ -113,7 +113,7 @@
             );
             file["limiters"] = json!({"me": 0, "all": 2});
             let limiter = openapi_limiter(&file, DESCRIPTION);
-            let mut agent = Agent::connect(&limiter);
+            let mut agent = Client::connect(&limiter);
             let answer = exchange(&mut agent, &request(operation, headers, body));
             let asked = asked.lock().expect("whole").join("\n    ");
             // What is told of in passing is told within a second.
@@ -133,7 +133,7 @@
 fn http_s_own_answers() {
     let (at, asked) = node(&[]);
     let limiter = openapi_limiter(&file(&[at], json!({})), DESCRIPTION);
-    let mut agent = Agent::connect(&limiter);
+    let mut agent = Client::connect(&limiter);
     let mut told = Vec::new();
     for text in [
         request("GET /v1/nowhere", "", ""),
@@ -165,7 +165,7 @@
         request(LOOK, &format!("X-Long: {}\r\n", "x".repeat(70_000)), ""),
         request(LOOK, "Connection: close\r\n", ""),
     ] {
-        let mut agent = Agent::connect(&limiter);
+        let mut agent = Client::connect(&limiter);
         told.push(format!(
             "{} then {:?}",
             exchange(&mut agent, &text),
@@ -183,7 +183,7 @@
     let mut told = Vec::new();
     let limiter = openapi_limiter(&file(&[dead], json!({})), DESCRIPTION);
     told.push(exchange(
-        &mut Agent::connect(&limiter),
+        &mut Client::connect(&limiter),
         &request(PAY, "", "pay"),
     ));
     let short = DESCRIPTION.replace(
@@ -192,7 +192,7 @@
     );
     let limiter = openapi_limiter(&file(&[hung], json!({})), &short);
     told.push(exchange(
-        &mut Agent::connect(&limiter),
+        &mut Client::connect(&limiter),
         &request(PAY, "", "pay"),
     ));
     // A plan whose store holds one payment, and fills far too slowly for another.
@@ -200,7 +200,7 @@
     let mut file = file(&[at], json!({}));
     file["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 4});
     let limiter = openapi_limiter(&file, DESCRIPTION);
-    let mut agent = Agent::connect(&limiter);
+    let mut agent = Client::connect(&limiter);
     for _ in 0..2 {
         told.push(exchange(&mut agent, &request(PAY, "", "pay")));
     }
@@ -272,7 +272,7 @@
         file
     };
     let limiter = openapi_reloaded(&with(old, before), Some(&with(new, after)), DESCRIPTION);
-    let mut agent = Agent::connect(&limiter);
+    let mut agent = Client::connect(&limiter);
     assert!(exchange(&mut agent, &request(LOOK, "", "")).starts_with("HTTP/1.1 200 OK"));
     let asked = |at: &Mutex<Vec<String>>| at.lock().expect("whole").len();
     assert_eq!((asked(&at_old), asked(&at_new)), (0, 1));
@@ -299,7 +299,7 @@
         }
     });
     let limiter = openapi_limiter(&file(&[at], json!({})), DESCRIPTION);
-    let mut agent = Agent::connect(&limiter);
+    let mut agent = Client::connect(&limiter);
     // Twice on one connection, the second time to no good end.
     for goes_on in [true, false] {
         agent.say(&request(LOOK, "", ""));
--- /dev/null
+++ b/tests/peers/limiter.rs
@@ -0,0 +1,85 @@
+//! Limiters that run in the process of the test.
+
+use super::stores::entry;
+use mossrill::client::ClientProtocol;
+use mossrill::process::{Limiter, Reload, Stopper};
+use mossrill::{config, openapi, platform};
+use serde_json::{json, Value};
+use slog::{o, Discard, Logger};
+use std::net::SocketAddr;
+use std::thread;
+use std::thread::JoinHandle;
+
+/// A limiter that runs in this process until it is dropped or stopped.
+pub struct Running {
+    pub at: SocketAddr,
+    pub control: Option<SocketAddr>,
+    stopper: Option<Stopper>,
+    core: JoinHandle<()>,
+}
+
+impl Running {
+    fn new<P: ClientProtocol, C>((limiter, _): (Limiter<P>, Reload<C>)) -> Self {
+        let (at, control, stopper) = (limiter.bound, limiter.control, Some(limiter.stopper()));
+        Self {
+            at,
+            control,
+            stopper,
+            core: thread::spawn(move || limiter.run()),
+        }
+    }
+
+    /// Says that it is to stop, and waits until it has.
+    pub fn stop(mut self) {
+        self.stopper.take().expect("running").stop();
+        self.core.join().expect("an end in order");
+    }
+}
+
+/// The configuration of a limiter on the platform: three classes, one plan, these ticket servers.
+pub fn settings(list: SocketAddr, counter: SocketAddr, servers: &[(&str, SocketAddr)]) -> Value {
+    let servers: Vec<Value> = servers
+        .iter()
+        .map(|(name, at)| entry(name, *at, "in_service"))
+        .collect();
+    let class = |name: &str, semantics: &str| {
+        json!({"name": name, "semantics": semantics, "slo": 800_000, "deadline": 2_000_000, "importance": 1.0,
+            "group": "all", "memorySpan": 10_000_000})
+    };
+    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": list.to_string(), "counter": counter.to_string(),
+        "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024},
+        "known": {"generation": 7, "reset": true, "instances": servers},
+        "settings": {"me": 0, "balancers": 1, "tick": 2000, "az": "z",
+            "classes": [class("look", "read_like"), class("hold", "idempotency_key"), class("pay", "non_idempotent")],
+            "tariffs": [{"name": "basic", "refill": 100.0, "peakUnits": 200.0, "worthFactor": 1.0}],
+            "limits": {"maxAttempts": 4, "mayCancel": true, "secondCopies": true, "retryAfter": true,
+                "maxRetryAfter": 1_000_000, "connIdle": 30_000_000, "connectTimeout": 250_000, "maxOpen": 20_000},
+            "loadInfo": {"fields": ["queue", "inflight", "util"], "source": "pull"},
+            "specifics": {"mayCount": true, "unitsTop": 6, "counterTimeout": 50_000}}})
+}
+
+/// Starts a limiter on the platform.
+pub fn limiter(settings: &Value) -> Running {
+    let config = config::platform(&settings.to_string(), |_| None).expect("a good configuration");
+    Running::new(platform::start(config, &quiet()).expect("a start"))
+}
+
+/// Starts a limiter with an OpenAPI front.
+pub fn openapi_limiter(file: &Value, description: &str) -> Running {
+    openapi_reloaded(file, None, description)
+}
+
+/// The same, given another file at once.
+pub fn openapi_reloaded(file: &Value, other: Option<&Value>, description: &str) -> Running {
+    let read = |file: &Value| config::openapi(&file.to_string(), |_| Ok(description.to_owned()));
+    let (limiter, mut reload) =
+        openapi::start(read(file).expect("a good file"), &quiet()).expect("a start");
+    other
+        .into_iter()
+        .for_each(|file| reload(read(file).expect("a good file")));
+    Running::new((limiter, reload))
+}
+
+pub fn quiet() -> Logger {
+    Logger::root(Discard, o!())
+}
--- /dev/null
+++ b/tests/platform/configuration.rs
@@ -0,0 +1,154 @@
+//! Service discovery, configuration changes and shutdown.
+
+use crate::peers::{
+    answer, asking, entry, http, http_peer, limiter, next, peer, quiet_list, quota_counter,
+    resp_peer, serve, settings, until, whole_list, Act, Client, Program,
+};
+use crate::support::started_limiter;
+use std::io::Write;
+use std::net::SocketAddr;
+
+#[test]
+fn service_discovery_is_followed_over_a_broken_watch() {
+    let (old, _) = resp_peer(|_, _| serve("old"));
+    let (new, _) = resp_peer(|_, _| serve("new"));
+    let (tell, asked) = std::sync::mpsc::channel();
+    let tell = std::sync::Mutex::new(tell);
+    // The first watch breaks at once; the second brings a list without the old server, in two pieces.
+    let list = peer(move |number, stream| {
+        let mut from = std::io::BufReader::new(stream);
+        let Ok((first, ..)) = http(&mut from, false) else {
+            return;
+        };
+        _ = tell.lock().expect("whole").send(first);
+        if number > 0 {
+            let server = entry("s-2", new, "in_service");
+            let line = serde_json::json!({"generation": 9, "reset": true, "instances": [server]})
+                .to_string()
+                + "\n";
+            let (one, two) = line.split_at(line.len() / 2);
+            let text = format!("{:x}\r\n{one}\r\n{:x}\r\n{two}\r\n", one.len(), two.len());
+            let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
+            from.get_mut()
+                .write_all((head.to_owned() + &text).as_bytes())
+                .expect("written");
+            _ = http(&mut from, false);
+        }
+    });
+    let limiter = limiter(&settings(list, quota_counter().0, &[("s-1", old)]));
+    let mut client = Client::ready(&limiter);
+    let heard = [
+        asked.recv().expect("a watch"),
+        asked.recv().expect("another"),
+    ];
+    // Served by the old server until the news has come, and never by it again after that.
+    let mut answers = Vec::new();
+    while answers.last().is_none_or(|last| last != "new") {
+        client.ask("look", "id", 1500);
+        answers.push(client.answer());
+    }
+    client.ask("look", "id", 1500);
+    assert_eq!(client.answer(), "new");
+    insta::assert_snapshot!(heard.join("\n"));
+}
+
+#[test]
+fn shutdown_serves_accepted_requests_and_closes_idle_connections() {
+    let (server, seen) = resp_peer(|_, words| {
+        std::thread::sleep(std::time::Duration::from_millis(700));
+        serve(&words[2])
+    });
+    let limiter = started_limiter(&[("s-1", server)]);
+    let (mut idle, mut busy) = (Client::ready(&limiter), Client::ready(&limiter));
+    busy.ask("look", "id-1", 2000);
+    next(&seen);
+    limiter.stop();
+    assert_eq!(
+        (busy.answer(), busy.line(), idle.line()),
+        ("id-1".into(), String::new(), String::new())
+    );
+}
+
+#[test]
+fn configuration_errors_name_the_key() {
+    let at = SocketAddr::from(([127, 0, 0, 1], 1));
+    let mut errors = Vec::new();
+    for (path, value) in [
+        ("/listen", serde_json::json!("nowhere")),
+        ("/seed", serde_json::json!("xyz")),
+        ("/counter", serde_json::Value::Null),
+        ("/known/instances/0/lifecycle", serde_json::json!("asleep")),
+        ("/settings/me", serde_json::json!(1)),
+        ("/settings/classes", serde_json::json!([])),
+        ("/settings/classes/0/semantics", serde_json::json!("maybe")),
+        ("/settings/limits/connIdle", serde_json::json!(-1)),
+    ] {
+        let mut settings = settings(at, at, &[("s-1", at)]);
+        *settings.pointer_mut(path).expect(path) = value;
+        let error = mossrill::config::platform(&settings.to_string(), |_| None).err();
+        errors.push(error.unwrap_or_else(|| format!("{path} was taken")));
+    }
+    insta::assert_snapshot!(errors.join("\n"));
+}
+
+#[test]
+fn reload_moves_discovery_and_counter_and_a_faulty_file_changes_nothing() {
+    let (slow, seen) = resp_peer(|_, words| {
+        std::thread::sleep(std::time::Duration::from_millis(if words[2] == "open" {
+            300
+        } else {
+            0
+        }));
+        serve("old")
+    });
+    let (new, _) = resp_peer(|_, _| serve("new"));
+    let (counter, totals) = quota_counter();
+    let mut settings = settings(quiet_list(), quota_counter().0, &[("s-1", slow)]);
+    settings["settings"]["balancers"] = 2.into();
+    let mut program = Program::start("reload", &settings);
+    let mut open = Client::ready_at(program.at);
+    open.say(&asking("look", "open", 1500).replace("spread=1", "spread=2"));
+    next(&seen);
+    // Its version is below the one known: it has nothing to do with the old list.
+    settings["discovery"] = whole_list(vec![entry("s-2", new, "in_service")])
+        .to_string()
+        .into();
+    settings["counter"] = counter.to_string().into();
+    program.reload(&settings.to_string());
+    program.logged("endpoint update, endpoints: 1, full: true");
+    let mut client = Client::ready_at(program.at);
+    client.say(&asking("look", "id", 1500).replace("spread=1", "spread=2"));
+    assert_eq!(
+        (open.answer(), client.answer()),
+        ("old".into(), "new".into())
+    );
+    until(|| totals.lock().expect("whole").len(), |counts| *counts > 0);
+    settings["counter"] = "nowhere".into();
+    program.reload(&settings.to_string());
+    let error = program
+        .logged("configuration rejected")
+        .split("error: ")
+        .last()
+        .map(|f| f.split("key").last().map(str::to_owned));
+    client.ask("look", "id", 1500);
+    insta::assert_snapshot!(format!("{:?}\n{}", error.flatten(), client.answer()));
+}
+
+#[test]
+fn limiter_is_ready_by_its_configured_list_before_discovery_or_the_counter_answers() {
+    type Script = fn(&str) -> Act;
+    let silent: Script = |_| Act::Hang;
+    let closing: Script = |_| Act::Close;
+    let refusing: Script = |_| answer("503 Service Unavailable", "");
+    for (list, counter) in [(silent, closing), (closing, silent), (refusing, refusing)] {
+        let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+        let list = http_peer(move |first, _, _| list(first));
+        let counter = http_peer(move |first, _, _| counter(first));
+        let mut told = settings(list, counter, &[("s-1", server)]);
+        told["control"] = "127.0.0.1:0".into();
+        let program = Program::start("own-list", &told);
+        program.call_until("ready", "YES");
+        let ask = || Client::try_at(program.at)?.try_ask(&asking("look", "first", 1500));
+        until(ask, |answer| answer.as_deref() == Some("first"));
+    }
+}
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -122,7 +122,7 @@
             HolderSettings {
                 allocators: 1,
                 lease: Micros::from(LEASE_MS) * 1_000,
-                // Nothing is sent again or given up in the time of a story.
+                // Nothing is sent again or given up in the time of a test.
                 interval: 60_000_000,
                 repeat_after: 60_000_000,
                 lost_after: 60_000_000,
@@ -247,7 +247,7 @@
     let story = Story::start(0);
     story.ask(1);
     let report = story.report();
-    // Its agent leaves before the answer comes.
+    // Its client leaves before the answer comes.
     _ = story.queue.send(Input::ClientDisconnected(vec![1]));
     story.grant(&report, 1_000);
     story.ask(2);
--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::{
     answer, asking, asking_for, counted, http_peer, limiter, next, quiet_list, resp_peer, serve,
-    Agent, Running, Seen,
+    Client, Running, Seen,
 };
 use crate::support::{
     close, gated_server, malformed_commands, request_ids, settings_with_long_deadlines,
@@ -20,7 +20,7 @@
 fn check_close_while_queued(
     behind: &str,
     many: usize,
-    told: impl Fn(&mut Agent),
+    told: impl Fn(&mut Client),
     free_after: Duration,
 ) {
     let (server, gate, seen) = gated_server("first");
@@ -28,10 +28,10 @@
         quiet_list(),
         &[("s-1", server)],
     ));
-    let mut first = Agent::ready(&limiter);
+    let mut first = Client::ready(&limiter);
     first.ask("look", "first", 20_000);
     next(&seen);
-    let mut left = Agent::ready(&limiter);
+    let mut left = Client::ready(&limiter);
     left.say(&(asking("look", "left", 20_000) + behind));
     wait_for_in_flight(&limiter, many);
     told(&mut left);
@@ -52,7 +52,7 @@
 
 #[test]
 fn queued_request_is_not_forwarded_after_a_close_behind_unread_input() {
-    let told = |client: &mut Agent| {
+    let told = |client: &mut Client| {
         // What can't be read ends the reading; the rest of it is not read up to the client's end.
         _ = client.0.get_mut().write_all(b"*x\r\n");
         _ = client.0.get_mut().write_all(&vec![b'x'; 512 * 1024]);
@@ -62,7 +62,7 @@
 
 #[test]
 fn pipelined_requests_are_not_forwarded_after_their_client_closed() {
-    let told = |client: &mut Agent| {
+    let told = |client: &mut Client| {
         ["pay", "look", "hold"]
             .iter()
             .for_each(|class| client.ask(class, &format!("left-{class}"), 20_000));
@@ -91,7 +91,7 @@
         quiet_list(),
         &[("s-1", server)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("look", "held", 20_000);
     next(&seen);
     ["pay", "look", "hold"]
@@ -101,7 +101,7 @@
     drop(client);
     wait_for_in_flight(&limiter, 0);
     gate.open();
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("look", "after", 20_000);
     assert_eq!(client.answer(), "after");
     assert_eq!(request_ids(&seen), ["after"]);
@@ -109,7 +109,7 @@
 
 /// A limiter whose part of a quota is less than a request takes, and a client whose request waits until the counter, which
 /// is held at the gate, has let it have the rest; what the server sees.
-fn limiter_waiting_for_counter() -> (Running, Agent, Gate, Seen) {
+fn limiter_waiting_for_counter() -> (Running, Client, Gate, Seen) {
     let (gate, (tell, called)) = (Gate::default(), channel());
     let (own, tell) = (gate.clone(), Mutex::new(tell));
     let counter = http_peer(move |first, _, _| {
@@ -127,7 +127,7 @@
     ) = (0.5.into(), 4.0.into());
     told["settings"]["specifics"]["counterTimeout"] = 20_000_000.into();
     let limiter = limiter(&told);
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.say(&asking_for("00000000b4d65521", 4, "pay", "claimed", 20_000));
     called.recv().expect("a call");
     wait_for_in_flight(&limiter, 1);
@@ -140,7 +140,7 @@
     drop(client);
     wait_for_in_flight(&limiter, 0);
     gate.open();
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.say(&asking_for("00000000b4d65522", 1, "pay", "after", 20_000));
     assert_eq!(client.answer(), "after");
     assert_eq!(request_ids(&seen), ["after"]);
@@ -153,7 +153,7 @@
         quiet_list(),
         &[("s-1", server)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     // Whoever sends nonsense is read from more slowly; the client is gone before its request's turn.
     let bad = |times| asking("dance", "bad", 500).repeat(times);
     client.say(&(bad(8) + &asking("look", "left", 20_000) + &bad(2)));
@@ -163,7 +163,7 @@
         .shutdown(Shutdown::Write)
         .expect("an end");
     while !client.line().is_empty() {}
-    client = Agent::ready(&limiter);
+    client = Client::ready(&limiter);
     client.ask("look", "after", 20_000);
     assert_eq!(client.answer(), "after");
     assert_eq!(request_ids(&seen), ["after"]);
@@ -176,7 +176,7 @@
     // Also where nothing that is out may be called back.
     told["settings"]["limits"]["mayCancel"] = false.into();
     let limiter = limiter(&told);
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("look", "left", 20_000);
     server.wait_for_connect();
     drop(client);
@@ -211,10 +211,10 @@
         quiet_list(),
         &[("s-1", server)],
     ));
-    let mut first = Agent::ready(&limiter);
+    let mut first = Client::ready(&limiter);
     // A round in which the client left too late, as on a busy machine, says nothing.
     let round = |number: &usize| {
-        let mut left = Agent::ready(&limiter);
+        let mut left = Client::ready(&limiter);
         let began = Instant::now();
         first.ask("look", "first", 20_000);
         assert_eq!(first.answer(), "first");
--- a/tests/races/client_close_http.rs
+++ b/tests/races/client_close_http.rs
@@ -1,6 +1,6 @@
 //! A client of the OpenAPI front closes its connection while its request waits.
 
-use crate::peers::{answer, http_peer, openapi_limiter, until, Agent, Program};
+use crate::peers::{answer, http_peer, openapi_limiter, until, Client, Program};
 use crate::support::{close, wait_for_in_flight, Gate};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -35,8 +35,8 @@
     (file, gate, seen)
 }
 
-fn send_http(at: SocketAddr, line: &str) -> Agent {
-    let mut client = Agent::connect_at(at);
+fn send_http(at: SocketAddr, line: &str) -> Client {
+    let mut client = Client::connect_at(at);
     client.say(&format!(
         "{line} HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\nContent-Length: 0\r\n\r\n"
     ));
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -1,6 +1,6 @@
 //! Measures the time from the close of a client to the last attempt of its requests.
 
-use crate::peers::{asking, quiet_list, resp_peer, serve, Agent, Program};
+use crate::peers::{asking, quiet_list, resp_peer, serve, Client, Program};
 use crate::support::{close, malformed_commands, settings_with_long_deadlines};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -50,7 +50,7 @@
                     break;
                 }
                 let id = format!("left-{own}-{number}");
-                let mut client = Agent::connect_at(at);
+                let mut client = Client::connect_at(at);
                 // Half of them are not read from when they leave.
                 let behind = if number % 2 == 0 {
                     String::new()
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::{
     entry, http, limiter, peer, quota_counter, resp_peer, serve, settings, until, whole_list,
-    Agent, Program, Running,
+    Client, Program, Running,
 };
 use mossrill::protocol::http::{Body, Broken, Reader};
 use serde_json::Value;
@@ -50,7 +50,7 @@
 }
 
 fn serves_until(limiter: &Running, value: &str) {
-    let mut client = Agent::ready(limiter);
+    let mut client = Client::ready(limiter);
     let client = Mutex::new(&mut client);
     let ask = || {
         let mut client = client.lock().expect("whole");
@@ -217,7 +217,7 @@
         .into();
     program.reload(&told.to_string());
     program.logged("full: true");
-    let mut client = Agent::ready_at(program.at);
+    let mut client = Client::ready_at(program.at);
     for number in 0..10 {
         client.ask("look", &number.to_string(), 1500);
         assert_eq!(client.answer(), "new");
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::{
     asking, command, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve, settings,
-    Act, Agent, Program,
+    Act, Client, Program,
 };
 use crate::support::{gated_server, request_ids, settings_with_long_deadlines, Gate};
 use socket2::SockRef;
@@ -26,7 +26,7 @@
     let mut told = settings(list, quota_counter().0, &[("s-1", server)]);
     told["settings"]["safety"]["drainGrace"] = 1_000_000.into();
     let program = Program::start("list-resets", &told);
-    let mut held = Agent::ready_at(program.at);
+    let mut held = Client::ready_at(program.at);
     held.ask("pay", "held", 2000);
     next(&seen);
     program.signal("TERM");
@@ -51,7 +51,7 @@
     }
     let program = Program::start("all-hang", &told);
     let ask = |class: &str| {
-        let mut client = Agent::ready_at(program.at);
+        let mut client = Client::ready_at(program.at);
         client.ask(class, class, 400);
         client
     };
@@ -94,7 +94,7 @@
         .map(|own| {
             thread::spawn(move || {
                 let (mut number, mut unanswered) = (0, Vec::new());
-                while let Some(mut client) = Agent::try_at(at) {
+                while let Some(mut client) = Client::try_at(at) {
                     loop {
                         number += 1;
                         let id = format!("{own}-{number}");
@@ -140,7 +140,7 @@
         quiet_list(),
         &[("s-1", server)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("look", "first", 20_000);
     assert_eq!(client.answer(), "first");
     let stopped = thread::spawn(move || limiter.stop());
@@ -162,7 +162,7 @@
         (class["slo"], class["deadline"]) = (50_000.into(), 50_000.into());
     }
     let limiter = limiter(&told);
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("look", "first", 50);
     assert!(!client.answer().is_empty());
     let stopped = thread::spawn(move || limiter.stop());
@@ -182,12 +182,12 @@
         &[("s-1", server), ("s-2", server)],
     ));
     let at = limiter.at;
-    let (mut idle, mut held) = (Agent::ready_at(at), Agent::ready_at(at));
+    let (mut idle, mut held) = (Client::ready_at(at), Client::ready_at(at));
     held.ask("look", "held", 20_000);
     next(&seen);
     let stopped = thread::spawn(move || limiter.stop());
     assert_eq!(idle.line(), "", "closed as idle");
-    let mut late = Agent::connect_at(at);
+    let mut late = Client::connect_at(at);
     late.ask("pay", "late", 20_000);
     assert_eq!(late.answer(), "late");
     gate.open();
@@ -202,14 +202,14 @@
         "both-words",
         &settings_with_long_deadlines(quiet_list(), &[("s-1", server)]),
     );
-    let mut held = Agent::ready_at(program.at);
+    let mut held = Client::ready_at(program.at);
     held.ask("pay", "held", 20_000);
     next(&seen);
     program.signal("HUP");
     program.signal("TERM");
     program.signal("HUP");
     // Idle ones are closed: the word has been heard.
-    assert_eq!(Agent::ready_at(program.at).line(), "");
+    assert_eq!(Client::ready_at(program.at).line(), "");
     gate.open();
     assert_eq!(held.answer(), "held");
     program.ends();
@@ -236,7 +236,7 @@
         quiet_list(),
         &[("s-1", server)],
     ));
-    let (mut idle, mut client) = (Agent::ready(&limiter), Agent::ready(&limiter));
+    let (mut idle, mut client) = (Client::ready(&limiter), Client::ready(&limiter));
     client.ask("pay", "pay-1", 20_000);
     half.pass();
     let stopped = thread::spawn(move || limiter.stop());
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -1,7 +1,7 @@
 //! Servers, counters and clients whose progress the tests control.
 
 use crate::peers::{
-    asking, call, quota_counter, resp_peer, serve, settings, until, Agent, Running, Seen,
+    asking, call, quota_counter, resp_peer, serve, settings, until, Client, Running, Seen,
 };
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
@@ -125,9 +125,9 @@
     }
 }
 
-/// A client closes its connection. A process that another story is just starting may hold a copy of the descriptor: to
+/// A client closes its connection. A process that another test is just starting may hold a copy of the descriptor: to
 /// drop it alone would close the connection later.
-pub fn close(client: Agent) {
+pub fn close(client: Client) {
     _ = client.0.get_ref().shutdown(Shutdown::Both);
 }
 
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::{
     call, command, entry, http, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve,
-    settings, until, Act, Agent,
+    settings, until, Act, Client,
 };
 use crate::support::{
     settings_with_long_deadlines, Gate, UnresponsiveServer, CLOSE_DETECTION_LIMIT,
@@ -20,7 +20,7 @@
 /// repeat, if there is one, waits for its connection. What the client gets, and what comes to the other once `then` is done.
 fn retry_at_unresponsive_server(
     window: Duration,
-    then: impl FnOnce(Agent) -> Option<Agent>,
+    then: impl FnOnce(Client) -> Option<Client>,
 ) -> (String, Vec<u8>) {
     let (gate, drained) = (Gate::default(), Gate::default());
     let own = gate.clone();
@@ -47,7 +47,7 @@
     let mut told = settings_with_long_deadlines(list, &[("s-1", server)]);
     told["settings"]["classes"][1]["memorySpan"] = (window.as_micros() as u64).into();
     let limiter = limiter(&told);
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("hold", "id-1", 20_000);
     next(&seen);
     drained.open();
@@ -91,7 +91,7 @@
         quiet_list(),
         &[("s-1", server.at)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("pay", "pay-1", 2_000);
     server.wait_for_connect();
     assert!(client.answer().starts_with('-'));
@@ -131,7 +131,7 @@
         quiet_list(),
         &[("s-1", server), ("s-2", server)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     let mut told = Vec::new();
     for id in ["at-1", "half-1", "at-2", "half-2", "well"] {
         client.ask("pay", id, 20_000);
@@ -159,7 +159,7 @@
     let mut told = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
     told["settings"]["limits"]["connIdle"] = 2_000_000.into();
     let limiter = limiter(&told);
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     // With a rest between them, of which a server that is slow to be looked at only makes more.
     for number in 0..5 {
         client.ask("look", &number.to_string(), 20_000);
@@ -208,7 +208,7 @@
             _ = http(&mut from, false);
         });
         let limiter = limiter(&settings_with_long_deadlines(list, &[("s-1", server.at)]));
-        let mut client = Agent::ready(&limiter);
+        let mut client = Client::ready(&limiter);
         client.ask("pay", "pay-1", 20_000);
         server.wait_for_connect();
         gate.open();
@@ -247,7 +247,7 @@
         quota_counter().0,
         &[("s-1", server)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     for number in 0..5 {
         client.ask("pay", &format!("pay-{number}"), 1500);
         assert_eq!(client.answer(), format!("pay-{number}"));
@@ -278,7 +278,7 @@
         quota_counter().0,
         &[("s-1", server)],
     ));
-    let mut client = Agent::ready(&limiter);
+    let mut client = Client::ready(&limiter);
     client.ask("pay", "pay-1", 1500);
     assert_eq!(client.answer(), "-ERR failed");
     ended.recv().expect("an end of the writing");
--- a/tests/redis.rs
+++ b/tests/redis.rs
@@ -1,4 +1,4 @@
-//! Stories of the Redis store: two limiters with an OpenAPI front share one stand-in of a Redis server.
+//! Tests of the Redis store: two limiters with an OpenAPI front share one stand-in of a Redis server.
 
 mod peers;
 
@@ -82,7 +82,7 @@
 }
 
 /// Two limiters of one account whose quota lets 40 units through and fills far too slowly for more.
-fn pair(store: SocketAddr) -> Vec<(Running, Agent)> {
+fn pair(store: SocketAddr) -> Vec<(Running, Client)> {
     let node = http_peer(|_, _, _| answer("200 OK", "{}")).to_string();
     let start = |me| {
         let mut file: Value = serde_json::from_str(FILE).expect("JSON");
@@ -93,17 +93,17 @@
             .collect();
         file["store"] = json!({"kind": "redis", "address": store.to_string()});
         file["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 40});
-        // What the quota can't reach is refused after a part of the aim: a short one keeps the story short.
+        // What the quota can't reach is refused after a part of the aim: a short one keeps the test short.
         let short = DESCRIPTION.replace("\"aim-ms\": 800", "\"aim-ms\": 200");
         let limiter = openapi_limiter(&file, &short);
-        let agent = Agent::connect(&limiter);
+        let agent = Client::connect(&limiter);
         (limiter, agent)
     };
     (0..2).map(start).collect()
 }
 
 /// Asks one limiter after the other for a seat, of one unit; how many were served.
-fn served(limiters: &mut [(Running, Agent)], tries: usize) -> usize {
+fn served(limiters: &mut [(Running, Client)], tries: usize) -> usize {
     let text =
         "GET /v1/sailings/1/seats HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\n\r\n";
     let mut served = 0;
@@ -115,7 +115,7 @@
             first.contains(" 200 ") || first.contains(" 429 "),
             "{first}"
         );
-        // As agents do, and so that the counts are heard of between two requests.
+        // As clients do, and so that the counts are heard of between two requests.
         std::thread::sleep(std::time::Duration::from_millis(3));
         served += usize::from(first.contains(" 200 "));
     }
--- a/tests/units/node_list_waits.rs
+++ b/tests/units/node_list_waits.rs
@@ -1,4 +1,4 @@
-//! Waits between calls of the node list.
+//! Waits between calls of the service discovery.
 
 use mossrill::discovery::poll_wait::{
     answer_timeout, first_wait, next_wait, spread, turns, Call, CONNECT_TIMEOUT, LONGEST_WAIT,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Stories of upgrades over loopback: processes that take over from each other under load, and callers that don't.
+//! Tests of upgrades over loopback: processes that take over from each other under load, and callers that don't.
 
 mod peers;
 
@@ -58,7 +58,7 @@
     Program::start_in(name, told, Some(folder))
 }
 
-/// Agents that ask one after another on kept connections until they are told to stop: what was asked and answered.
+/// Clients that ask one after another on kept connections until they are told to stop: what was asked and answered.
 struct Load {
     stop: Arc<AtomicBool>,
     agents: Vec<thread::JoinHandle<usize>>,
@@ -74,7 +74,7 @@
         let agent = |number| {
             let (stop, asked) = (stop.clone(), asked.clone());
             thread::spawn(move || {
-                let (mut agent, mut served) = (Agent::ready_at(at), 0);
+                let (mut agent, mut served) = (Client::ready_at(at), 0);
                 while !stop.load(Ordering::SeqCst) {
                     let id = format!("pay-{number}-{served}");
                     let text = asking("pay", &id, 1900).replace("spread=1", "spread=2");
@@ -92,7 +92,7 @@
                 served
             })
         };
-        // Of a node that nothing is known of, one attempt is let out at first, and of six waiting agents some are
+        // Of a node that nothing is known of, one attempt is let out at first, and of six waiting clients some are
         // refused: the first one's answers make room for the others.
         let mut agents = vec![agent(0)];
         until(|| asked.load(Ordering::SeqCst), |asked| *asked >= 20);
@@ -229,7 +229,7 @@
     let new = start(&folder.0, "bans-new", &told);
     new.call_until("ready", "YES");
     old.ends();
-    let mut agent = Agent::ready_at(new.at);
+    let mut agent = Client::ready_at(new.at);
     agent.ask("look", "while-out", 1500);
     assert!(agent.answer().starts_with("-BUSY"));
     assert!(seen
@@ -254,7 +254,7 @@
     old.call_until("ready", "YES");
     told["listen"] = old.at.to_string().into();
     let serves = |id: &str| {
-        let mut agent = Agent::ready_at(old.at);
+        let mut agent = Client::ready_at(old.at);
         agent.ask("look", id, 1900);
         assert_eq!(agent.answer(), id);
     };
@@ -269,14 +269,14 @@
     new.call_until("ready", "YES");
     old.signal("KILL");
     old.logged_end();
-    let mut agent = Agent::ready_at(new.at);
+    let mut agent = Client::ready_at(new.at);
     agent.ask("look", "after-death", 1900);
     assert_eq!(agent.answer(), "after-death");
     // And the next upgrade finds the new one.
     let next = start(&folder.0, "deaths-next", &told);
     next.call_until("ready", "YES");
     new.ends();
-    let mut agent = Agent::ready_at(next.at);
+    let mut agent = Client::ready_at(next.at);
     agent.ask("look", "after-all", 1900);
     assert_eq!(agent.answer(), "after-all");
 }
@@ -322,7 +322,7 @@
     new.call_until("ready", "YES");
     // While the old one lives: with its end, all that it had out has ended.
     let _old = old.join().expect("a hand-over");
-    let mut agent = Agent::ready_at(new.at);
+    let mut agent = Client::ready_at(new.at);
     agent.ask("look", "has-a-place", 1500);
     assert_eq!(agent.answer(), "has-a-place");
 }
@@ -332,7 +332,7 @@
     let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
     let serves = |program: &Program| {
         program.call_until("ready", "YES");
-        let mut agent = Agent::ready_at(program.at);
+        let mut agent = Client::ready_at(program.at);
         agent.ask("look", "served", 1500);
         assert_eq!(agent.answer(), "served");
     };
@@ -372,7 +372,7 @@
     }
     let mut old = start(&folder.0, "stop-in-upgrade", &told);
     old.call_until("ready", "YES");
-    let (mut first, mut last) = (Agent::ready_at(old.at), Agent::ready_at(old.at));
+    let (mut first, mut last) = (Client::ready_at(old.at), Client::ready_at(old.at));
     for (agent, id) in [(&mut first, "first"), (&mut last, "last")] {
         agent.say(&asking("pay", id, 20_000).replace("spread=1", "spread=2"));
         next(&seen);
@@ -386,7 +386,7 @@
     drop(link);
     open.send(()).expect("a node");
     assert_eq!(first.answer(), "first");
-    // Closed soon, also on an agent that goes on, while another is still served: not in the last moment, when nothing is.
+    // Closed soon, also on a client that goes on, while another is still served: not in the last moment, when nothing is.
     while first.try_ask("*1\r\n$4\r\nPING\r\n").is_some() {}
     open.send(()).expect("a node");
     assert_eq!(last.answer(), "last");
@@ -396,7 +396,7 @@
 #[test]
 fn a_request_whose_agent_left_while_its_connection_was_to_be_handed_over_is_not_sent_on() {
     let (node, seen) = resp_peer(|_, words| {
-        // Well over the time in which a limiter is to find out that an agent has left.
+        // Well over the time in which a limiter is to find out that a client has left.
         thread::sleep(Duration::from_millis(if words[2] == "first" {
             1_500
         } else {
@@ -412,7 +412,7 @@
     }
     let old = start(&folder.0, "left-in-upgrade", &told);
     old.call_until("ready", "YES");
-    let (mut first, mut left) = (Agent::ready_at(old.at), Agent::ready_at(old.at));
+    let (mut first, mut left) = (Client::ready_at(old.at), Client::ready_at(old.at));
     first.ask("look", "first", 9_000);
     next(&seen);
     left.ask("look", "left", 9_000);
