--- a/tests/decision/main.rs
+++ b/tests/decision/main.rs
@@ -9,4 +9,5 @@
 mod counter_sync;
 mod fair_queue;
 mod load_balancing;
+mod parts;
 mod rejection;
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -86,7 +86,7 @@
         let mut settings = settings(at, at, &[("s-1", at)]);
         *settings.pointer_mut(path).expect(path) = value;
         let error = mossrill::config::platform(&settings.to_string(), |_| None).err();
-        errors.push(error.unwrap_or_else(|| format!("{path} was taken")));
+        errors.push(error.map_or(format!("{path} was taken"), |error| error.to_string()));
     }
     insta::assert_snapshot!(errors.join("\n"));
 }
