--- a/tests/units/node_list_waits.rs
+++ b/tests/units/node_list_waits.rs
@@ -1,4 +1,4 @@
-//! Waits between calls of the node list.
+//! Waits between calls of the service discovery.
 
 use mossrill::discovery::poll_wait::{
     fleet_poll_time, jittered_wait, next_wait, prompt_wait_limit, response_timeout, PollResult,
