--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -7,7 +7,7 @@
 use crate::core::{Command, HandOverCommand};
 use crate::handover::link::Link;
 use crate::handover::message::{Body, LearnedState};
-use crate::handover::{Beside, Joined, Limiting};
+use crate::handover::{Beside, Limiting, PredecessorConnection};
 use crate::membership::link::Fleet;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamPool;
@@ -30,7 +30,7 @@
     /// None if no other process can take over.
     pub(super) beside: Option<Arc<Beside>>,
     /// The predecessor that this process has joined.
-    pub(super) joined: Option<Joined>,
+    pub(super) joined: Option<PredecessorConnection>,
 }
 
 impl UpgradeChannel {
