--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,19 +1,20 @@
-//! Events for the decision module, and the actions that come back from it.
+//! Events for the decision engine, and the actions that it returns.
 
-use super::deadlines::Due;
+use super::deadlines::Deadline;
+use super::leases::LeaseDemand;
 use super::messages::{Answer, AttemptId, Transport};
-use super::requests::{number, LAST_MOMENTS};
+use super::open_requests::request_number;
 use super::Core;
-use crate::decision::{Action, AttemptResult, Event, Micros, Outcome};
+use crate::decision::{Action, AttemptResult, Event, Micros, Outcome, RequestId};
 use std::time::Duration;
 
-impl<E: Transport> Core<E> {
-    /// Hands an event to the module and carries out its actions, and what follows from these in turn.
-    pub(super) fn tell(&mut self, now: Micros, event: Event) {
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
+impl<T: Transport> Core<T> {
+    /// Notifies the engine of an event and carries out its actions, and then what follows from these.
+    pub(super) fn notify_engine(&mut self, now: Micros, event: Event) {
+        self.pending_events.push_back(event);
+        while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.gateway.on_event(now, event, &mut actions);
+            self.engine.on_event(now, event, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(now, action);
             }
@@ -21,103 +22,111 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
+    fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send {
                 id,
                 server,
                 timeout,
-                write_before: by,
-            } => self.send(now, id, server, timeout, by),
-            Action::Cancel { id, attempt } => {
-                let attempt = AttemptId {
-                    request: number(&id),
-                    attempt,
-                };
-                if let Some(out) = self.take_out(attempt) {
-                    let written = self.edges.cancel(attempt);
-                    self.events.push_back(Event::AttemptEnded(AttemptResult {
-                        id,
-                        attempt: attempt.attempt,
-                        server: out.node,
-                        outcome: if written {
-                            Outcome::Cancelled
-                        } else {
-                            Outcome::Superseded
-                        },
-                        latency: now.saturating_sub(out.sent),
-                        is_final: !self.open.contains_key(&attempt.request),
-                        load: Vec::new(),
-                        settled_units: None,
-                    }));
-                    if let Some(open) = self.open.get_mut(&attempt.request) {
-                        open.may_have_run |= written;
-                    }
-                }
+                write_before,
+            } => self.start_attempt(now, id, server, timeout, write_before),
+            Action::Cancel { id, attempt } => self.cancel_attempt(now, id, attempt),
+            Action::Reject { id, retry_after } => {
+                self.reject(now, &id, Duration::from_micros(retry_after));
             }
-            Action::Reject {
-                id,
-                retry_after: after,
-            } => {
-                let Some(open) = self.close(now, number(&id)) else {
-                    return;
-                };
-                let late = open.late || now + LAST_MOMENTS >= open.deadline;
-                // The rule on refusals binds whoever words them: what may have run is failed, not refused.
-                let answer = if open.safe || !open.may_have_run {
-                    Answer::Rejected {
-                        retry_after: Duration::from_micros(after),
-                        timed_out: late,
-                    }
-                } else {
-                    Answer::Failed { timed_out: late }
-                };
-                self.answer(open.client, answer);
+            Action::Fail { id } => self.fail(now, &id),
+            Action::SetTimer { delay, token } => {
+                self.timers.set(now + delay, Deadline::EngineTimer(token));
             }
-            Action::Fail { id } => {
-                let Some(open) = self.close(now, number(&id)) else {
-                    return;
-                };
-                let late = open.late || now + LAST_MOMENTS >= open.deadline;
-                self.answer(open.client, Answer::Failed { timed_out: late });
-            }
-            Action::SetTimer {
-                delay: after,
-                token,
-            } => self.timers.set(now + after, Due::Module(token)),
-            Action::CheckHealth { server } => self.edges.check_health(&server),
-            // A call that ends after this process has tells nobody.
-            Action::AddToCounter { key: name, .. } if self.finishing => {
-                let (total, outcome) = (0.0, Outcome::ConnectFailed);
-                self.events.push_back(Event::CounterReply {
-                    key: name,
-                    total,
-                    outcome,
-                });
-            }
-            Action::AddToCounter {
-                key: name,
-                amount: by,
-                ttl,
-            } => {
-                self.count_calls += 1;
-                self.counts.insert(self.count_calls, name);
-                self.timers
-                    .set(now + self.counter_timeout, Due::Count(self.count_calls));
-                self.edges
-                    .add_to_counter(self.count_calls, name, by, Duration::from_micros(ttl));
+            Action::CheckHealth { server } => self.transport.check_health(&server),
+            Action::AddToCounter { key, amount, ttl } => {
+                self.add_to_counter(now, key, amount, Duration::from_micros(ttl));
             }
             Action::RequestLease {
                 id,
-                account: customer,
+                account,
                 plan,
-                limiter_count: spread,
+                limiter_count,
                 units,
             } => {
-                self.lease(now, id, &customer, (plan, spread), units);
+                let demand = LeaseDemand {
+                    account,
+                    plan,
+                    limiter_count,
+                    units,
+                };
+                self.request_lease(now, id, &demand);
             }
-            // Limiters share nothing but the quota counter, and the node list is watched from the start.
+            // Limiters share nothing but the counter, and the endpoint list is watched from the start.
             Action::SendToPeer { .. } | Action::WatchEndpoints => {}
         }
     }
+
+    fn reject(&mut self, now: Micros, id: &RequestId, retry_after: Duration) {
+        let Some(request) = self.close(now, request_number(id)) else {
+            return;
+        };
+        let timed_out = request.is_out_of_time(now);
+        // A rejection promises that a retry is harmless: what may have run is failed instead.
+        let answer = if request.is_idempotent || !request.may_have_run {
+            Answer::Rejected {
+                retry_after,
+                timed_out,
+            }
+        } else {
+            Answer::Failed { timed_out }
+        };
+        self.answer(request.client, answer);
+    }
+
+    fn fail(&mut self, now: Micros, id: &RequestId) {
+        let Some(request) = self.close(now, request_number(id)) else {
+            return;
+        };
+        let timed_out = request.is_out_of_time(now);
+        self.answer(request.client, Answer::Failed { timed_out });
+    }
+
+    /// Cancels an attempt. The engine is notified with the next pending events.
+    pub(super) fn cancel_attempt(&mut self, now: Micros, id: RequestId, attempt: usize) {
+        let attempt = AttemptId {
+            request: request_number(&id),
+            attempt,
+        };
+        let Some(running) = self.remove_attempt(attempt) else {
+            return;
+        };
+        let was_written = self.transport.cancel(attempt);
+        let outcome = if was_written {
+            Outcome::Cancelled
+        } else {
+            Outcome::Superseded
+        };
+        let result = running.result(now, id, attempt.attempt, outcome);
+        let request = self.requests.get_mut(attempt.request);
+        self.pending_events
+            .push_back(Event::AttemptEnded(AttemptResult {
+                is_final: request.is_none(),
+                ..result
+            }));
+        if let Some(request) = request {
+            request.may_have_run |= was_written;
+        }
+    }
+
+    fn add_to_counter(&mut self, now: Micros, key: u64, amount: f64, ttl: Duration) {
+        // The reply to a call would be received after the end of this process.
+        if self.upgrade.finishing {
+            self.pending_events.push_back(Event::CounterReply {
+                key,
+                total: 0.0,
+                outcome: Outcome::ConnectFailed,
+            });
+            return;
+        }
+        let call = self.counter_calls.start(key);
+        let timeout = now + self.counter_calls.timeout();
+        self.timers.set(timeout, Deadline::CounterCall(call));
+        self.transport.add_to_counter(call, key, amount, ttl);
+    }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,170 +1,200 @@
 //! Attempts at upstream servers from their start to their end.
 
-use super::deadlines::Due;
+use super::deadlines::Deadline;
 use super::messages::{Answer, AttemptDeadlines, AttemptId, Transport};
-use super::requests::number;
+use super::open_requests::{request_id, request_number, ResponseStream};
 use super::Core;
-use crate::decision::{
-    AccountId, Action, AttemptResult, Event, Micros, Outcome, RequestId, ServerId,
-};
+use crate::decision::{AccountId, AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
 use crate::handover::message::Body;
 use slog::warn;
+use std::collections::{HashMap, HashSet};
 
-pub(super) struct Out {
-    pub(super) node: ServerId,
-    pub(super) account: AccountId,
-    pub(super) sent: Micros,
+/// The attempts that were started and have not ended.
+#[derive(Default)]
+pub(super) struct RunningAttempts {
+    by_id: HashMap<AttemptId, RunningAttempt>,
 }
 
-impl<E: Transport> Core<E> {
-    /// An attempt is no longer out; a successor counts those that were when it took over.
-    pub(super) fn take_out(&mut self, attempt: AttemptId) -> Option<Out> {
-        let out = self.out.remove(&attempt)?;
-        if self.handed_over_state.is_some() {
-            self.edges
-                .notify_peer_process(Body::Ended(out.account.0.to_string()));
+/// An attempt that has not ended.
+pub(super) struct RunningAttempt {
+    server: ServerId,
+    account: AccountId,
+    started: Micros,
+}
+
+/// An attempt that has ended, with its response.
+pub(super) struct AttemptEnd<V> {
+    pub(super) id: AttemptId,
+    pub(super) running: RunningAttempt,
+    pub(super) outcome: Outcome,
+    /// Load report of the server; empty if there was none.
+    pub(super) load: Vec<f64>,
+    /// The value, with [`Outcome::Ok`].
+    pub(super) value: Option<V>,
+}
+
+impl RunningAttempts {
+    /// Whether an attempt has not ended.
+    pub(super) fn contains(&self, attempt: AttemptId) -> bool {
+        self.by_id.contains_key(&attempt)
+    }
+
+    /// Numbers of the requests that have an attempt running.
+    pub(super) fn requests(&self) -> HashSet<u64> {
+        self.by_id.keys().map(|attempt| attempt.request).collect()
+    }
+
+    /// The other attempts of the request that this one is for.
+    fn others(&self, attempt: AttemptId) -> Vec<AttemptId> {
+        self.by_id
+            .keys()
+            .filter(|other| other.request == attempt.request && **other != attempt)
+            .copied()
+            .collect()
+    }
+}
+
+impl RunningAttempt {
+    /// The result of this attempt as the engine is notified of it, where it ends now without a load report
+    /// and its request stays open.
+    pub(super) fn result(
+        self,
+        now: Micros,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+    ) -> AttemptResult {
+        AttemptResult {
+            id,
+            attempt,
+            server: self.server,
+            outcome,
+            latency: now.saturating_sub(self.started),
+            is_final: false,
+            load: Vec::new(),
+            settled_units: None,
         }
-        Some(out)
     }
+}
 
-    pub(super) fn streams(&self, number: u64) -> Option<(AttemptId, Micros)> {
-        self.open.get(&number)?.streams
+impl<T: Transport> Core<T> {
+    /// Removes an attempt from the running ones; none if it has ended before. A successor counts the
+    /// attempts that were running when it took over, and is notified.
+    pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> Option<RunningAttempt> {
+        let running = self.attempts.by_id.remove(&attempt)?;
+        if self.upgrade.state_is_handed_over() {
+            let account = running.account.0.to_string();
+            self.transport.notify_peer_process(Body::Ended(account));
+        }
+        Some(running)
     }
 
-    /// The first bytes that come win. Whatever else is out for the request is given up: its bytes would reach nobody.
-    pub(super) fn began(&mut self, now: Micros, attempt: AttemptId, value: E::Value) {
-        if !self.out.contains_key(&attempt) {
+    /// Forwards a response from its first bytes on. The first one wins: all other attempts of the request are
+    /// cancelled.
+    pub(super) fn response_started(&mut self, now: Micros, attempt: AttemptId, value: T::Value) {
+        if !self.attempts.contains(attempt) {
             return;
         }
-        let Some(open) = self.open.get_mut(&attempt.request) else {
+        let Some(request) = self.requests.get_mut(attempt.request) else {
             return;
         };
-        let Some(client) = open.client.take() else {
+        let Some(client) = request.client.take() else {
             return;
         };
-        open.streams = Some((attempt, now));
-        let id = open.id.clone();
-        self.edges.answer(client, Answer::Served(value));
-        self.tell(now, Event::ResponseStarted { id: id.clone() });
-        let others = self
-            .out
-            .keys()
-            .filter(|other| other.request == attempt.request && **other != attempt);
-        for other in others.copied().collect::<Vec<_>>() {
-            self.carry_out(
-                now,
-                Action::Cancel {
-                    id: id.clone(),
-                    attempt: other.attempt,
-                },
-            );
+        request.stream = Some(ResponseStream {
+            attempt,
+            started: now,
+        });
+        let id = request.id.clone();
+        self.transport.answer(client, Answer::Served(value));
+        self.notify_engine(now, Event::ResponseStarted { id: id.clone() });
+        for other in self.attempts.others(attempt) {
+            self.cancel_attempt(now, id.clone(), other.attempt);
         }
-        // What the cancelled ones leave to be told.
-        while let Some(event) = self.events.pop_front() {
-            self.tell(now, event);
+        // The ends of the cancelled attempts.
+        while let Some(event) = self.pending_events.pop_front() {
+            self.notify_engine(now, event);
         }
     }
 
-    /// The first good answer goes to the agent at once; the module hears of every end.
-    pub(super) fn ended(
-        &mut self,
-        now: Micros,
-        attempt: AttemptId,
-        out: Out,
-        outcome: Outcome,
-        load: Vec<f64>,
-        value: Option<E::Value>,
-    ) {
-        let number = attempt.request;
-        // Good or broken off, the agent has what there was. Its pace is that of its first bytes: the rest goes as fast as
-        // the agent reads.
-        let streams = self.streams(number).filter(|(which, _)| *which == attempt);
-        if streams.is_some() {
+    /// Handles the end of an attempt. The first good response is sent to the client at once; the engine is
+    /// notified of every end.
+    pub(super) fn attempt_ended(&mut self, now: Micros, end: AttemptEnd<T::Value>) {
+        let number = end.id.request;
+        // The latency of a streamed response is that of its first bytes: the rest is received as fast as the
+        // client reads. Whether whole or broken off, the client has all of it.
+        let stream = self
+            .response_stream(number)
+            .filter(|stream| stream.attempt == end.id);
+        if stream.is_some() {
             self.close(now, number);
         }
-        if let (Outcome::Ok, Some(value)) = (outcome, value) {
-            if let Some(open) = self.close(now, number) {
-                self.answer(open.client, Answer::Served(value));
+        if let (Outcome::Ok, Some(value)) = (end.outcome, end.value) {
+            if let Some(request) = self.close(now, number) {
+                self.answer(request.client, Answer::Served(value));
             }
         }
-        let open = self.open.get_mut(&number);
-        let last = open.is_none();
-        if let Some(open) = open {
-            open.may_have_run |= !outcome.never_ran();
+        let request = self.requests.get_mut(number);
+        let is_final = request.is_none();
+        if let Some(request) = request {
+            request.may_have_run |= !end.outcome.never_ran();
         }
-        let ended = AttemptResult {
-            id: RequestId::from(format!("{number:x}").as_str()),
-            attempt: attempt.attempt,
-            server: out.node,
-            outcome,
-            latency: streams
-                .map_or(now, |(_, first)| first)
-                .saturating_sub(out.sent),
-            is_final: last,
-            load,
-            settled_units: None,
+        let responded = stream.map_or(now, |stream| stream.started);
+        let result = end
+            .running
+            .result(responded, request_id(number), end.id.attempt, end.outcome);
+        let result = AttemptResult {
+            is_final,
+            load: end.load,
+            ..result
         };
-        self.tell(now, Event::AttemptEnded(ended));
+        self.notify_engine(now, Event::AttemptEnded(result));
     }
 
-    pub(super) fn send(
+    /// Starts an attempt of an open request. `timeout` is 0 for an attempt that may last until the deadline
+    /// of the request; nothing is written from `write_before` on.
+    pub(super) fn start_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
-        node: ServerId,
+        server: ServerId,
         timeout: Micros,
-        by: Micros,
+        write_before: Micros,
     ) {
-        let request = number(&id);
-        let Some(open) = self.open.get_mut(&request) else {
+        let number = request_number(&id);
+        let Some(request) = self.requests.get_mut(number) else {
             warn!(self.log, "attempt for a closed request"; "request" => &*id.0);
             return;
         };
         let attempt = AttemptId {
-            request,
-            attempt: open.attempts,
+            request: number,
+            attempt: request.attempts,
         };
-        open.attempts += 1;
-        let left = open.deadline.saturating_sub(now);
-        let client = open
-            .client
-            .as_ref()
-            .filter(|_| left > 0 && open.attempts <= self.max_attempts);
-        let Some(client) = client else {
-            let attempt = attempt.attempt;
-            let (outcome, load) = (Outcome::Superseded, Vec::new());
-            let ended = AttemptResult {
-                id,
-                attempt,
-                server: node,
-                outcome,
-                latency: 0,
-                is_final: false,
-                load,
-                settled_units: None,
-            };
-            return self.events.push_back(Event::AttemptEnded(ended));
+        request.attempts += 1;
+        let time_left = request.deadline.saturating_sub(now);
+        let running = RunningAttempt {
+            server: server.clone(),
+            account: request.account.clone(),
+            started: now,
         };
-        let ends = now
-            + if timeout == 0 {
-                left
-            } else {
-                timeout.min(left)
-            };
-        let wait = AttemptDeadlines {
+        let may_start = time_left > 0 && request.attempts <= self.rules.max_attempts;
+        let Some(client) = request.client.as_ref().filter(|_| may_start) else {
+            let result = running.result(now, id, attempt.attempt, Outcome::Superseded);
+            self.pending_events.push_back(Event::AttemptEnded(result));
+            return;
+        };
+        let ends = if timeout == 0 {
+            now + time_left
+        } else {
+            now + timeout.min(time_left)
+        };
+        let deadlines = AttemptDeadlines {
             answer: self.clock.moment(ends),
-            write: self.clock.moment(by.min(ends)),
+            write: self.clock.moment(write_before.min(ends)),
         };
-        self.edges
-            .start_attempt(attempt, &node, &open.call, wait, client);
-        self.out.insert(
-            attempt,
-            Out {
-                node,
-                account: open.account.clone(),
-                sent: now,
-            },
-        );
-        self.timers.set(ends, Due::Attempt(attempt));
+        self.transport
+            .start_attempt(attempt, &server, &request.call, deadlines, client);
+        self.attempts.by_id.insert(attempt, running);
+        self.timers.set(ends, Deadline::Attempt(attempt));
     }
 }
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -1,137 +1,155 @@
-//! Ticket nodes that operators have taken out, laid over whatever the node list says of them.
+//! Upstream servers that operators have taken out, over whatever service discovery reports of them.
 
 use crate::decision::{Endpoint, Micros, Readiness, ServerId, UpdateScope};
 use crate::handover::message::Ban;
 use std::collections::{HashMap, HashSet};
 
-/// Ids kept of nodes that were ever listed; beyond these the ones that are gone are forgotten.
-const MOST_IDS: usize = 8_192;
+/// Most remembered ids of servers that were ever listed; above this number, ids that are neither listed nor
+/// disabled are forgotten.
+const MAX_REMEMBERED_IDS: usize = 8_192;
 
-/// What the node list says, and what operators say.
+/// The endpoint list, and the servers that operators have disabled or enabled again.
 #[derive(Debug, Default)]
 pub struct Bans {
-    /// As the list has them, without those that are gone.
+    /// The endpoints as service discovery reports them, without removed ones.
     listed: HashMap<ServerId, Endpoint>,
-    /// Every id that was listed.
-    ever: HashSet<ServerId>,
-    out: HashSet<ServerId>,
-    /// Nodes that were put back, and when: they were restarted meanwhile, whenever the list tells.
-    back: HashMap<ServerId, Micros>,
+    /// Ids of all servers that were ever listed.
+    ever_listed: HashSet<ServerId>,
+    disabled: HashSet<ServerId>,
+    /// When servers were enabled again. They count as started then, as they were restarted meanwhile even if
+    /// service discovery has not reported that.
+    enabled_at: HashMap<ServerId, Micros>,
 }
 
 impl Bans {
-    /// Takes news of the list; what the decision module is to hear of it.
+    /// Applies an update of the endpoint list; returns the endpoints as the engine is to use them.
     pub fn news(&mut self, scope: UpdateScope, members: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             self.listed.clear();
         }
-        for member in &members {
-            match member.readiness {
-                Readiness::Removed => _ = self.listed.remove(&member.id),
-                _ => _ = self.listed.insert(member.id.clone(), member.clone()),
+        for endpoint in &members {
+            if endpoint.readiness == Readiness::Removed {
+                self.listed.remove(&endpoint.id);
+            } else {
+                self.listed.insert(endpoint.id.clone(), endpoint.clone());
             }
-            self.ever.insert(member.id.clone());
-        }
-        if self.ever.len() > MOST_IDS {
-            let (listed, out) = (&self.listed, &self.out);
-            self.ever
-                .retain(|id| listed.contains_key(id) || out.contains(id));
-            self.back.retain(|id, _| listed.contains_key(id));
+            self.ever_listed.insert(endpoint.id.clone());
         }
+        self.forget_old_ids();
         members
             .into_iter()
-            .map(|member| self.laid_over(member))
+            .map(|endpoint| self.with_overrides(endpoint))
             .collect()
     }
 
-    /// Nodes that were listed and are not in this whole list.
+    fn forget_old_ids(&mut self) {
+        if self.ever_listed.len() <= MAX_REMEMBERED_IDS {
+            return;
+        }
+        let listed = &self.listed;
+        let disabled = &self.disabled;
+        self.ever_listed
+            .retain(|id| listed.contains_key(id) || disabled.contains(id));
+        self.enabled_at.retain(|id, _| listed.contains_key(id));
+    }
+
+    /// Listed servers that are absent from this full list.
     pub fn missing(&self, whole: &[Endpoint]) -> Vec<ServerId> {
-        let there: HashSet<_> = whole.iter().map(|member| &member.id).collect();
+        let present: HashSet<_> = whole.iter().map(|endpoint| &endpoint.id).collect();
         self.listed
             .keys()
-            .filter(|id| !there.contains(id))
+            .filter(|id| !present.contains(id))
             .cloned()
             .collect()
     }
 
-    fn laid_over(&self, mut member: Endpoint) -> Endpoint {
-        if self.out.contains(&member.id) && member.readiness == Readiness::Ready {
-            member.readiness = Readiness::Draining;
+    /// An endpoint as the engine is to use it: draining while disabled, and warming up once enabled again.
+    fn with_overrides(&self, mut endpoint: Endpoint) -> Endpoint {
+        if self.disabled.contains(&endpoint.id) && endpoint.readiness == Readiness::Ready {
+            endpoint.readiness = Readiness::Draining;
         }
-        if let Some(back) = self.back.get(&member.id) {
-            member.started_at = member.started_at.max(*back);
+        if let Some(enabled_at) = self.enabled_at.get(&endpoint.id) {
+            endpoint.started_at = endpoint.started_at.max(*enabled_at);
         }
-        member
+        endpoint
+    }
+
+    /// The endpoint of a server as the engine is to use it; empty if the server is not listed now.
+    fn current(&self, id: &ServerId) -> Vec<Endpoint> {
+        let endpoint = self.listed.get(id).cloned();
+        endpoint
+            .map(|endpoint| self.with_overrides(endpoint))
+            .into_iter()
+            .collect()
     }
 
-    /// Takes a node out; none if it was never listed, else what the module is to hear.
+    /// Disables a server. Returns the endpoints that change for the engine, or none if the server was never
+    /// listed.
     pub fn disable(&mut self, id: &ServerId) -> Option<Vec<Endpoint>> {
-        if !self.ever.contains(id) {
+        if !self.ever_listed.contains(id) {
             return None;
         }
-        self.out.insert(id.clone());
-        Some(
-            self.listed
-                .get(id)
-                .map(|m| self.laid_over(m.clone()))
-                .into_iter()
-                .collect(),
-        )
+        self.disabled.insert(id.clone());
+        Some(self.current(id))
     }
 
-    /// Puts a node back as one that has just started; none if it was never listed.
+    /// Enables a server, which counts as started `now` if it was disabled. Returns the endpoints that change
+    /// for the engine, or none if the server was never listed.
     pub fn enable(&mut self, id: &ServerId, now: Micros) -> Option<Vec<Endpoint>> {
-        if !self.ever.contains(id) {
+        if !self.ever_listed.contains(id) {
             return None;
         }
-        if !self.out.remove(id) {
+        if !self.disabled.remove(id) {
             return Some(Vec::new());
         }
-        self.back.insert(id.clone(), now);
-        Some(
-            self.listed
-                .get(id)
-                .map(|m| self.laid_over(m.clone()))
-                .into_iter()
-                .collect(),
-        )
+        self.enabled_at.insert(id.clone(), now);
+        Some(self.current(id))
     }
 
-    /// All that operators have said, for a successor.
+    /// All servers that are disabled or were enabled again, for a successor.
     pub fn all(&self) -> Vec<Ban> {
-        let ban = |id: &ServerId, out, at| Ban {
+        let disabled = self.disabled.iter().map(|id| Ban {
             id: id.0.to_string(),
-            out,
-            at,
-        };
-        let back = self.back.iter().filter(|(id, _)| !self.out.contains(*id));
-        let out = self.out.iter().map(|id| ban(id, true, 0));
-        out.chain(back.map(|(id, at)| ban(id, false, *at)))
-            .collect()
+            out: true,
+            at: 0,
+        });
+        let enabled = self
+            .enabled_at
+            .iter()
+            .filter(|(id, _)| !self.disabled.contains(*id))
+            .map(|(id, enabled_at)| Ban {
+                id: id.0.to_string(),
+                out: false,
+                at: *enabled_at,
+            });
+        disabled.chain(enabled).collect()
     }
 
-    /// What was said to the other process, also of a node that this one has not seen listed yet.
+    /// Applies what an operator had the other process of an upgrade do, also to a server that is not listed
+    /// here yet. Returns the endpoints that change for the engine.
     pub fn take(&mut self, ban: &Ban) -> Vec<Endpoint> {
         let id = ServerId::from(&*ban.id);
-        self.ever.insert(id.clone());
-        let members = if ban.out {
-            self.disable(&id)
+        self.ever_listed.insert(id.clone());
+        if ban.out {
+            self.disabled.insert(id.clone());
         } else {
-            self.out.remove(&id);
-            self.back.insert(id.clone(), ban.at);
-            self.listed
-                .get(&id)
-                .map(|m| vec![self.laid_over(m.clone())])
-        };
-        members.unwrap_or_default()
+            self.disabled.remove(&id);
+            self.enabled_at.insert(id.clone(), ban.at);
+        }
+        self.current(&id)
     }
 
-    /// Listed nodes, and those of them that nothing new goes to.
+    /// Number of listed servers, and of those among them that get no new requests.
     pub fn counts(&self) -> (usize, usize) {
-        let avoided = |m: &&Endpoint| m.readiness != Readiness::Ready || self.out.contains(&m.id);
-        (
-            self.listed.len(),
-            self.listed.values().filter(avoided).count(),
-        )
+        let excluded = self
+            .listed
+            .values()
+            .filter(|endpoint| self.is_excluded(endpoint))
+            .count();
+        (self.listed.len(), excluded)
+    }
+
+    fn is_excluded(&self, endpoint: &Endpoint) -> bool {
+        endpoint.readiness != Readiness::Ready || self.disabled.contains(&endpoint.id)
     }
 }
--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -1,64 +1,80 @@
-//! What the core does when a time limit ends.
+//! What the core does when a timer expires.
 
+use super::attempts::AttemptEnd;
 use super::messages::{AttemptId, Transport};
-use super::Core;
+use super::{Core, Phase};
 use crate::decision::{Event, Micros, Outcome};
 use slog::warn;
 
-/// Why the core woke by itself.
+/// What a timer was set for.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    Module(u64),
+pub(super) enum Deadline {
+    /// A timer of the engine, with its token.
+    EngineTimer(u64),
+    /// The timeout of an attempt.
     Attempt(AttemptId),
+    /// The deadline of the request with this number.
     Request(u64),
-    Count(u64),
-    Stop,
+    /// The timeout of the counter call with this number.
+    CounterCall(u64),
+    /// The end of the time in which open requests are answered.
+    Shutdown,
 }
 
-impl<E: Transport> Core<E> {
-    pub(super) fn fall_due(&mut self, now: Micros, due: Due) {
-        match due {
-            Due::Module(token) => self.tell(now, Event::TimerExpired { token }),
-            Due::Attempt(attempt) if self.streams(attempt.request).is_some() => {}
-            Due::Attempt(attempt) => {
-                if let Some(out) = self.take_out(attempt) {
-                    let written = self.edges.cancel(attempt);
-                    if let Some(open) = self.open.get_mut(&attempt.request) {
-                        open.late = true;
-                    }
-                    // Not a byte of it left: the connection never came up in the time there was.
-                    let outcome = if written {
-                        Outcome::Timeout
-                    } else {
-                        Outcome::ConnectFailed
-                    };
-                    self.ended(now, attempt, out, outcome, Vec::new(), None);
-                }
+impl<T: Transport> Core<T> {
+    /// Handles a timer that has expired.
+    pub(super) fn handle_deadline(&mut self, now: Micros, deadline: Deadline) {
+        match deadline {
+            Deadline::EngineTimer(token) => {
+                self.notify_engine(now, Event::TimerExpired { token });
             }
-            Due::Request(number) if self.streams(number).is_some() => {}
-            Due::Request(number) => self.overdue(now, number),
-            Due::Count(call) => {
-                if let Some(name) = self.counts.remove(&call) {
-                    self.tell(
-                        now,
-                        Event::CounterReply {
-                            key: name,
-                            total: 0.0,
-                            outcome: Outcome::Timeout,
-                        },
-                    );
+            Deadline::Attempt(attempt) => {
+                if self.response_stream(attempt.request).is_none() {
+                    self.expire_attempt(now, attempt);
                 }
             }
-            Due::Stop => {
-                let open: Vec<u64> = self.open.keys().copied().collect();
-                self.stopped = true;
-                if !open.is_empty() {
-                    warn!(self.log, "shutdown deadline reached"; "open" => open.len());
+            Deadline::Request(number) => {
+                if self.response_stream(number).is_none() {
+                    self.expire_request(now, number);
                 }
-                self.waiting_first(open)
-                    .into_iter()
-                    .for_each(|number| self.overdue(now, number));
             }
+            Deadline::CounterCall(call) => self.counter_replied(now, call, Outcome::Timeout, 0.0),
+            Deadline::Shutdown => self.expire_shutdown(now),
+        }
+    }
+
+    fn expire_attempt(&mut self, now: Micros, attempt: AttemptId) {
+        let Some(running) = self.remove_attempt(attempt) else {
+            return;
+        };
+        let was_written = self.transport.cancel(attempt);
+        if let Some(request) = self.requests.get_mut(attempt.request) {
+            request.attempt_timed_out = true;
+        }
+        // Not a byte of it was sent: its connection was not established in time.
+        let outcome = if was_written {
+            Outcome::Timeout
+        } else {
+            Outcome::ConnectFailed
+        };
+        let end = AttemptEnd {
+            id: attempt,
+            running,
+            outcome,
+            load: Vec::new(),
+            value: None,
+        };
+        self.attempt_ended(now, end);
+    }
+
+    fn expire_shutdown(&mut self, now: Micros) {
+        self.phase = Phase::Stopped;
+        let open = self.requests.numbers();
+        if !open.is_empty() {
+            warn!(self.log, "shutdown deadline reached"; "open" => open.len());
+        }
+        for number in self.waiting_first(open) {
+            self.expire_request(now, number);
         }
     }
 }
--- /dev/null
+++ b/src/core/endpoints.rs
@@ -0,0 +1,85 @@
+//! Updates of the endpoint list, and upstream servers that operators have taken out.
+
+use super::messages::Transport;
+use super::Core;
+use crate::decision::{Endpoint, Event, Micros, Readiness, ServerId, UpdateScope};
+use crate::handover::message::{Ban, Body};
+
+impl<T: Transport> Core<T> {
+    /// Applies an update of the endpoint list.
+    pub(super) fn update_endpoints(
+        &mut self,
+        now: Micros,
+        scope: UpdateScope,
+        endpoints: Vec<Endpoint>,
+    ) {
+        let has_ready = endpoints
+            .iter()
+            .any(|endpoint| endpoint.readiness == Readiness::Ready);
+        if scope == UpdateScope::Snapshot {
+            for server in self.bans.missing(&endpoints) {
+                self.transport.block_server(&server);
+            }
+        }
+        let endpoints = self.bans.news(scope, endpoints);
+        self.notify_endpoints(now, scope, endpoints);
+        if has_ready {
+            _ = self.endpoints_known.try_send(());
+        }
+    }
+
+    /// Notifies the engine of endpoints as they are to be used. Attempts that wait for a connection to a
+    /// server that takes nothing new are not sent.
+    pub(super) fn notify_endpoints(
+        &mut self,
+        now: Micros,
+        scope: UpdateScope,
+        endpoints: Vec<Endpoint>,
+    ) {
+        for endpoint in &endpoints {
+            if endpoint.readiness != Readiness::Ready {
+                self.transport.block_server(&endpoint.id);
+            }
+        }
+        self.notify_engine(now, Event::EndpointUpdate { scope, endpoints });
+        let (known, excluded) = self.bans.counts();
+        self.transport.report_endpoints(known, excluded);
+    }
+
+    /// Takes a server out or puts it back, here and in the other process of an upgrade. Returns false if no
+    /// such server was ever listed.
+    pub(super) fn set_disabled(
+        &mut self,
+        now: Micros,
+        server: &ServerId,
+        is_disabled: bool,
+    ) -> bool {
+        let changed = if is_disabled {
+            self.bans.disable(server)
+        } else {
+            self.bans.enable(server, now)
+        };
+        let is_known = changed.is_some();
+        if is_known {
+            self.transport.notify_peer_process(Body::Ban(Ban {
+                id: server.0.to_string(),
+                out: is_disabled,
+                at: now,
+            }));
+            if is_disabled {
+                self.transport.block_server(server);
+            }
+        }
+        self.notify_endpoints(now, UpdateScope::Delta, changed.unwrap_or_default());
+        is_known
+    }
+
+    /// Applies what an operator has had the other process of an upgrade do.
+    pub(super) fn adopt_ban(&mut self, now: Micros, ban: &Ban) {
+        if ban.out {
+            self.transport.block_server(&ServerId::from(&*ban.id));
+        }
+        let endpoints = self.bans.take(ban);
+        self.notify_endpoints(now, UpdateScope::Delta, endpoints);
+    }
+}
--- /dev/null
+++ b/src/core/inputs.rs
@@ -0,0 +1,85 @@
+//! Inputs of the core's queue.
+
+use super::attempts::AttemptEnd;
+use super::deadlines::Deadline;
+use super::messages::{Input, Transport};
+use super::{Core, Phase};
+use crate::decision::{Event, Micros, Outcome};
+use slog::info;
+use std::time::Instant;
+
+impl<T: Transport> Core<T> {
+    /// Handles one input.
+    pub(super) fn handle_input(&mut self, now: Micros, input: Input<T>) {
+        match input {
+            Input::EndpointUpdate(scope, endpoints) => {
+                self.update_endpoints(now, scope, endpoints);
+            }
+            Input::Request(request) => self.admit(now, request),
+            Input::ClientDisconnected(numbers) => self.abandon_requests(now, numbers),
+            Input::ResponseStarted { attempt, value } => {
+                self.response_started(now, attempt, value);
+            }
+            Input::AttemptEnded {
+                attempt,
+                outcome,
+                load,
+                value,
+            } => {
+                if let Some(running) = self.remove_attempt(attempt) {
+                    let end = AttemptEnd {
+                        id: attempt,
+                        running,
+                        outcome,
+                        load,
+                        value,
+                    };
+                    self.attempt_ended(now, end);
+                }
+            }
+            Input::HealthChecked {
+                server,
+                outcome,
+                latency,
+                load,
+            } => {
+                let event = Event::HealthChecked {
+                    server,
+                    outcome,
+                    latency: latency.as_micros() as Micros,
+                    load,
+                };
+                self.notify_engine(now, event);
+            }
+            Input::CounterReply {
+                call,
+                outcome,
+                total,
+            } => self.counter_replied(now, call, outcome, total),
+            Input::Allocator(event) => self.handle_allocator_event(now, event),
+            Input::QuotaShares(shares) => self.notify_engine(now, Event::QuotaShares(shares)),
+            // The loop has read the command already.
+            Input::CommandQueued => {}
+            Input::Shutdown(deadline) => self.shut_down(deadline),
+        }
+    }
+
+    /// Notifies the engine of the end of a counter call, unless the call has ended before.
+    pub(super) fn counter_replied(&mut self, now: Micros, call: u64, outcome: Outcome, total: f64) {
+        let Some(key) = self.counter_calls.finish(call) else {
+            return;
+        };
+        let event = Event::CounterReply {
+            key,
+            total,
+            outcome,
+        };
+        self.notify_engine(now, event);
+    }
+
+    fn shut_down(&mut self, deadline: Instant) {
+        info!(self.log, "shutting down"; "open" => self.requests.len());
+        self.phase = self.phase.max(Phase::Draining);
+        self.timers.set(self.clock.at(deadline), Deadline::Shutdown);
+    }
+}
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -1,7 +1,7 @@
-//! Leased units of the requests that the core holds: what the holder of leases is asked for, and what goes back to it.
+//! Units of open requests that are taken from quota leases.
 
 use super::messages::Transport;
-use super::requests::number;
+use super::open_requests::request_number;
 use super::Core;
 use crate::decision::{AccountId, Event, Micros, Plan, RequestId};
 use crate::quota_lease::holder::{
@@ -13,88 +13,104 @@
 use std::collections::HashMap;
 
 /// Thousandths in a unit.
-const MILLI: f64 = 1_000.0;
-/// Time between two lines of figures in the log.
-const FIGURES_INTERVAL: Micros = 60_000_000;
-/// What the representation of decimal fractions may add to a number of units.
-const ROUNDING: f64 = 1e-6;
-
-/// Says of a request whether its units are leased.
-pub(crate) struct Leased {
+const MILLI_PER_UNIT: f64 = 1_000.0;
+/// Interval, in microseconds, at which metrics of leases are logged.
+const LOG_INTERVAL: Micros = 60_000_000;
+/// Thousandths of a unit that the binary representation of decimal fractions may add.
+const ROUNDING_ERROR: f64 = 1e-6;
+
+/// Whether the units of a request were taken from a lease.
+pub(crate) struct LeaseResult {
     pub(crate) id: RequestId,
     pub(crate) granted: bool,
 }
 
-/// The units of one request.
+/// The units of an open request.
 enum Units {
+    /// An allocator was asked for them.
     Waiting(Ticket),
+    /// They are taken from a lease.
     Taken(Receipt),
 }
 
-/// The holder of leases, and what it said of the requests that are open.
+/// Units that the engine wants for a request.
+pub(super) struct LeaseDemand {
+    /// The account that the request is charged to.
+    pub(super) account: AccountId,
+    /// Index of the account's plan.
+    pub(super) plan: usize,
+    /// Number of limiters that receive the account's requests.
+    pub(super) limiter_count: u32,
+    /// The units.
+    pub(super) units: f64,
+}
+
+/// The holder of quota leases, and the units of the requests that are open.
 pub(crate) struct Leases {
     holder: Holder,
     plans: Vec<PlanLimits>,
     requests: HashMap<RequestId, Units>,
     waiting: HashMap<Ticket, RequestId>,
-    next_figures: Micros,
+    next_log: Micros,
 }
 
 impl Leases {
+    /// Units taken from leases of this holder; `plans` are those of the engine's settings.
     pub(crate) fn new(now: Micros, holder: Holder, plans: &[Plan]) -> Self {
         let limits = |plan: &Plan| PlanLimits {
-            rate: milli(plan.rate),
-            burst: milli(plan.burst),
+            rate: milli_units(plan.rate),
+            burst: milli_units(plan.burst),
         };
-        let plans = plans.iter().map(limits).collect();
-        let next_figures = now + FIGURES_INTERVAL;
         Self {
             holder,
-            plans,
+            plans: plans.iter().map(limits).collect(),
             requests: HashMap::new(),
             waiting: HashMap::new(),
-            next_figures,
+            next_log: now + LOG_INTERVAL,
         }
     }
 
-    /// Takes the units of a request. None if an allocator is asked for them: the answer follows.
+    /// Takes the units of a request from a lease. None if an allocator was asked for them: the result follows.
     pub(crate) fn take(
         &mut self,
         now: Micros,
         id: RequestId,
-        customer: &AccountId,
-        (plan, spread): (usize, u32),
-        units: f64,
-    ) -> Option<Leased> {
-        let Some(limits) = self.plans.get(plan).copied() else {
-            return Some(Leased { id, granted: false });
+        demand: &LeaseDemand,
+    ) -> Option<LeaseResult> {
+        let Some(limits) = self.plans.get(demand.plan).copied() else {
+            return Some(LeaseResult { id, granted: false });
         };
-        let key = AccountKey::of(&customer.0);
-        match self.holder.take(now, key, limits, spread, milli(units)) {
+        let key = AccountKey::of(&demand.account.0);
+        let units = milli_units(demand.units);
+        let taken = self
+            .holder
+            .take(now, key, limits, demand.limiter_count, units);
+        match taken {
             Take::Taken(receipt) => {
                 self.requests.insert(id.clone(), Units::Taken(receipt));
-                Some(Leased { id, granted: true })
+                Some(LeaseResult { id, granted: true })
             }
             Take::Waiting(ticket) => {
                 self.waiting.insert(ticket, id.clone());
                 self.requests.insert(id, Units::Waiting(ticket));
                 None
             }
-            Take::Denied { .. } => Some(Leased { id, granted: false }),
+            Take::Denied { .. } => Some(LeaseResult { id, granted: false }),
         }
     }
 
-    /// A request has ended. If it was never sent its units go back, as soon as they come if it still waits for them.
-    pub(crate) fn close(&mut self, now: Micros, id: &RequestId, sent: bool) {
+    /// Ends a request. If it was never forwarded its units are returned to the lease, also if they are granted
+    /// later.
+    pub(crate) fn close(&mut self, now: Micros, id: &RequestId, was_forwarded: bool) {
         match self.requests.remove(id) {
-            Some(Units::Taken(receipt)) if !sent => self.holder.put_back(now, receipt),
+            Some(Units::Taken(receipt)) if !was_forwarded => self.holder.put_back(now, receipt),
             Some(Units::Waiting(ticket)) => _ = self.waiting.remove(&ticket),
             Some(Units::Taken(_)) | None => {}
         }
     }
 
-    /// Takes what a connection to an allocator tells.
-    pub(crate) fn hear(&mut self, now: Micros, event: LinkEvent) -> Vec<Leased> {
+    /// Handles an event of a connection to an allocator; returns the results that follow from it.
+    pub(crate) fn handle_event(&mut self, now: Micros, event: LinkEvent) -> Vec<LeaseResult> {
         let answers = match event {
             LinkEvent::Answer(grant) => self.holder.on_grant(now, &grant).unwrap_or_default(),
             LinkEvent::Unreadable { reason, .. } => {
@@ -103,52 +119,53 @@
             }
             LinkEvent::Lost { allocator } => self.holder.on_lost(now, allocator),
         };
-        self.answered(now, answers)
+        self.results(now, answers)
     }
 
-    /// Reports that are to be sent now, each with the number of its allocator, and answers that need not be waited for.
-    pub(crate) fn poll(&mut self, now: Micros) -> (Vec<(u32, Report)>, Vec<Leased>) {
+    /// Reports that are to be sent now, each with the number of its allocator, and results that no longer wait
+    /// for an allocator.
+    pub(crate) fn poll(&mut self, now: Micros) -> (Vec<(u32, Report)>, Vec<LeaseResult>) {
         let poll = self.holder.poll(now);
-        (poll.reports, self.answered(now, poll.answers))
+        (poll.reports, self.results(now, poll.answers))
     }
 
-    /// When there is something to report at the earliest; none if nothing is expected.
+    /// The earliest time of a report; none if there is nothing to report.
     pub(crate) fn next_wake(&self) -> Option<Micros> {
         Some(self.holder.next_wake()).filter(|at| *at < Micros::MAX)
     }
 
-    /// Is it time for [`Self::poll`]?
+    /// Whether [`Self::poll`] is due.
     pub(crate) fn is_due(&self, now: Micros) -> bool {
         self.holder.next_wake() <= now
     }
 
-    /// Metrics since the start, and answers not taken, when it is time to log them.
-    pub(crate) fn figures_due(&mut self, now: Micros) -> Option<(HolderFigures, Dropped)> {
-        if now < self.next_figures {
+    /// Metrics since the start, and counts of grants that were dropped, when they are to be logged.
+    pub(crate) fn metrics_due(&mut self, now: Micros) -> Option<(HolderFigures, Dropped)> {
+        if now < self.next_log {
             return None;
         }
-        self.next_figures = now + FIGURES_INTERVAL;
+        self.next_log = now + LOG_INTERVAL;
         Some((self.holder.figures(), self.holder.dropped()))
     }
 
-    fn answered(&mut self, now: Micros, answers: Vec<Answer>) -> Vec<Leased> {
+    fn results(&mut self, now: Micros, answers: Vec<Answer>) -> Vec<LeaseResult> {
         answers
             .into_iter()
-            .filter_map(|answer| self.answer(now, answer))
+            .filter_map(|answer| self.result(now, answer))
             .collect()
     }
 
-    fn answer(&mut self, now: Micros, answer: Answer) -> Option<Leased> {
+    fn result(&mut self, now: Micros, answer: Answer) -> Option<LeaseResult> {
         match (self.waiting.remove(&answer.ticket), answer.outcome) {
             (Some(id), Outcome::Taken(receipt)) => {
                 self.requests.insert(id.clone(), Units::Taken(receipt));
-                Some(Leased { id, granted: true })
+                Some(LeaseResult { id, granted: true })
             }
             (Some(id), Outcome::Denied { .. }) => {
                 self.requests.remove(&id);
-                Some(Leased { id, granted: false })
+                Some(LeaseResult { id, granted: false })
             }
-            // Its request has ended meanwhile.
+            // The request has ended meanwhile.
             (None, Outcome::Taken(receipt)) => {
                 self.holder.put_back(now, receipt);
                 None
@@ -158,62 +175,58 @@
     }
 }
 
-impl<E: Transport> Core<E> {
-    /// Asks for the units of an open request; where they are at hand the module is told at once.
-    pub(super) fn lease(
-        &mut self,
-        now: Micros,
-        id: RequestId,
-        customer: &AccountId,
-        (plan, spread): (usize, u32),
-        units: f64,
-    ) {
-        let open = self.open.contains_key(&number(&id));
-        let Some(leases) = self.leases.as_mut().filter(|_| open) else {
+impl<T: Transport> Core<T> {
+    /// Takes the units of an open request from a lease. The engine is notified with the next pending events if
+    /// the result is known at once.
+    pub(super) fn request_lease(&mut self, now: Micros, id: RequestId, demand: &LeaseDemand) {
+        if !self.requests.contains(request_number(&id)) {
+            return;
+        }
+        let Some(leases) = &mut self.leases else {
             return;
         };
-        if let Some(Leased { id, granted }) = leases.take(now, id, customer, (plan, spread), units)
-        {
-            self.events.push_back(Event::LeaseReply { id, granted });
+        if let Some(LeaseResult { id, granted }) = leases.take(now, id, demand) {
+            self.pending_events
+                .push_back(Event::LeaseReply { id, granted });
         }
     }
 
-    /// Takes what a connection to an allocator tells.
-    pub(super) fn hear_allocator(&mut self, now: Micros, event: LinkEvent) {
-        let answers = self
-            .leases
-            .as_mut()
-            .map(|leases| leases.hear(now, event))
-            .unwrap_or_default();
-        self.leased(now, answers);
+    /// Handles an event of a connection to an allocator.
+    pub(super) fn handle_allocator_event(&mut self, now: Micros, event: LinkEvent) {
+        let Some(leases) = &mut self.leases else {
+            return;
+        };
+        let results = leases.handle_event(now, event);
+        self.notify_lease_results(now, results);
     }
 
-    /// Sends what the holder of leases reports now, and takes the answers that it does not wait for any longer.
-    pub(super) fn send_reports(&mut self, now: Micros) {
+    /// Sends the lease reports that are due, and notifies the engine of the results that no longer wait for an
+    /// allocator.
+    pub(super) fn send_lease_reports(&mut self, now: Micros) {
         let Some(leases) = &mut self.leases else {
             return;
         };
-        if let Some((figures, dropped)) = leases.figures_due(now) {
+        if let Some((figures, dropped)) = leases.metrics_due(now) {
             info!(self.log, "leases"; "figures" => ?figures, "dropped" => ?dropped);
         }
         if !leases.is_due(now) {
             return;
         }
-        let (reports, answers) = leases.poll(now);
-        reports
-            .into_iter()
-            .for_each(|(allocator, report)| self.edges.send_lease_report(allocator, report));
-        self.leased(now, answers);
+        let (reports, results) = leases.poll(now);
+        for (allocator, report) in reports {
+            self.transport.send_lease_report(allocator, report);
+        }
+        self.notify_lease_results(now, results);
     }
 
-    fn leased(&mut self, now: Micros, answers: Vec<Leased>) {
-        for Leased { id, granted } in answers {
-            self.tell(now, Event::LeaseReply { id, granted });
+    fn notify_lease_results(&mut self, now: Micros, results: Vec<LeaseResult>) {
+        for LeaseResult { id, granted } in results {
+            self.notify_engine(now, Event::LeaseReply { id, granted });
         }
     }
 }
 
-/// Units in whole thousandths, rounded up.
-fn milli(units: f64) -> MilliUnits {
-    (units * MILLI - ROUNDING).ceil().max(0.0) as MilliUnits
+/// Units as whole thousandths, rounded up; 0 for a negative number.
+fn milli_units(units: f64) -> MilliUnits {
+    (units * MILLI_PER_UNIT - ROUNDING_ERROR).ceil().max(0.0) as MilliUnits
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,253 +1,215 @@
-//! The core: carries out what the decision module wants and tells it what became of it.
+//! The core: the event loop that owns the decision engine, open requests and attempts.
 //!
-//! It deals in requests, attempts and outcomes. Whatever speaks to agents, ticket nodes and the quota counter
-//! stands behind [`Transport`] and reaches the core through its queue of [`Input`]s alone; the one thread that
-//! runs [`Core::run`] owns the module.
+//! It deals in requests, attempts and outcomes. Connections to clients, upstream servers and the counter are
+//! behind [`Transport`] and reach the core through its queue of [`Input`]s alone; the one thread that runs
+//! [`Core::run`] owns the engine.
 
 mod actions;
 mod attempts;
 pub mod bans;
 mod commands;
+mod counter_calls;
 mod deadlines;
+mod endpoints;
+mod inputs;
 mod leases;
 mod messages;
+mod open_requests;
 mod requests;
 mod timers;
+mod upgrade;
 
 pub use commands::{AdminCommand, Command, HandOverCommand};
 pub use messages::{Answer, AttemptDeadlines, AttemptId, IncomingRequest, Input, Transport};
 pub use timers::Clock;
 
-use crate::decision::{
-    AccountId, Action, Event, Idempotency, Micros, Readiness, RequestId, Settings, UpdateScope,
-};
-use crate::handover::message::{FinalReport, LearnedState};
+use crate::decision::{Action, Event, Idempotency, Micros, Settings};
+use crate::handover::message::FinalReport;
 use crate::log_throttle::LogThrottle;
 use crate::quota_lease::holder::Holder;
 use crate::Engine;
-use attempts::Out;
+use attempts::RunningAttempts;
 use bans::Bans;
+use counter_calls::CounterCalls;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use deadlines::Due;
+use deadlines::Deadline;
 use leases::Leases;
-use requests::Open;
-use slog::{info, Logger};
-use std::collections::{HashMap, HashSet, VecDeque};
+use open_requests::OpenRequests;
+use slog::Logger;
+use std::collections::VecDeque;
 use std::time::Duration;
 use timers::Timers;
+use upgrade::UpgradeState;
 
-/// The longest time to come back after, where there is no room for a request.
-const FULL_ADVICE: Duration = Duration::from_millis(500);
+/// Longest Retry-After of requests that are rejected because too many are open.
+const MAX_RETRY_AFTER_WHEN_FULL: Duration = Duration::from_millis(500);
+/// Shortest timeout of a counter call, in microseconds.
+const MIN_COUNTER_TIMEOUT: Micros = 1_000;
 
-/// The owner of the decision module.
-pub struct Core<E: Transport> {
-    gateway: Engine,
-    bans: Bans,
-    /// What a successor was given.
-    handed_over_state: Option<LearnedState>,
-    /// Attempts of a predecessor that are still out, by account.
-    before: HashMap<AccountId, u32>,
-    /// A successor serves, and nothing is to begin here.
-    finishing: bool,
-    edges: E,
+/// What a core is made of.
+pub struct CoreOptions<T: Transport> {
+    /// Settings of the engine.
+    pub settings: Settings,
+    /// Seed of the engine's random numbers.
+    pub seed: u64,
+    /// Most requests that are open at a time; more are rejected.
+    pub max_open: usize,
+    /// Carries out what the core asks for.
+    pub transport: T,
+    /// The clock of the engine.
+    pub clock: Clock,
+    /// Receives a message whenever an endpoint update names a ready server; for the first one capacity 1 is
+    /// enough.
+    pub endpoints_known: Sender<()>,
+    /// Holder of quota leases; none where units are not leased.
+    pub lease_holder: Option<Holder>,
+    /// Where requests without an answer and the shutdown are logged.
+    pub log: Logger,
+}
+
+/// The event loop round the decision engine.
+pub struct Core<T: Transport> {
+    engine: Engine,
+    transport: T,
     clock: Clock,
-    log: Logger,
-    /// By class: a refusal is harmless even after it may have run.
-    safe: Vec<bool>,
-    max_attempts: usize,
-    /// When to come back where there is no room for a request; nothing where agents are not told.
-    advice: Duration,
-    counter_timeout: Micros,
-    max_open: usize,
-    open: HashMap<u64, Open<E>>,
-    /// The names of those that have one.
-    names: HashSet<RequestId>,
-    out: HashMap<AttemptId, Out>,
-    counts: HashMap<u64, u64>,
-    count_calls: u64,
+    timers: Timers<Deadline>,
+    requests: OpenRequests<T>,
+    attempts: RunningAttempts,
+    counter_calls: CounterCalls,
     /// None where units are not leased.
     leases: Option<Leases>,
-    timers: Timers<Due>,
-    events: VecDeque<Event>,
+    bans: Bans,
+    upgrade: UpgradeState,
+    phase: Phase,
+    rules: RequestRules,
+    /// Events for the engine that follow from its actions.
+    pending_events: VecDeque<Event>,
+    /// Buffer of the engine's actions, kept for its capacity.
     actions: Vec<Action>,
-    ready: Sender<()>,
-    /// Told to stop once every connection of an agent has ended.
-    stopping: bool,
-    /// Out of time for that.
-    stopped: bool,
-    full: LogThrottle,
-    twice: LogThrottle,
+    endpoints_known: Sender<()>,
+    log: Logger,
+    full_log: LogThrottle,
+    duplicate_id_log: LogThrottle,
+}
+
+/// How far the shutdown of the core is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Phase {
+    /// No shutdown was requested.
+    Serving,
+    /// The core ends once no client is connected and nothing is open.
+    Draining,
+    /// The time for that is over.
+    Stopped,
+}
+
+/// What the settings say about single requests.
+struct RequestRules {
+    /// By class: a rejection is harmless even after the request may have run.
+    idempotent_classes: Vec<bool>,
+    max_attempts: usize,
+    /// Retry-After of requests that are rejected because too many are open; zero for no advice.
+    retry_after_when_full: Duration,
 }
 
-impl<E: Transport> Core<E> {
-    /// A core round a new module; `ready` is told once a first node list is known.
-    pub fn new(
-        settings: Settings,
-        seed: u64,
-        max_open: usize,
-        edges: E,
-        clock: Clock,
-        ready: Sender<()>,
-        log: Logger,
-    ) -> Self {
+impl RequestRules {
+    fn new(settings: &Settings) -> Self {
+        let max_retry_after = Duration::from_micros(settings.limits.max_retry_after);
         Self {
-            safe: settings
+            idempotent_classes: settings
                 .classes
                 .iter()
-                .map(|c| c.idempotency == Idempotency::Idempotent)
+                .map(|class| class.idempotency == Idempotency::Idempotent)
                 .collect(),
             max_attempts: settings.limits.max_attempts.max(1) as usize,
-            advice: FULL_ADVICE.min(Duration::from_micros(settings.limits.max_retry_after)),
-            counter_timeout: settings.counter_timeout.max(1_000),
-            gateway: Engine::new(settings, seed),
-            bans: Bans::default(),
-            handed_over_state: None,
-            before: HashMap::new(),
-            finishing: false,
-            edges,
-            clock,
-            log,
-            max_open,
-            open: HashMap::new(),
-            names: HashSet::new(),
-            out: HashMap::new(),
-            counts: HashMap::new(),
-            count_calls: 0,
-            leases: None,
-            timers: Timers::new(),
-            events: VecDeque::new(),
-            actions: Vec::new(),
-            ready,
-            stopping: false,
-            stopped: false,
-            full: LogThrottle::default(),
-            twice: LogThrottle::default(),
+            retry_after_when_full: MAX_RETRY_AFTER_WHEN_FULL.min(max_retry_after),
         }
     }
 
-    /// Has the units of requests leased by this holder.
-    pub fn with_leases(mut self, holder: Holder) -> Self {
-        self.leases = Some(Leases::new(
-            self.clock.now(),
-            holder,
-            &self.gateway.settings.plans,
-        ));
-        self
+    /// Whether requests of a class are idempotent; those of an unknown class are not.
+    fn is_idempotent(&self, class: usize) -> bool {
+        self.idempotent_classes.get(class).copied().unwrap_or(false)
+    }
+}
+
+impl<T: Transport> Core<T> {
+    /// A core with a new engine, which knows no upstream server.
+    pub fn new(options: CoreOptions<T>) -> Self {
+        let rules = RequestRules::new(&options.settings);
+        let counter_timeout = options.settings.counter_timeout.max(MIN_COUNTER_TIMEOUT);
+        let engine = Engine::new(options.settings, options.seed);
+        let leases = options
+            .lease_holder
+            .map(|holder| Leases::new(options.clock.now(), holder, &engine.settings.plans));
+        Self {
+            engine,
+            transport: options.transport,
+            clock: options.clock,
+            timers: Timers::new(),
+            requests: OpenRequests::new(options.max_open),
+            attempts: RunningAttempts::default(),
+            counter_calls: CounterCalls::new(counter_timeout),
+            leases,
+            bans: Bans::default(),
+            upgrade: UpgradeState::default(),
+            phase: Phase::Serving,
+            rules,
+            pending_events: VecDeque::new(),
+            actions: Vec::new(),
+            endpoints_known: options.endpoints_known,
+            log: options.log,
+            full_log: LogThrottle::default(),
+            duplicate_id_log: LogThrottle::default(),
+        }
     }
 
-    /// Runs until it is stopped and everything open is answered.
-    pub fn run(mut self, inputs: Receiver<Input<E>>, commands: Receiver<Command>) -> FinalReport {
-        // What has come by the end is still taken.
-        while self.goes_on() || !(self.stopped || inputs.is_empty()) {
-            let leases_wake = self.leases.as_ref().and_then(Leases::next_wake);
-            let input = match self.timers.next().into_iter().chain(leases_wake).min() {
+    /// Runs until the core is stopped and all open requests are answered. Returns the units that the counter
+    /// does not know of yet.
+    pub fn run(mut self, inputs: Receiver<Input<T>>, commands: Receiver<Command>) -> FinalReport {
+        // Inputs that were queued by the end are still handled.
+        while self.goes_on() || !(self.phase == Phase::Stopped || inputs.is_empty()) {
+            let input = match self.next_wake() {
                 Some(at) => inputs.recv_deadline(self.clock.moment(at)),
                 None => inputs.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             let now = self.clock.now();
             for command in commands.try_iter() {
-                self.obey(now, command);
+                self.handle_command(now, command);
             }
             match input {
-                Ok(input) => self.take(now, input),
+                Ok(input) => self.handle_input(now, input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
-            while let Some(due) = self.timers.due(now) {
-                self.fall_due(now, due);
+            while let Some(deadline) = self.timers.due(now) {
+                self.handle_deadline(now, deadline);
             }
-            self.send_reports(now);
+            self.send_lease_reports(now);
         }
-        self.gateway.unreported_units()
+        self.engine.unreported_units()
     }
 
-    /// Up to the end of the last connection: a request may come on each that is there. A predecessor hands these over, and
-    /// waits for its last calls of the counter too, as what these turn out not to have added goes along.
-    fn goes_on(&self) -> bool {
-        if self.finishing {
-            return !self.open.is_empty() || !self.counts.is_empty();
-        }
-        let alone = self.stopping && self.handed_over_state.is_none();
-        !self.stopped && (!alone || !self.open.is_empty() || self.edges.has_clients())
+    /// When the next timer expires or the next lease report is due.
+    fn next_wake(&self) -> Option<Micros> {
+        let lease_report = self.leases.as_ref().and_then(Leases::next_wake);
+        self.timers.next().into_iter().chain(lease_report).min()
     }
 
-    fn take(&mut self, now: Micros, input: Input<E>) {
-        match input {
-            Input::EndpointUpdate(scope, members) => {
-                let known = members.iter().any(|m| m.readiness == Readiness::Ready);
-                if scope == UpdateScope::Snapshot {
-                    self.bans
-                        .missing(&members)
-                        .iter()
-                        .for_each(|node| self.edges.block_server(node));
-                }
-                let members = self.bans.news(scope, members);
-                self.listed(now, scope, members);
-                if known {
-                    _ = self.ready.try_send(());
-                }
-            }
-            Input::Request(incoming) => self.admit(now, incoming),
-            Input::ClientDisconnected(numbers) => {
-                for number in self.waiting_first(numbers) {
-                    if let Some(open) = self.close(now, number) {
-                        self.tell(now, Event::ClientDisconnected { id: open.id });
-                    }
-                }
-            }
-            Input::ResponseStarted { attempt, value } => self.began(now, attempt, value),
-            Input::AttemptEnded {
-                attempt,
-                outcome,
-                load,
-                value,
-            } => {
-                if let Some(out) = self.take_out(attempt) {
-                    self.ended(now, attempt, out, outcome, load, value);
-                }
-            }
-            Input::HealthChecked {
-                server: node,
-                outcome,
-                latency: took,
-                load,
-            } => {
-                let took = took.as_micros() as Micros;
-                self.tell(
-                    now,
-                    Event::HealthChecked {
-                        server: node,
-                        outcome,
-                        latency: took,
-                        load,
-                    },
-                );
-            }
-            Input::CounterReply {
-                call,
-                outcome,
-                total,
-            } => {
-                if let Some(name) = self.counts.remove(&call) {
-                    self.tell(
-                        now,
-                        Event::CounterReply {
-                            key: name,
-                            total,
-                            outcome,
-                        },
-                    );
-                }
-            }
-            Input::Allocator(event) => self.hear_allocator(now, event),
-            Input::QuotaShares(standing) => self.tell(now, Event::QuotaShares(standing)),
-            // Looked at already.
-            Input::CommandQueued => {}
-            Input::Shutdown(by) => {
-                info!(self.log, "shutting down"; "open" => self.open.len());
-                self.stopping = true;
-                self.timers.set(self.clock.at(by), Due::Stop);
+    /// Whether the loop goes on: until the last connection has ended, as each may carry a request. A
+    /// predecessor hands its connections over, and waits for its last counter calls as well: units that these
+    /// turn out not to have added are part of its final report.
+    fn goes_on(&self) -> bool {
+        if self.upgrade.finishing {
+            return !self.requests.is_empty() || !self.counter_calls.is_empty();
+        }
+        match self.phase {
+            Phase::Serving => true,
+            Phase::Draining => {
+                self.upgrade.state_is_handed_over()
+                    || !self.requests.is_empty()
+                    || self.transport.has_clients()
             }
+            Phase::Stopped => false,
         }
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,62 +1,27 @@
 //! Requests from their admission to their one answer.
 
-use super::deadlines::Due;
+use super::deadlines::Deadline;
 use super::messages::{Answer, AttemptId, IncomingRequest, Transport};
+use super::open_requests::{request_id, OpenRequest, ResponseStream};
 use super::Core;
-use crate::decision::{AccountId, Event, Micros, Request, RequestId};
+use crate::decision::{Event, Micros, Request};
 use slog::{info, warn};
-use std::collections::HashSet;
 use std::sync::Arc;
 
-/// What the module gives up so shortly before its deadline has run out of time, not out of nodes.
-pub(super) const LAST_MOMENTS: Micros = 50_000;
-
-pub(super) struct Open<E: Transport> {
-    pub(super) id: RequestId,
-    pub(super) name: Option<RequestId>,
-    pub(super) account: AccountId,
-    /// None once its answer has begun to stream.
-    pub(super) client: Option<E::Client>,
-    /// The attempt whose value is on its way to the agent, and since when: nothing is sent any more, and no time-out cuts
-    /// it off.
-    pub(super) streams: Option<(AttemptId, Micros)>,
-    pub(super) call: Arc<E::Call>,
-    pub(super) deadline: Micros,
-    pub(super) attempts: usize,
-    pub(super) late: bool,
-    pub(super) may_have_run: bool,
-    pub(super) safe: bool,
-}
-
-impl<E: Transport> Core<E> {
-    pub(super) fn admit(&mut self, now: Micros, incoming: IncomingRequest<E::Client, E::Call>) {
-        let arrived = self.clock.at(incoming.arrived).min(now);
-        let deadline = arrived + incoming.timeout.as_micros() as Micros;
-        // Bounds the memory that requests hold. Nothing has run yet, so the refusal is harmless.
-        if self.open.len() >= self.max_open {
-            if let Some(more) = self.full.permit() {
-                warn!(self.log, "too many open requests"; "open" => self.open.len(), "suppressed" => more);
-            }
-            let answer = Answer::Rejected {
-                retry_after: self.advice,
-                timed_out: false,
-            };
-            return self.edges.answer(incoming.client, answer);
+impl<T: Transport> Core<T> {
+    /// Opens a request, unless too many are open or one with the same client id is.
+    pub(super) fn admit(&mut self, now: Micros, incoming: IncomingRequest<T::Client, T::Call>) {
+        // Bounds the memory that requests use. Nothing has run yet, so the rejection is harmless.
+        if self.requests.is_full() {
+            return self.reject_when_full(incoming.client);
         }
-        // Guards against the id of another agent's open request: ticket nodes would take the one for the other.
-        if incoming
-            .id
-            .as_ref()
-            .is_some_and(|name| !self.names.insert(name.clone()))
-        {
-            if let Some(more) = self.twice.permit() {
-                info!(self.log, "duplicate id of an open request"; "suppressed" => more);
-            }
-            return self
-                .edges
-                .answer(incoming.client, Answer::Failed { timed_out: false });
+        // Upstream servers would take the request for the open one of another client.
+        if !self.requests.reserve_client_id(incoming.id.as_ref()) {
+            return self.fail_duplicate(incoming.client);
         }
-        let id = RequestId::from(format!("{:x}", incoming.number).as_str());
+        let arrived = self.clock.at(incoming.arrived).min(now);
+        let deadline = arrived + incoming.timeout.as_micros() as Micros;
+        let id = request_id(incoming.number);
         let request = Request {
             id: id.clone(),
             class: incoming.class,
@@ -67,70 +32,102 @@
             limiter_count: incoming.limiter_count,
             first_limiter: incoming.first_limiter,
         };
-        let open = Open {
+        let open = OpenRequest {
             id,
-            name: incoming.id,
+            client_id: incoming.id,
             account: incoming.account,
             client: Some(incoming.client),
-            streams: None,
+            stream: None,
             call: Arc::new(incoming.call),
             deadline,
             attempts: 0,
-            late: false,
+            attempt_timed_out: false,
             may_have_run: false,
-            safe: self.safe.get(incoming.class).copied().unwrap_or(false),
+            is_idempotent: self.rules.is_idempotent(incoming.class),
+        };
+        self.requests.insert(incoming.number, open);
+        self.timers
+            .set(deadline, Deadline::Request(incoming.number));
+        self.notify_engine(now, Event::Request(request));
+    }
+
+    fn reject_when_full(&mut self, client: T::Client) {
+        if let Some(suppressed) = self.full_log.permit() {
+            warn!(self.log, "too many open requests";
+                "open" => self.requests.len(), "suppressed" => suppressed);
+        }
+        let answer = Answer::Rejected {
+            retry_after: self.rules.retry_after_when_full,
+            timed_out: false,
         };
-        self.open.insert(incoming.number, open);
-        self.timers.set(deadline, Due::Request(incoming.number));
-        self.tell(now, Event::Request(request));
+        self.transport.answer(client, answer);
+    }
+
+    fn fail_duplicate(&mut self, client: T::Client) {
+        if let Some(suppressed) = self.duplicate_id_log.permit() {
+            info!(self.log, "duplicate id of an open request"; "suppressed" => suppressed);
+        }
+        self.transport
+            .answer(client, Answer::Failed { timed_out: false });
     }
 
-    /// The order in which requests end together: what waits would be sent on in the place that another leaves.
+    /// Closes the requests of a client that has disconnected.
+    pub(super) fn abandon_requests(&mut self, now: Micros, numbers: Vec<u64>) {
+        for number in self.waiting_first(numbers) {
+            if let Some(request) = self.close(now, number) {
+                self.notify_engine(now, Event::ClientDisconnected { id: request.id });
+            }
+        }
+    }
+
+    /// Sorts requests that end together: those without a running attempt first, as each would be forwarded
+    /// once the end of another one leaves room for it.
     pub(super) fn waiting_first(&self, mut numbers: Vec<u64>) -> Vec<u64> {
-        let out: HashSet<u64> = self.out.keys().map(|attempt| attempt.request).collect();
-        numbers.sort_by_key(|number| out.contains(number));
+        let forwarded = self.attempts.requests();
+        numbers.sort_by_key(|number| forwarded.contains(number));
         numbers
     }
 
-    /// Guards against a module that says nothing: the agent gets its answer at its deadline all the same.
-    pub(super) fn overdue(&mut self, now: Micros, number: u64) {
-        let Some(open) = self.close(now, number) else {
+    /// Fails a request at its deadline, whatever the engine is waiting for.
+    pub(super) fn expire_request(&mut self, now: Micros, number: u64) {
+        let Some(request) = self.close(now, number) else {
             return;
         };
-        warn!(self.log, "no answer by the deadline"; "request" => &*open.id.0, "attempts" => open.attempts);
-        self.answer(open.client, Answer::Failed { timed_out: true });
-        self.tell(now, Event::ClientDisconnected { id: open.id });
+        warn!(self.log, "no answer by the deadline";
+            "request" => &*request.id.0, "attempts" => request.attempts);
+        self.answer(request.client, Answer::Failed { timed_out: true });
+        self.notify_engine(now, Event::ClientDisconnected { id: request.id });
     }
 
-    /// Takes a request out of the open ones: its answer is due now, and what is not written for it yet never will be.
-    pub(super) fn close(&mut self, now: Micros, number: u64) -> Option<Open<E>> {
-        let open = self.open.remove(&number)?;
+    /// Removes a request from the open ones, as its answer is due now. Attempts that are not written yet
+    /// never will be.
+    pub(super) fn close(&mut self, now: Micros, number: u64) -> Option<OpenRequest<T>> {
+        let request = self.requests.remove(number)?;
         if let Some(leases) = &mut self.leases {
-            leases.close(now, &open.id, open.attempts > 0);
+            leases.close(now, &request.id, request.attempts > 0);
         }
-        for attempt in 0..open.attempts {
+        for attempt in 0..request.attempts {
             let attempt = AttemptId {
                 request: number,
                 attempt,
             };
-            if self.out.contains_key(&attempt) && self.edges.withdraw(attempt) {
-                self.take_out(attempt);
+            if self.attempts.contains(attempt) && self.transport.withdraw(attempt) {
+                self.remove_attempt(attempt);
             }
         }
-        if let Some(name) = &open.name {
-            self.names.remove(name);
-        }
-        Some(open)
+        Some(request)
+    }
+
+    /// The response that is being streamed to the client of a request, if any.
+    pub(super) fn response_stream(&self, number: u64) -> Option<ResponseStream> {
+        self.requests.get(number)?.stream
     }
 
-    /// Nothing if the answer has begun: where it ends, the agent sees.
-    pub(super) fn answer(&mut self, client: Option<E::Client>, answer: Answer<E::Value>) {
+    /// Sends the answer of a request. A client whose response is being streamed gets none: it notices where
+    /// the response breaks off.
+    pub(super) fn answer(&mut self, client: Option<T::Client>, answer: Answer<T::Value>) {
         if let Some(client) = client {
-            self.edges.answer(client, answer);
+            self.transport.answer(client, answer);
         }
     }
 }
-
-pub(super) fn number(id: &RequestId) -> u64 {
-    u64::from_str_radix(&id.0, 16).unwrap_or(u64::MAX)
-}
--- /dev/null
+++ b/src/core/upgrade.rs
@@ -0,0 +1,94 @@
+//! The core's part in an upgrade: state given to a successor or adopted from a predecessor.
+
+use super::commands::HandOverCommand;
+use super::messages::Transport;
+use super::Core;
+use crate::decision::{AccountId, Micros, UpdateScope};
+use crate::handover::message::{Body, LearnedState};
+use std::collections::HashMap;
+use std::mem::take;
+
+/// What the core knows of the other process of an upgrade.
+#[derive(Default)]
+pub(super) struct UpgradeState {
+    /// The state that a successor was given, while there is one.
+    handed_over: Option<LearnedState>,
+    /// Attempts of a predecessor that are still running, by account.
+    predecessor_attempts: HashMap<AccountId, u32>,
+    /// A successor serves; this process only finishes what is open.
+    pub(super) finishing: bool,
+}
+
+impl UpgradeState {
+    /// Whether a successor has the state of this process.
+    pub(super) fn state_is_handed_over(&self) -> bool {
+        self.handed_over.is_some()
+    }
+}
+
+impl<T: Transport> Core<T> {
+    /// Handles a command of the hand-over.
+    pub(super) fn handle_hand_over_command(&mut self, now: Micros, command: HandOverCommand) {
+        match command {
+            HandOverCommand::GiveState(reply) => {
+                let state = self.state_for_successor();
+                self.upgrade.handed_over = Some(state.clone());
+                _ = reply.try_send(state);
+            }
+            HandOverCommand::ReclaimState => {
+                if let Some(state) = self.upgrade.handed_over.take() {
+                    self.engine.reclaim_state(state);
+                }
+            }
+            HandOverCommand::SuccessorGone => self.upgrade.handed_over = None,
+            HandOverCommand::AdoptState(state, reply) => {
+                self.adopt_state(now, state);
+                _ = reply.try_send(());
+            }
+            HandOverCommand::PeerNews(message) => self.handle_peer_message(now, message),
+            HandOverCommand::Finish => self.upgrade.finishing = true,
+        }
+    }
+
+    fn state_for_successor(&mut self) -> LearnedState {
+        let bans = self.bans.all();
+        LearnedState {
+            bans,
+            ..self.engine.learned_state()
+        }
+    }
+
+    fn adopt_state(&mut self, now: Micros, state: LearnedState) {
+        let mut endpoints = Vec::new();
+        for ban in &state.bans {
+            endpoints.extend(self.bans.take(ban));
+        }
+        self.notify_endpoints(now, UpdateScope::Delta, endpoints);
+        self.upgrade.predecessor_attempts = self.engine.adopt_state(now, state);
+    }
+
+    fn handle_peer_message(&mut self, now: Micros, message: Body) {
+        match message {
+            Body::Ban(ban) => self.adopt_ban(now, &ban),
+            Body::Ended(account) => {
+                let account = AccountId::from(&*account);
+                let running = self.upgrade.predecessor_attempts.get_mut(&account);
+                if let Some(running) = running.filter(|running| **running > 0) {
+                    *running -= 1;
+                    self.engine.ended_before(&account);
+                }
+            }
+            Body::FinalReport(report) => {
+                // All attempts of the predecessor have ended with it.
+                for (account, running) in take(&mut self.upgrade.predecessor_attempts) {
+                    for _ in 0..running {
+                        self.engine.ended_before(&account);
+                    }
+                }
+                self.engine.take_unreported(report);
+            }
+            // Messages of the hand-over itself are not for the core.
+            _ => {}
+        }
+    }
+}
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -9,7 +9,7 @@
 use crate::admin::line::{self, AdminContext};
 use crate::client::{ClientProtocol, Front};
 use crate::config::Common;
-use crate::core::{Clock, Command, Core};
+use crate::core::{Clock, Command, Core, CoreOptions};
 use crate::counter::{CountLines, Counted};
 use crate::decision::{QuotaShares, RequestClass, UpdateScope};
 use crate::handover::{Beside, Limiting};
@@ -271,19 +271,16 @@
         clock: Clock,
         endpoints_known: Sender<()>,
     ) -> Core<LimiterTransport<P::Upstream>> {
-        let core = Core::new(
-            common.settings,
-            common.seed,
-            common.max_open,
+        Core::new(CoreOptions {
+            settings: common.settings,
+            seed: common.seed,
+            max_open: common.max_open,
             transport,
             clock,
             endpoints_known,
-            self.log_of("core"),
-        );
-        match common.leases {
-            Some(leases) => core.with_leases(leases.holder(clock.now())),
-            None => core,
-        }
+            lease_holder: common.leases.map(|leases| leases.holder(clock.now())),
+            log: self.log_of("core"),
+        })
     }
 }
 
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -2,7 +2,8 @@
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
 use mossrill::core::{
-    Answer, AttemptDeadlines, AttemptId, Clock, Core, IncomingRequest, Input, Transport,
+    Answer, AttemptDeadlines, AttemptId, Clock, Core, CoreOptions, IncomingRequest, Input,
+    Transport,
 };
 use mossrill::decision::*;
 use slog::{o, Discard, Logger};
@@ -110,15 +111,16 @@
     inputs.into_iter().for_each(|input| _ = queue.send(input));
     let (edges, log) = (Played { answers, started }, Logger::root(Discard, o!()));
     thread::spawn(move || {
-        Core::new(
+        Core::new(CoreOptions {
             settings,
-            7,
+            seed: 7,
             max_open,
-            edges,
-            Clock::start(),
-            bounded(1).0,
+            transport: edges,
+            clock: Clock::start(),
+            endpoints_known: bounded(1).0,
+            lease_holder: None,
             log,
-        )
+        })
         .run(taken, never());
     });
     (queue, told, attempts)
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -2,7 +2,8 @@
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
 use mossrill::core::{
-    Answer, AttemptDeadlines, AttemptId, Clock, Core, IncomingRequest, Input, Transport,
+    Answer, AttemptDeadlines, AttemptId, Clock, Core, CoreOptions, IncomingRequest, Input,
+    Transport,
 };
 use mossrill::decision::*;
 use mossrill::quota_lease::holder::{Holder, HolderSettings};
@@ -131,8 +132,17 @@
             },
         );
         thread::spawn(move || {
-            let core = Core::new(settings, 7, 100, Played(tell), clock, bounded(1).0, log);
-            core.with_leases(holder).run(inputs, never());
+            Core::new(CoreOptions {
+                settings,
+                seed: 7,
+                max_open: 100,
+                transport: Played(tell),
+                clock,
+                endpoints_known: bounded(1).0,
+                lease_holder: Some(holder),
+                log,
+            })
+            .run(inputs, never());
         });
         Self { queue, wanted }
     }
