--- a/src/bin/mossrill-allocator.rs
+++ b/src/bin/mossrill-allocator.rs
@@ -8,8 +8,11 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use slog::{crit, info, o, Drain, Logger};
+use std::error::Error;
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use thiserror::Error;
 
 /// Grants leases of quota units to limiters.
 #[derive(Parser)]
@@ -19,27 +22,38 @@
     config: PathBuf,
 }
 
+/// Why the allocator can't start.
+#[derive(Debug, Error)]
+enum StartError {
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    #[error(transparent)]
+    Config(Box<dyn Error>),
+    #[error(transparent)]
+    Server(io::Error),
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let drain =
-        slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(std::io::stderr())).build();
+    let stderr = slog_term::PlainSyncDecorator::new(io::stderr());
+    let drain = slog_term::FullFormat::new(stderr).build();
     let log = Logger::root(drain.fuse(), o!());
     match run(&arguments, &log) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            crit!(log, "cannot start"; "error" => fault);
+        Err(error) => {
+            crit!(log, "cannot start"; "error" => %error);
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(arguments: &Arguments, log: &Logger) -> Result<(), String> {
-    // Before anything listens: the signal to stop may come at any time.
-    let mut signals =
-        Signals::new([SIGTERM, SIGINT]).map_err(|fault| format!("signals: {fault}"))?;
-    let config =
-        AllocatorConfig::from_file(&arguments.config).map_err(|fault| fault.to_string())?;
-    let server = Server::start(config, log).map_err(|fault| fault.to_string())?;
+/// Serves limiters until SIGTERM or SIGINT.
+fn run(arguments: &Arguments, log: &Logger) -> Result<(), StartError> {
+    // Signals are handled before anything listens, as one may arrive at any time.
+    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(StartError::Signals)?;
+    let config = AllocatorConfig::from_file(&arguments.config)
+        .map_err(|error| StartError::Config(error.into()))?;
+    let server = Server::start(config, log).map_err(StartError::Server)?;
     signals.forever().next();
     info!(log, "shutdown requested");
     server.stop();
--- a/src/quota_lease/allocator.rs
+++ b/src/quota_lease/allocator/mod.rs
@@ -1,23 +1,25 @@
-//! An allocator: grants units out of the token buckets of the accounts that it owns.
+//! An allocator: grants units from the token buckets of the accounts that it owns.
 //!
-//! Free of I/O and clocks. `docs/quota-leases.md` derives the bounds.
+//! It has no I/O and no clock. `docs/quota-leases.md` derives the bounds.
 
-use std::collections::{HashMap, VecDeque};
-
-use prost::Message;
+mod account;
+mod ownership;
 
-use super::account::{Account, GrantRules, SlotClock, LEASE_SLOTS};
-pub use super::message::Dropped;
 use super::message::{
-    AccountKey, Grant, GrantEntry, MessageError, Report, ReportEntry, Verdict, FORMAT,
+    AccountKey, DroppedMessages, Grant, GrantEntry, MessageError, Report, ReportEntry, Verdict,
+    FORMAT,
 };
-pub use super::ownership::Ownership;
-use super::ownership::OwnershipHistory;
 use crate::decision::Micros;
+use account::{Account, GrantRules, SlotClock, LEASE_SLOTS};
+use ownership::OwnershipHistory;
+use prost::Message;
+use std::collections::{HashMap, VecDeque};
+
+pub use ownership::Ownership;
 
 const MICROS_PER_MILLI: Micros = 1_000;
-/// Accounts looked at for forgetting with each report, besides one for each entry.
-const SWEPT_PER_REPORT: usize = 8;
+/// Accounts checked for removal with each report, besides one for each entry.
+const CHECKED_PER_REPORT: usize = 8;
 
 const NOT_OWNER: GrantEntry = GrantEntry {
     verdict: Verdict::NotOwner,
@@ -25,18 +27,18 @@
     hold_off_ms: 0,
 };
 
-/// What an allocator is told at its start.
+/// Settings of an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AllocatorSettings {
-    /// Limiters that are configured: a report from another number is not taken.
+    /// Configured limiters. Reports from other numbers are dropped.
     pub limiters: u32,
-    /// How long leased units may be used, from the first sending of the report.
+    /// Duration of a lease in µs, from the first sending of the report.
     pub lease: Micros,
-    /// One limiter's expected requests get at most one over this of what is left.
+    /// The expected requests of one limiter get at most one over this of the remaining units.
     pub forecast_share: u32,
-    /// A limiter is held off from an exhausted account for so long at most.
+    /// The longest time in µs until a limiter may request units of an exhausted account again.
     pub max_hold_off: Micros,
-    /// Accounts kept at most. Those that find no place are answered as exhausted.
+    /// The most accounts in memory. Further ones are answered as exhausted.
     pub max_accounts: usize,
 }
 
@@ -52,12 +54,13 @@
     }
 }
 
-/// The last answer to a limiter.
+/// The last answer to a limiter, which a retry of its report gets again.
 #[derive(Clone, Debug)]
-struct Kept {
+struct CachedAnswer {
     incarnation: u64,
     sequence: u64,
-    answer: Vec<u8>,
+    /// The encoded [`Grant`].
+    bytes: Vec<u8>,
 }
 
 /// The state of one allocator.
@@ -69,14 +72,15 @@
     ownership: OwnershipHistory,
     clock: SlotClock,
     accounts: HashMap<AccountKey, Account>,
-    /// All accounts, in the order in which they are looked at for forgetting.
-    sweep: VecDeque<AccountKey>,
-    kept: HashMap<u32, Kept>,
-    dropped: Dropped,
+    /// All accounts, in the order in which they are checked for removal.
+    removal_queue: VecDeque<AccountKey>,
+    /// By limiter.
+    cached_answers: HashMap<u32, CachedAnswer>,
+    dropped: DroppedMessages,
 }
 
 impl Allocator {
-    /// The allocator with this number, of so many. `incarnation` is higher at each start and not 0.
+    /// Returns allocator `number` of `allocators`. `incarnation` is higher at each start and not 0.
     pub fn new(
         number: u32,
         allocators: u32,
@@ -93,48 +97,52 @@
                 width: settings.lease.div_ceil(LEASE_SLOTS),
             },
             accounts: HashMap::new(),
-            sweep: VecDeque::new(),
-            kept: HashMap::new(),
-            dropped: Dropped::default(),
+            removal_queue: VecDeque::new(),
+            cached_answers: HashMap::new(),
+            dropped: DroppedMessages::default(),
         }
     }
 
-    /// Takes what its fleet's leases tell; to be called whenever they change and well before they run out.
+    /// Sets the leases of the allocators. To be called whenever they change and well before they end.
     pub fn set_ownership(&mut self, now: Micros, ownership: Ownership) {
         self.clock.origin = self.clock.origin.min(now);
         self.ownership.set(now, ownership);
     }
 
-    /// Carries out a report, or gives the answer again that it gave to it before.
+    /// Grants units for a report. A retry of the last report gets the same answer again.
+    ///
+    /// # Errors
+    ///
+    /// If the report is invalid, its sender unknown, or a later one was answered. The error is counted.
     pub fn on_report(&mut self, now: Micros, report: &Report) -> Result<Grant, MessageError> {
-        let answer = self.answer(now, report);
-        if let Err(reason) = &answer {
-            self.dropped.count(reason);
-        }
-        answer
+        self.answer(now, report)
+            .inspect_err(|reason| self.dropped.count(reason))
     }
 
-    /// Reports that were not taken, by reason.
-    pub fn dropped(&self) -> Dropped {
+    /// Returns the counts of dropped reports.
+    pub fn dropped(&self) -> DroppedMessages {
         self.dropped
     }
 
-    /// Counts a message that could not be read.
+    /// Counts a report that could not be decoded.
     pub fn count_dropped(&mut self, reason: &MessageError) {
         self.dropped.count(reason);
     }
 
-    /// Accounts that it keeps.
+    /// Returns the number of accounts in memory.
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Bytes of the answers that it keeps.
-    pub fn kept_bytes(&self) -> usize {
-        self.kept.values().map(|kept| kept.answer.len()).sum()
+    /// Returns the bytes of the cached answers.
+    pub fn cached_answer_bytes(&self) -> usize {
+        self.cached_answers
+            .values()
+            .map(|answer| answer.bytes.len())
+            .sum()
     }
 
-    /// Does it hold its own lease?
+    /// Returns whether the allocator holds its own lease.
     pub fn is_serving(&self, now: Micros) -> bool {
         self.ownership.serving(now)
     }
@@ -144,29 +152,28 @@
         if report.limiter >= self.settings.limiters {
             return Err(MessageError::UnknownSender(report.limiter));
         }
-        if let Some(kept) = self.kept.get(&report.limiter) {
-            let last = (kept.incarnation, kept.sequence);
-            let this = (report.incarnation, report.sequence);
-            if this < last {
+        if let Some(cached) = self.cached_answers.get(&report.limiter) {
+            let last = (cached.incarnation, cached.sequence);
+            let current = (report.incarnation, report.sequence);
+            if current < last {
                 return Err(MessageError::Outdated(report.sequence));
             }
-            if this == last {
-                return Grant::read(&kept.answer);
+            if current == last {
+                return Grant::read(&cached.bytes);
             }
         }
-        let grant = self.carry_out(now, report);
-        let answer = grant.encode_to_vec();
-        let kept = Kept {
+        let grant = self.grant_report(now, report);
+        let answer = CachedAnswer {
             incarnation: report.incarnation,
             sequence: report.sequence,
-            answer,
+            bytes: grant.encode_to_vec(),
         };
-        self.kept.insert(report.limiter, kept);
-        self.forget_idle(now, SWEPT_PER_REPORT + report.accounts.len());
+        self.cached_answers.insert(report.limiter, answer);
+        self.remove_idle(now, CHECKED_PER_REPORT + report.accounts.len());
         Ok(grant)
     }
 
-    fn carry_out(&mut self, now: Micros, report: &Report) -> Grant {
+    fn grant_report(&mut self, now: Micros, report: &Report) -> Grant {
         let lease_ms = self.settings.lease / MICROS_PER_MILLI;
         let mut grant = Grant {
             format: FORMAT,
@@ -175,30 +182,40 @@
             limiter_incarnation: report.incarnation,
             sequence: report.sequence,
             serving: self.ownership.serving(now),
-            given_away: self.ownership.given_away(now),
+            given_away: self.ownership.reassigned(now),
             slot: self.clock.slot(now),
             lease_ms: u32::try_from(lease_ms).unwrap_or(u32::MAX),
             ..Grant::default()
         };
         for entry in report.entries() {
-            let given = match report.addressed_to {
-                0 => self.grant_entry(
-                    now,
-                    &ReportEntry {
-                        returned: 0,
-                        beyond: 0,
-                        ..entry
-                    },
-                ),
-                incarnation if incarnation == self.incarnation => self.grant_entry(now, &entry),
-                _ => NOT_OWNER,
-            };
-            grant.push(&given);
+            grant.push(&self.grant_addressed(now, report.addressed_to, entry));
         }
         grant.leave_out_zeros();
         grant
     }
 
+    /// Grants an entry of a report to the incarnation `addressed_to`, 0 for any.
+    fn grant_addressed(
+        &mut self,
+        now: Micros,
+        addressed_to: u64,
+        entry: ReportEntry,
+    ) -> GrantEntry {
+        if addressed_to == 0 {
+            // Units can be returned, and use reported, only to the incarnation that granted them.
+            let request_only = ReportEntry {
+                returned: 0,
+                beyond: 0,
+                ..entry
+            };
+            return self.grant_entry(now, &request_only);
+        }
+        if addressed_to != self.incarnation {
+            return NOT_OWNER;
+        }
+        self.grant_entry(now, &entry)
+    }
+
     fn grant_entry(&mut self, now: Micros, entry: &ReportEntry) -> GrantEntry {
         let Some(owned_since) = self.ownership.owned_since(now, entry.account) else {
             return NOT_OWNER;
@@ -225,22 +242,22 @@
         }
     }
 
-    /// The account, opened anew if it is not known or somebody else may have owned it meanwhile. None if there is no place.
+    /// Returns the account, opened anew if it is not in memory or another allocator may have owned it in
+    /// the meantime; `None` if there are too many.
     fn account(
         &mut self,
         now: Micros,
         owned_since: Micros,
         entry: &ReportEntry,
     ) -> Option<&mut Account> {
-        let known = self.accounts.get(&entry.account);
-        if known.is_none() && self.accounts.len() >= self.settings.max_accounts {
-            self.forget_idle(now, SWEPT_PER_REPORT);
+        if !self.accounts.contains_key(&entry.account) {
+            if self.accounts.len() >= self.settings.max_accounts {
+                self.remove_idle(now, CHECKED_PER_REPORT);
+            }
             if self.accounts.len() >= self.settings.max_accounts {
                 return None;
             }
-        }
-        if !self.accounts.contains_key(&entry.account) {
-            self.sweep.push_back(entry.account);
+            self.removal_queue.push_back(entry.account);
         }
         let new = || Account::open(owned_since, entry.limits);
         let account = self.accounts.entry(entry.account).or_insert_with(new);
@@ -250,23 +267,23 @@
         Some(account)
     }
 
-    /// Looks at the next `count` accounts and forgets those that it does not own any more, and those of which nothing is out
-    /// and whose bucket is full.
-    fn forget_idle(&mut self, now: Micros, count: usize) {
-        for _ in 0..count.min(self.sweep.len()) {
-            let Some(key) = self.sweep.pop_front() else {
+    /// Checks the next `count` accounts; removes those that this allocator does not own any more, and
+    /// those with a full bucket of which no units are leased.
+    fn remove_idle(&mut self, now: Micros, count: usize) {
+        for _ in 0..count.min(self.removal_queue.len()) {
+            let Some(key) = self.removal_queue.pop_front() else {
                 return;
             };
             let owned = self.ownership.owned_since(now, key).is_some();
             let clock = self.clock;
-            let idle = self
+            let removable = self
                 .accounts
                 .get_mut(&key)
                 .is_none_or(|account| !owned || account.is_idle(now, clock));
-            if idle {
+            if removable {
                 self.accounts.remove(&key);
             } else {
-                self.sweep.push_back(key);
+                self.removal_queue.push_back(key);
             }
         }
     }
--- a/src/quota_lease/frame.rs
+++ b/src/quota_lease/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a TCP connection: the length of a message as 32 bits, big endian, and then the message.
+//! Frames on a TCP connection: the length of a message as 32 bits, big endian, followed by the message.
 
 use super::message::MAX_BYTES;
 use std::io::{self, ErrorKind, Read, Write};
@@ -7,9 +7,9 @@
 use thiserror::Error;
 
 /// Bytes of the length before each message.
-const HEADER: usize = size_of::<u32>();
+const HEADER_BYTES: usize = size_of::<u32>();
 /// The shortest timeout that a socket can be given.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(1);
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why a frame could not be read or written. After any of these the connection can't be used again.
 #[derive(Debug, Error)]
@@ -19,13 +19,13 @@
     Closed,
     /// The connection ended inside a frame.
     #[error("connection closed inside a frame")]
-    Cut,
-    /// No byte of a frame came in time.
+    Truncated,
+    /// No byte of a frame arrived in time.
     #[error("no frame in time")]
-    Idle,
-    /// A frame was not read or written whole in time.
+    IdleTimeout,
+    /// A frame was not completely read or written in time.
     #[error("frame not complete in time")]
-    Slow,
+    FrameTimeout,
     /// A frame without a message.
     #[error("empty frame")]
     Empty,
@@ -34,28 +34,32 @@
     TooLong(usize),
     /// The connection failed.
     #[error("connection failed: {0}")]
-    Io(io::Error),
+    Io(#[source] io::Error),
 }
 
-/// How long reading and writing may take.
+/// Timeouts of reading and writing.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
     /// Time until the first byte of a frame.
     pub idle: Duration,
-    /// Time for one whole frame, once it has begun.
+    /// Time for the rest of a frame after its first byte.
     pub frame: Duration,
 }
 
 /// Reads the next message of a connection.
+///
+/// # Errors
+///
+/// If the connection ends or fails, a timeout expires, or the length is out of range.
 pub fn read(stream: &TcpStream, timeouts: Timeouts) -> Result<Vec<u8>, FrameError> {
-    let mut header = [0; HEADER];
+    let mut header = [0; HEADER_BYTES];
     let (first, rest) = header.split_at_mut(1);
-    read_first(stream, first, Instant::now() + timeouts.idle)?;
-    let mut timed = Timed {
+    read_first_byte(stream, first, Instant::now() + timeouts.idle)?;
+    let mut reader = DeadlineStream {
         stream,
-        until: Instant::now() + timeouts.frame,
+        deadline: Instant::now() + timeouts.frame,
     };
-    timed.read_exact(rest).map_err(inside_a_frame)?;
+    reader.read_exact(rest).map_err(error_inside_frame)?;
     let length = u32::from_be_bytes(header) as usize;
     if length == 0 {
         return Err(FrameError::Empty);
@@ -63,19 +67,23 @@
     if length > MAX_BYTES {
         return Err(FrameError::TooLong(length));
     }
-    // Memory grows with the bytes that come, not with the length that is claimed.
+    // Memory is allocated for the bytes that arrive, not for the announced length.
     let mut message = Vec::new();
-    timed
+    reader
         .take(length as u64)
         .read_to_end(&mut message)
-        .map_err(inside_a_frame)?;
+        .map_err(error_inside_frame)?;
     if message.len() < length {
-        return Err(FrameError::Cut);
+        return Err(FrameError::Truncated);
     }
     Ok(message)
 }
 
 /// Writes one message.
+///
+/// # Errors
+///
+/// If the connection fails, the timeout expires, or the length is out of range.
 pub fn write(stream: &TcpStream, message: &[u8], timeout: Duration) -> Result<(), FrameError> {
     if message.is_empty() {
         return Err(FrameError::Empty);
@@ -83,63 +91,67 @@
     if message.len() > MAX_BYTES {
         return Err(FrameError::TooLong(message.len()));
     }
-    let mut frame = Vec::with_capacity(HEADER + message.len());
+    let mut frame = Vec::with_capacity(HEADER_BYTES + message.len());
     frame.extend_from_slice(&(message.len() as u32).to_be_bytes());
     frame.extend_from_slice(message);
-    let mut timed = Timed {
+    let mut writer = DeadlineStream {
         stream,
-        until: Instant::now() + timeout,
+        deadline: Instant::now() + timeout,
     };
-    timed.write_all(&frame).map_err(inside_a_frame)
+    writer.write_all(&frame).map_err(error_inside_frame)
 }
 
-fn read_first(stream: &TcpStream, first: &mut [u8], until: Instant) -> Result<(), FrameError> {
-    match (Timed { stream, until }).read_exact(first) {
+fn read_first_byte(
+    stream: &TcpStream,
+    first: &mut [u8],
+    deadline: Instant,
+) -> Result<(), FrameError> {
+    match (DeadlineStream { stream, deadline }).read_exact(first) {
         Ok(()) => Ok(()),
-        Err(fault) if fault.kind() == ErrorKind::UnexpectedEof => Err(FrameError::Closed),
-        Err(fault) if is_timeout(&fault) => Err(FrameError::Idle),
-        Err(fault) => Err(FrameError::Io(fault)),
+        Err(error) if error.kind() == ErrorKind::UnexpectedEof => Err(FrameError::Closed),
+        Err(error) if is_timeout(&error) => Err(FrameError::IdleTimeout),
+        Err(error) => Err(FrameError::Io(error)),
     }
 }
 
-fn inside_a_frame(fault: io::Error) -> FrameError {
-    match fault.kind() {
-        ErrorKind::UnexpectedEof | ErrorKind::WriteZero => FrameError::Cut,
-        _ if is_timeout(&fault) => FrameError::Slow,
-        _ => FrameError::Io(fault),
+fn error_inside_frame(error: io::Error) -> FrameError {
+    match error.kind() {
+        ErrorKind::UnexpectedEof | ErrorKind::WriteZero => FrameError::Truncated,
+        _ if is_timeout(&error) => FrameError::FrameTimeout,
+        _ => FrameError::Io(error),
     }
 }
 
-fn is_timeout(fault: &io::Error) -> bool {
-    matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+fn is_timeout(error: &io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// A stream whose reads and writes all end at one moment, however slowly bytes trickle.
-struct Timed<'a> {
+/// A stream whose reads and writes share one deadline, however slowly bytes arrive.
+struct DeadlineStream<'a> {
     stream: &'a TcpStream,
-    until: Instant,
+    deadline: Instant,
 }
 
-impl Timed<'_> {
-    fn left(&self) -> io::Result<Duration> {
-        let left = self.until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+impl DeadlineStream<'_> {
+    fn remaining(&self) -> io::Result<Duration> {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(ErrorKind::TimedOut.into());
         }
-        Ok(left.max(SHORTEST_TIMEOUT))
+        Ok(remaining.max(MIN_TIMEOUT))
     }
 }
 
-impl Read for Timed<'_> {
+impl Read for DeadlineStream<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        self.stream.set_read_timeout(Some(self.left()?))?;
+        self.stream.set_read_timeout(Some(self.remaining()?))?;
         self.stream.read(buffer)
     }
 }
 
-impl Write for Timed<'_> {
+impl Write for DeadlineStream<'_> {
     fn write(&mut self, buffer: &[u8]) -> io::Result<usize> {
-        self.stream.set_write_timeout(Some(self.left()?))?;
+        self.stream.set_write_timeout(Some(self.remaining()?))?;
         self.stream.write(buffer)
     }
 
--- a/src/quota_lease/holder/accounts.rs
+++ b/src/quota_lease/holder/accounts.rs
@@ -1,23 +1,22 @@
-//! Accounts, their timers, and how many are kept.
+//! The accounts in memory, their timers, and the eviction of unused ones.
 
-use super::super::held::Due;
-use super::super::message::AccountKey;
+use super::leased_account::ReportDue;
 use super::Holder;
 use crate::decision::Micros;
+use crate::quota_lease::message::AccountKey;
 
-/// Accounts tried for a place when there is none left.
-const EVICTION_TRIES: usize = 32;
+/// Accounts considered for eviction when there are too many.
+const EVICTION_CANDIDATES: usize = 32;
 
 impl Holder {
+    /// Sets the timer of an account. One that has expired already is left as it is.
     pub(super) fn set_timer(&mut self, now: Micros, key: AccountKey) {
-        // One that is due already is not put off.
-        let Some(account) = self
-            .accounts
-            .get_mut(&key)
-            .filter(|account| account.timer > now)
-        else {
+        let Some(account) = self.accounts.get_mut(&key) else {
             return;
         };
+        if account.timer <= now {
+            return;
+        }
         let next = account.next_timer(now, &self.settings);
         if next != account.timer {
             self.timers.remove(&(account.timer, key));
@@ -26,58 +25,61 @@
         }
     }
 
+    /// Checks the accounts whose timers have expired.
     pub(super) fn run_timers(&mut self, now: Micros) {
-        while let Some((at, key)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((at, key)) = self.timers.first().copied() {
+            if at > now {
+                return;
+            }
             self.timers.remove(&(at, key));
-            self.attend(now, key);
+            self.check_account(now, key);
         }
     }
 
-    /// An account's lease is about to expire, or has expired, or the account may be forgotten.
-    pub(super) fn attend(&mut self, now: Micros, key: AccountKey) {
+    /// Removes an account that is idle; otherwise has its leases renewed or returned if necessary.
+    fn check_account(&mut self, now: Micros, key: AccountKey) {
         let settings = self.settings;
-        let waits = self.waiters.contains_key(&key);
+        let has_waiters = self.waiters.contains_key(&key);
         let Some(account) = self.accounts.get_mut(&key) else {
             return;
         };
         account.timer = Micros::MAX;
-        account.clean_up(now, &settings);
-        if !waits && account.is_idle(now, &settings) {
+        account.remove_finished_leases(now, &settings);
+        if !has_waiters && account.is_idle(now, &settings) {
             self.accounts.remove(&key);
             return;
         }
         if account.has_expired(now) || account.wants_renewal(now, &settings) {
-            self.mark_due(key, Due::Later);
+            self.mark_due(key, ReportDue::NextInterval);
         }
         self.set_timer(now, key);
     }
 
-    /// Makes a place for one more account. One whose fallback part is not full may have to go: what is opened after that opens
-    /// empty.
-    pub(super) fn make_place(&mut self, now: Micros) -> bool {
+    /// Makes space for one more account; returns false if there is none. An account whose fallback
+    /// share is not full may be evicted, so accounts opened after that start with an empty share.
+    pub(super) fn make_space(&mut self, now: Micros) -> bool {
         if self.accounts.len() < self.settings.max_accounts {
             return true;
         }
-        let tried = self
+        let evictable = |key: &AccountKey| {
+            let unused = self
+                .accounts
+                .get(key)
+                .is_some_and(|account| account.is_unused(now));
+            unused && !self.waiters.contains_key(key)
+        };
+        let evicted = self
             .timers
             .iter()
             .rev()
-            .take(EVICTION_TRIES)
-            .map(|(_, key)| *key);
-        let unused = |key: &AccountKey| {
-            !self.waiters.contains_key(key)
-                && self
-                    .accounts
-                    .get(key)
-                    .is_some_and(|account| account.is_unused(now))
-        };
-        let Some(key) = tried.into_iter().find(unused) else {
-            return false;
-        };
+            .take(EVICTION_CANDIDATES)
+            .map(|(_, key)| *key)
+            .find(evictable);
+        let Some(key) = evicted else { return false };
         if let Some(account) = self.accounts.remove(&key) {
             self.timers.remove(&(account.timer, key));
         }
-        self.parts_since = now;
+        self.fallback_empty_since = now;
         true
     }
 }
--- a/src/quota_lease/holder/requests.rs
+++ b/src/quota_lease/holder/requests.rs
@@ -1,54 +1,52 @@
-//! Requests that take units, wait for them, or fall back.
+//! Requests that take units, wait for them, or use the fallback share.
 
-use std::collections::VecDeque;
-
-use super::super::held::{Due, Receipt};
-use super::super::message::{AccountKey, MilliUnits};
-use super::{Answer, Holder, Outcome, Take, Ticket, Waiter};
+use super::fallback::FallbackExhausted;
+use super::leased_account::ReportDue;
+use super::receipt::Receipt;
+use super::types::{Answer, Outcome, Take, Ticket};
+use super::{Holder, Waiter};
 use crate::decision::Micros;
+use crate::quota_lease::message::{AccountKey, MilliUnits};
+use std::collections::VecDeque;
 
 impl Holder {
+    /// Counts a denied request.
     pub(super) fn denied(&mut self, retry_after: Micros) -> Take {
         self.figures.denied += 1;
         Take::Denied { retry_after }
     }
 
+    /// Takes the units of a request, or lets it wait for the account's owner.
     pub(super) fn take_or_wait(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Take {
-        let settings = self.settings;
-        let queue = self.waiters.contains_key(&key);
-        let Some(account) = self.accounts.get_mut(&key) else {
-            return self.denied(settings.interval);
+        let Some(account) = self.accounts.get(&key) else {
+            return self.denied(self.settings.interval);
         };
-        let held_off = account.held_off_until.saturating_sub(now);
-        if !queue {
-            if let Some(parts) = account.take_leased(now, units, &settings) {
-                self.figures.taken += units;
-                return Take::Taken(Receipt {
-                    account: key,
-                    parts,
-                });
-            }
-        }
-        if held_off > 0 {
-            return self.denied(held_off);
-        }
-        let available = self.available_owner(key).is_some();
-        if available && settings.trust {
-            if let Outcome::Taken(receipt) = self.take_beyond(now, key, units) {
-                self.mark_due(key, Due::Later);
+        let hold_off = account.held_off_until.saturating_sub(now);
+        // Requests that wait already come first.
+        if !self.waiters.contains_key(&key) {
+            if let Some(receipt) = self.take_leased(now, key, units) {
                 return Take::Taken(receipt);
             }
         }
-        if !available {
-            return match self.take_beyond(now, key, units) {
+        if hold_off > 0 {
+            return self.denied(hold_off);
+        }
+        if self.available_owner(key).is_none() {
+            return match self.take_fallback(now, key, units) {
                 Outcome::Taken(receipt) => Take::Taken(receipt),
                 Outcome::Denied { retry_after } => self.denied(retry_after),
             };
         }
+        if self.settings.trust {
+            if let Outcome::Taken(receipt) = self.take_fallback(now, key, units) {
+                self.mark_due(key, ReportDue::NextInterval);
+                return Take::Taken(receipt);
+            }
+        }
         self.wait(key, units)
     }
 
-    pub(super) fn wait(&mut self, key: AccountKey, units: MilliUnits) -> Take {
+    fn wait(&mut self, key: AccountKey, units: MilliUnits) -> Take {
         if self.waiting >= self.settings.max_waiting {
             return self.denied(self.settings.interval);
         }
@@ -59,27 +57,34 @@
         let waiter = Waiter {
             ticket,
             units,
-            asked: None,
+            requested_from: None,
             reroutes: 0,
         };
         self.waiters.entry(key).or_default().push_back(waiter);
-        self.mark_due(key, Due::Now);
+        self.mark_due(key, ReportDue::Immediately);
         Take::Waiting(ticket)
     }
 
-    pub(super) fn take_beyond(
-        &mut self,
-        now: Micros,
-        key: AccountKey,
-        units: MilliUnits,
-    ) -> Outcome {
+    /// Takes the units of a request from leases; `None` if they do not hold as many.
+    fn take_leased(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Option<Receipt> {
+        let account = self.accounts.get_mut(&key)?;
+        let parts = account.take_leased(now, units, &self.settings)?;
+        self.figures.taken += units;
+        Some(Receipt {
+            account: key,
+            parts,
+        })
+    }
+
+    /// Takes the units of a request from the fallback share.
+    fn take_fallback(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Outcome {
         let settings = self.settings;
         let Some(account) = self.accounts.get_mut(&key) else {
             return Outcome::Denied {
                 retry_after: settings.interval,
             };
         };
-        match account.take_beyond(now, units, &settings) {
+        match account.take_fallback(now, units, &settings) {
             Ok(part) => {
                 self.figures.beyond += units;
                 self.unreported.insert(key);
@@ -88,12 +93,13 @@
                     parts: vec![part],
                 })
             }
-            Err(wait) => Outcome::Denied {
-                retry_after: wait.unwrap_or(settings.retry_after),
+            Err(FallbackExhausted { retry_after }) => Outcome::Denied {
+                retry_after: retry_after.unwrap_or(settings.retry_after),
             },
         }
     }
 
+    /// Answers a request that waited.
     pub(super) fn resolve(&mut self, waiter: &Waiter, outcome: Outcome, answers: &mut Vec<Answer>) {
         if matches!(outcome, Outcome::Denied { .. }) {
             self.figures.denied += 1;
@@ -105,37 +111,27 @@
         });
     }
 
-    /// Answers an account's waiting requests, in their order, as long as leases hold enough.
+    /// Answers an account's waiting requests, in their order, as long as leases hold enough units.
     pub(super) fn serve_waiters(
         &mut self,
         now: Micros,
         key: AccountKey,
         answers: &mut Vec<Answer>,
     ) {
-        let settings = self.settings;
-        while let Some(waiter) = self
-            .waiters
-            .get(&key)
-            .and_then(|queue| queue.front())
-            .cloned()
-        {
-            let account = self.accounts.get_mut(&key);
-            let Some(parts) =
-                account.and_then(|account| account.take_leased(now, waiter.units, &settings))
-            else {
+        while let Some(waiter) = self.first_waiter(key) {
+            let Some(receipt) = self.take_leased(now, key, waiter.units) else {
                 return;
             };
-            self.figures.taken += waiter.units;
             self.take_waiters(key, |other| other.ticket == waiter.ticket);
-            let receipt = Receipt {
-                account: key,
-                parts,
-            };
             self.resolve(&waiter, Outcome::Taken(receipt), answers);
         }
     }
 
-    /// Takes the waiters that `chosen` names out of an account's queue.
+    fn first_waiter(&self, key: AccountKey) -> Option<Waiter> {
+        self.waiters.get(&key)?.front().cloned()
+    }
+
+    /// Removes and returns the `chosen` waiting requests of an account.
     pub(super) fn take_waiters(
         &mut self,
         key: AccountKey,
@@ -151,7 +147,7 @@
         taken
     }
 
-    /// Answers the waiters that `chosen` names from the fallback part.
+    /// Answers the `chosen` waiting requests of an account from the fallback share.
     pub(super) fn fall_back(
         &mut self,
         now: Micros,
@@ -160,7 +156,7 @@
         answers: &mut Vec<Answer>,
     ) {
         for waiter in self.take_waiters(key, chosen) {
-            let outcome = self.take_beyond(now, key, waiter.units);
+            let outcome = self.take_fallback(now, key, waiter.units);
             self.resolve(&waiter, outcome, answers);
         }
     }
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -1,7 +1,7 @@
-//! A limiter's connections to the allocators: one thread for each, which carries a report there and the answer back.
+//! A limiter's connections to the allocators. One thread for each sends reports and receives the answers.
 //!
-//! These threads own nothing but their connection. What a report says and what an answer means is the
-//! [`Holder`](super::holder::Holder)'s business, which lives with the limiter's core.
+//! These threads own nothing but their connection. The [`Holder`](super::holder::Holder), which the
+//! limiter's core owns, writes the reports and processes the answers.
 
 use super::frame::{self, FrameError, Timeouts};
 use super::message::{Grant, MessageError, Report};
@@ -15,45 +15,54 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Reports that wait for one connection: the one after the report that is out. A further one is dropped, and sent again by
-/// the holder where that is still of use.
+/// Reports that wait for one connection, besides the one in flight. A further one is dropped; the holder
+/// retries it if that is still useful.
 const QUEUED_REPORTS: usize = 1;
-/// Time after which a failed connection is tried again, to begin with and at most. It doubles with each failure.
+/// Longest backoff after the first failure of a connection. It doubles with each further failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+/// Longest backoff after any number of failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long things may take at a connection to an allocator.
+/// Least fraction of the longest backoff.
+const MIN_BACKOFF_FRACTION: f64 = 0.5;
+/// Exponent that bounds the doubling of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+
+/// Timeouts of a connection to an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTimeouts {
-    /// Until a connection is established.
+    /// Time to establish a connection.
     pub connect: Duration,
-    /// Until a report is written.
+    /// Time to write a report.
     pub write: Duration,
-    /// Until the answer to a report has come.
+    /// Time until the answer to a report begins, and again until it is complete.
     pub answer: Duration,
 }
 
-/// What a connection tells the limiter's core.
+/// An event of a connection to an allocator.
 #[derive(Debug)]
-pub enum LinkEvent {
+pub enum AllocatorEvent {
     /// An allocator's answer.
     Answer(Grant),
-    /// An answer that is not taken. The connection is closed.
+    /// The answer is invalid. The connection is closed.
     Unreadable {
         /// The allocator.
         allocator: u32,
-        /// What is wrong with it.
+        /// Why the answer is invalid.
         reason: MessageError,
     },
-    /// The allocator can't be reached, or the connection broke before it answered.
+    /// The allocator can't be reached, or the connection failed before it answered.
     Lost {
         /// The allocator.
         allocator: u32,
     },
 }
 
-/// Takes what a connection tells. Must not block.
-pub type Told = Arc<dyn Fn(LinkEvent) + Send + Sync>;
+/// Receives the events of all connections. Must not block.
+pub type AllocatorEventHandler = Arc<dyn Fn(AllocatorEvent) + Send + Sync>;
+
+// Re-exported until the lead joins the folders.
+pub use self::{AllocatorEvent as LinkEvent, AllocatorEventHandler as Told};
 
 /// The connections of a limiter to all allocators.
 #[derive(Clone)]
@@ -62,11 +71,15 @@
 }
 
 impl AllocatorLinks {
-    /// Starts a thread for each allocator; their numbers are the places of their addresses.
+    /// Starts a thread for each allocator. The index of an address is the allocator's number.
+    ///
+    /// # Errors
+    ///
+    /// If a thread can't be started.
     pub fn start(
         addresses: &[SocketAddr],
         timeouts: LinkTimeouts,
-        told: &Told,
+        on_event: &AllocatorEventHandler,
         log: &Logger,
     ) -> io::Result<Self> {
         let link = |(number, address): (usize, &SocketAddr)| {
@@ -75,7 +88,7 @@
                 allocator: number as u32,
                 address: *address,
                 timeouts,
-                told: told.clone(),
+                on_event: on_event.clone(),
                 connection: None,
                 backoff: Backoff::default(),
                 log: log.clone(),
@@ -91,9 +104,10 @@
         Ok(Self { reports })
     }
 
-    /// Sends a report to an allocator, without waiting.
+    /// Queues a report for an allocator. It is dropped if another one waits already.
     pub fn send(&self, allocator: u32, report: Report) {
         if let Some(queue) = self.reports.get(allocator as usize) {
+            // The holder retries a report without an answer.
             _ = queue.try_send(report);
         }
     }
@@ -103,7 +117,7 @@
 #[derive(Debug, Error)]
 enum LinkError {
     #[error("not connected: {0}")]
-    Connect(io::Error),
+    Connect(#[source] io::Error),
     #[error("not tried again yet")]
     Backoff,
     #[error(transparent)]
@@ -117,7 +131,7 @@
     allocator: u32,
     address: SocketAddr,
     timeouts: LinkTimeouts,
-    told: Told,
+    on_event: AllocatorEventHandler,
     connection: Option<TcpStream>,
     backoff: Backoff,
     log: Logger,
@@ -127,23 +141,25 @@
     fn run(mut self, queue: &Receiver<Report>) {
         for report in queue {
             match self.exchange(&report.encode_to_vec()) {
-                Ok(grant) => (self.told)(LinkEvent::Answer(grant)),
-                Err(fault) => self.lose(fault),
+                Ok(grant) => (self.on_event)(AllocatorEvent::Answer(grant)),
+                Err(error) => self.lose(error),
             }
         }
     }
 
-    /// Sends a report and waits for its answer. A connection that was closed since its last answer is replaced once: the
-    /// allocator answers a report that it gets twice, and carries it out once.
+    /// Sends a report and waits for its answer. A connection that was closed since its last answer is
+    /// replaced once: an allocator answers a retry, but grants units for it only once.
     fn exchange(&mut self, report: &[u8]) -> Result<Grant, LinkError> {
-        if let Some(kept) = self.connection.take() {
-            match self.exchange_on(&kept, report) {
-                Err(LinkError::Frame(FrameError::Closed | FrameError::Cut | FrameError::Io(_))) => {
-                }
-                outcome => {
-                    self.connection = outcome.is_ok().then_some(kept);
-                    return outcome;
+        if let Some(idle) = self.connection.take() {
+            match self.exchange_on(&idle, report) {
+                Err(LinkError::Frame(
+                    FrameError::Closed | FrameError::Truncated | FrameError::Io(_),
+                )) => {}
+                Ok(grant) => {
+                    self.connection = Some(idle);
+                    return Ok(grant);
                 }
+                Err(error) => return Err(error),
             }
         }
         let new = self.connect()?;
@@ -173,29 +189,30 @@
             frame: self.timeouts.answer,
         };
         let grant = Grant::read(&frame::read(stream, timeouts)?)?;
-        match grant.allocator == self.allocator {
-            true => Ok(grant),
-            false => Err(MessageError::UnknownSender(grant.allocator).into()),
+        if grant.allocator != self.allocator {
+            return Err(MessageError::UnknownSender(grant.allocator).into());
         }
+        Ok(grant)
     }
 
-    fn lose(&mut self, fault: LinkError) {
+    fn lose(&mut self, error: LinkError) {
         let allocator = self.allocator;
-        if !matches!(fault, LinkError::Backoff) {
+        if !matches!(error, LinkError::Backoff) {
             if !self.backoff.has_failed() {
-                warn!(self.log, "allocator lost"; "allocator" => allocator, "address" => %self.address, "error" => %fault);
+                warn!(self.log, "allocator lost"; "allocator" => allocator,
+                    "address" => %self.address, "error" => %error);
             }
             self.backoff.failed(Instant::now());
         }
-        if let LinkError::Message(reason) = fault {
-            (self.told)(LinkEvent::Unreadable { allocator, reason });
+        if let LinkError::Message(reason) = error {
+            (self.on_event)(AllocatorEvent::Unreadable { allocator, reason });
         }
-        (self.told)(LinkEvent::Lost { allocator });
+        (self.on_event)(AllocatorEvent::Lost { allocator });
     }
 }
 
-/// When a connection is tried again: later with each failure, and at a random part of that time, so that limiters which
-/// lost an allocator together do not come back together.
+/// Exponential backoff with jitter, so that the limiters do not reconnect to a restarted allocator
+/// all at once.
 #[derive(Default)]
 struct Backoff {
     failures: u32,
@@ -213,10 +230,13 @@
 
     fn failed(&mut self, now: Instant) {
         let longest = FIRST_BACKOFF
-            .saturating_mul(1 << self.failures.min(16))
-            .min(LONGEST_BACKOFF);
+            .saturating_mul(1 << self.failures.min(MAX_BACKOFF_DOUBLINGS))
+            .min(MAX_BACKOFF);
         self.failures += 1;
-        self.until = Some(now + longest.mul_f64(0.5 + 0.5 * fastrand::f64()));
+        self.until = Some(
+            now + longest
+                .mul_f64(MIN_BACKOFF_FRACTION + (1.0 - MIN_BACKOFF_FRACTION) * fastrand::f64()),
+        );
     }
 
     fn succeeded(&mut self) {
--- /dev/null
+++ b/src/quota_lease/server/owner.rs
@@ -0,0 +1,196 @@
+//! The thread that owns the allocator: it processes reports and logs figures.
+
+use super::connections::Connections;
+use super::input::Input;
+use crate::core::Clock;
+use crate::decision::{Micros, QuotaShares};
+use crate::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
+use crate::quota_lease::config::AllocatorConfig;
+use crate::quota_lease::message::{Grant, Verdict};
+use crossbeam_channel::{Receiver, RecvTimeoutError};
+use slog::{info, Logger};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Whether the thread goes on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Flow {
+    Continue,
+    Stop,
+}
+
+/// Returns the ownership of accounts by the leases of the fleet of allocators.
+pub(super) fn ownership(shares: &QuotaShares) -> Ownership {
+    let mut reassigned = 0;
+    for (number, is_reassigned) in shares.reassigned.iter().enumerate() {
+        if *is_reassigned {
+            reassigned |= 1 << number;
+        }
+    }
+    Ownership {
+        given_away: reassigned,
+        given_until: shares.reassigned_until,
+        until: shares.lease_ends,
+    }
+}
+
+/// Counters of answered reports since the start.
+#[derive(Default)]
+struct ReportCounters {
+    reports: u64,
+    entries: u64,
+    /// In thousandths of a unit.
+    granted: u64,
+    exhausted: u64,
+    not_owner: u64,
+}
+
+impl ReportCounters {
+    fn count(&mut self, grant: &Grant) {
+        self.reports += 1;
+        for entry in grant.entries() {
+            self.entries += 1;
+            self.granted += entry.units;
+            match entry.verdict {
+                Verdict::Granted => {}
+                Verdict::Exhausted => self.exhausted += 1,
+                Verdict::NotOwner => self.not_owner += 1,
+            }
+        }
+    }
+}
+
+/// The allocator's own lease, as logged last.
+#[derive(Default)]
+struct LoggedLease {
+    held: bool,
+    ends: Micros,
+}
+
+/// The state of the thread.
+pub(super) struct Owner {
+    allocator: Allocator,
+    clock: Clock,
+    connections: Arc<Connections>,
+    counters: ReportCounters,
+    lease: LoggedLease,
+    log_interval: Duration,
+    log: Logger,
+}
+
+impl Owner {
+    pub(super) fn new(
+        config: &AllocatorConfig,
+        clock: Clock,
+        connections: Arc<Connections>,
+        log: Logger,
+    ) -> Self {
+        let settings = AllocatorSettings {
+            limiters: config.limiters,
+            lease: config.lifetime.as_micros() as Micros,
+            max_accounts: config.accounts,
+            ..AllocatorSettings::default()
+        };
+        let incarnation = clock.now();
+        Self {
+            allocator: Allocator::new(config.number, config.allocators, incarnation, settings),
+            clock,
+            connections,
+            counters: ReportCounters::default(),
+            lease: LoggedLease::default(),
+            log_interval: config.log_interval,
+            log,
+        }
+    }
+
+    /// Runs until [`Input::Stop`], or until every sender of inputs has been dropped.
+    pub(super) fn run(mut self, inputs: &Receiver<Input>) {
+        let mut next_figures = Instant::now() + self.log_interval;
+        loop {
+            let flow = match inputs.recv_deadline(self.wake_at(next_figures)) {
+                Ok(input) => self.process(input),
+                Err(RecvTimeoutError::Timeout) => Flow::Continue,
+                Err(RecvTimeoutError::Disconnected) => Flow::Stop,
+            };
+            if flow == Flow::Stop {
+                return;
+            }
+            self.log_lease_change();
+            if Instant::now() >= next_figures {
+                self.log_figures();
+                next_figures = Instant::now() + self.log_interval;
+            }
+        }
+    }
+
+    /// Returns when to log without an input: figures, or the end of the own lease.
+    fn wake_at(&self, next_figures: Instant) -> Instant {
+        if self.lease.held {
+            next_figures.min(self.clock.moment(self.lease.ends))
+        } else {
+            next_figures
+        }
+    }
+
+    fn process(&mut self, input: Input) -> Flow {
+        let now = self.clock.now();
+        match input {
+            Input::Report { report, answer } => {
+                let grant = self.allocator.on_report(now, &report);
+                if let Ok(grant) = &grant {
+                    self.counters.count(grant);
+                }
+                // The connection may have ended.
+                _ = answer.send(grant);
+            }
+            Input::Undecodable(reason) => self.allocator.count_dropped(&reason),
+            Input::Ownership(ownership) => {
+                self.lease.ends = ownership.until;
+                self.allocator.set_ownership(now, ownership);
+            }
+            Input::Stop(done) => {
+                self.log_figures();
+                // The other side may have stopped waiting.
+                _ = done.send(());
+                return Flow::Stop;
+            }
+        }
+        Flow::Continue
+    }
+
+    fn log_lease_change(&mut self) {
+        let held = self.allocator.is_serving(self.clock.now());
+        if held != self.lease.held {
+            self.lease.held = held;
+            info!(self.log, "own lease"; "held" => held);
+        }
+    }
+
+    /// Logs all figures. Their names are an interface for operators.
+    fn log_figures(&self) {
+        let now = self.clock.now();
+        let counters = &self.counters;
+        let dropped = self.allocator.dropped();
+        let connections = self.connections.counters.snapshot();
+        info!(self.log, "figures";
+            "serving" => self.allocator.is_serving(now),
+            "accounts" => self.allocator.accounts(),
+            "connections" => connections.open,
+            "reports" => counters.reports,
+            "entries" => counters.entries,
+            "granted_milli_units" => counters.granted,
+            "exhausted" => counters.exhausted,
+            "not_owner" => counters.not_owner,
+            "dropped_too_long" => dropped.too_long + connections.too_long,
+            "dropped_malformed" => dropped.malformed + connections.empty,
+            "dropped_format" => dropped.format,
+            "dropped_entries" => dropped.entries,
+            "dropped_unknown_sender" => dropped.unknown_sender,
+            "dropped_outdated" => dropped.outdated,
+            "closed_refused" => connections.refused,
+            "closed_idle" => connections.idle,
+            "closed_slow" => connections.frame_timeout,
+            "closed_cut" => connections.truncated,
+            "closed_failed" => connections.failed);
+    }
+}
--- a/tests/quota_lease/figures.rs
+++ b/tests/quota_lease/figures.rs
@@ -165,7 +165,7 @@
         kept / allocator.accounts()
     );
 
-    let before = allocator.kept_bytes();
+    let before = allocator.cached_answer_bytes();
     for limiter in 0..2_000 {
         let mut report = Report {
             format: 1,
@@ -184,7 +184,7 @@
     }
     println!(
         "kept answers of 2,000 limiters, 20 entries each: {} bytes",
-        allocator.kept_bytes() - before
+        allocator.cached_answer_bytes() - before
     );
 }
 
--- a/tests/quota_lease/messages.rs
+++ b/tests/quota_lease/messages.rs
@@ -1,9 +1,9 @@
 //! Bad messages are named, dropped and counted.
 
-use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Dropped, Ownership};
+use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
 use mossrill::quota_lease::message::{
-    AccountKey, Grant, GrantEntry, MessageError, PlanLimits, Report, ReportEntry, Verdict, FORMAT,
-    MAX_BYTES, MAX_ENTRIES, MAX_PLANS, MAX_UNITS,
+    AccountKey, DroppedMessages, Grant, GrantEntry, MessageError, PlanLimits, Report, ReportEntry,
+    Verdict, FORMAT, MAX_BYTES, MAX_ENTRIES, MAX_PLANS, MAX_UNITS,
 };
 use proptest::prelude::*;
 use prost::Message;
@@ -245,10 +245,10 @@
 
 #[test]
 fn each_reason_has_its_counter() {
-    let mut dropped = Dropped::default();
+    let mut dropped = DroppedMessages::default();
     let reasons = [
         MessageError::TooLong(1),
-        MessageError::Malformed(String::new()),
+        MessageError::Malformed(Report::decode([0xff].as_slice()).expect_err("not a report")),
         MessageError::Format(2),
         MessageError::Entries(""),
         MessageError::UnknownSender(3),
@@ -257,7 +257,7 @@
     for (count, reason) in (1..).zip(&reasons) {
         (0..count).for_each(|_| dropped.count(reason));
     }
-    let Dropped {
+    let DroppedMessages {
         too_long,
         malformed,
         format,
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -64,8 +64,11 @@
 #[test]
 fn spoilt_frames_are_told_apart() {
     assert!(matches!(read_of(&[]), Err(FrameError::Closed)));
-    assert!(matches!(read_of(&[0, 0]), Err(FrameError::Cut)));
-    assert!(matches!(read_of(&[0, 0, 0, 3, 1, 2]), Err(FrameError::Cut)));
+    assert!(matches!(read_of(&[0, 0]), Err(FrameError::Truncated)));
+    assert!(matches!(
+        read_of(&[0, 0, 0, 3, 1, 2]),
+        Err(FrameError::Truncated)
+    ));
     assert!(matches!(read_of(&[0; 4]), Err(FrameError::Empty)));
     let too_long = MAX_BYTES as u32 + 1;
     let read = read_of(&too_long.to_be_bytes());
@@ -91,9 +94,15 @@
         frame: Duration::from_millis(20),
     };
     let (mut near, far) = pair();
-    assert!(matches!(frame::read(&far, timeouts), Err(FrameError::Idle)));
+    assert!(matches!(
+        frame::read(&far, timeouts),
+        Err(FrameError::IdleTimeout)
+    ));
     near.write_all(&[0, 0, 0, 9, 1]).expect("written");
-    assert!(matches!(frame::read(&far, timeouts), Err(FrameError::Slow)));
+    assert!(matches!(
+        frame::read(&far, timeouts),
+        Err(FrameError::FrameTimeout)
+    ));
     // Bytes that trickle in don't prolong the time for a frame.
     let (mut near, far) = pair();
     let trickle = thread::spawn(move || {
@@ -109,7 +118,7 @@
     assert!(
         matches!(
             read,
-            Some(FrameError::Slow | FrameError::Empty | FrameError::TooLong(_))
+            Some(FrameError::FrameTimeout | FrameError::Empty | FrameError::TooLong(_))
         ),
         "{read:?}"
     );
@@ -120,7 +129,10 @@
     let message = vec![1; MAX_BYTES];
     let timeout = Duration::from_millis(50);
     let written = (0..1_000).find_map(|_| frame::write(&near, &message, timeout).err());
-    assert!(matches!(written, Some(FrameError::Slow)), "{written:?}");
+    assert!(
+        matches!(written, Some(FrameError::FrameTimeout)),
+        "{written:?}"
+    );
 }
 
 /// What is done to a good file.
