--- a/lab/src/gateway_host.rs
+++ b/lab/src/engine_host.rs
@@ -3,7 +3,10 @@
 
 use crate::messages::DecisionCounts;
 use crate::population::Population;
-use mossrill::decision::*;
+use mossrill::decision::{
+    AccountId, Action, AttemptResult, Endpoint, Event, Idempotency, Limits, Micros, Outcome, Plan,
+    Prices, Readiness, Request, RequestClass, RequestId, Safety, ServerId, Settings, UpdateScope,
+};
 use mossrill::Engine;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -75,7 +78,7 @@
 }
 
 /// One gateway with its timers, its open requests and its calls.
-pub struct GatewayHost {
+pub struct EngineHost {
     gateway: Engine,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     order: u64,
@@ -132,7 +135,7 @@
     }
 }
 
-impl GatewayHost {
+impl EngineHost {
     /// A gateway that knows its servers and nothing else.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut host = Self {
--- a/lab/src/real_play.rs
+++ b/lab/src/real_play/mod.rs
@@ -1,7 +1,12 @@
 //! Plays real limiter processes under open-loop traffic: upstream servers and counter are stand-ins, all else is real.
 
+mod result;
+
+pub use result::{ConfigurationChange, Latency, RealResult};
+
 use crate::audit::{AuditResult, QuotaAudit};
 use crate::child::Child;
+use crate::error::LabError;
 use crate::load_generator::{LoadGenerator, Outcomes};
 use crate::messages::{Command, Reply, Start, ZoneLoad};
 use crate::population::Population;
@@ -10,11 +15,9 @@
 use crate::real_process::RealProcess;
 use crate::scenario::{Event, Real, Scenario};
 use crate::summary::Summary;
-use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rustix::process::Signal;
-use serde::Serialize;
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -33,81 +36,6 @@
 /// Of a hundred requests one may be written so late before the generator counts as behind.
 const LAG_LIMIT_MS: f64 = 20.0;
 
-/// Percentiles of a latency in ms.
-#[derive(Debug, Serialize)]
-pub struct Latency {
-    /// The median.
-    pub p50_ms: f64,
-    /// The 99th percentile.
-    pub p99_ms: f64,
-    /// The 99.9th percentile.
-    pub p999_ms: f64,
-    /// The largest.
-    pub max_ms: f64,
-}
-
-impl Latency {
-    fn of(histogram: &Histogram<u64>) -> Self {
-        let at = |part: f64| histogram.value_at_quantile(part) as f64 / 1e3;
-        Self {
-            p50_ms: at(0.5),
-            p99_ms: at(0.99),
-            p999_ms: at(0.999),
-            max_ms: histogram.max() as f64 / 1e3,
-        }
-    }
-}
-
-/// What the play of real processes showed.
-#[derive(Debug, Serialize)]
-pub struct RealResult {
-    /// Processes.
-    pub limiters: u32,
-    /// Requests begun a second.
-    pub requests_per_s: f64,
-    /// Requests.
-    pub requests: u64,
-    /// Served.
-    pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed.
-    pub failed: u64,
-    /// No connection, or one that broke.
-    pub broken: u64,
-    /// Latency of served requests from the intended start.
-    pub latency: Latency,
-    /// The same without the upstream server's own time: what limiter, queues and generator add.
-    pub added: Latency,
-    /// How late the generator wrote requests.
-    pub generator_lag: Latency,
-    /// Processor time of a process as a part of a core.
-    pub cpu_cores_per_limiter: f64,
-    /// Resident memory of a process in bytes at the end.
-    pub memory_bytes_per_limiter: f64,
-    /// Calls of the counter a process and second.
-    pub counter_calls_per_limiter_s: f64,
-    /// Bytes to and from the counter a process and second.
-    pub counter_bytes_per_limiter_s: f64,
-    /// Units beyond quotas, of those served.
-    pub audit: AuditResult,
-    /// By change of the configuration: seconds until processes had it in force.
-    pub configuration_changes: Vec<ConfigurationChange>,
-    /// Events that were played.
-    pub events: Vec<&'static str>,
-    /// Why the machine did not keep up; empty if it did.
-    pub fell_behind: Vec<String>,
-}
-
-/// A change of the configuration.
-#[derive(Debug, Serialize)]
-pub struct ConfigurationChange {
-    /// Processes that did not have it in time.
-    pub missing: usize,
-    /// Seconds until the others had it.
-    pub delay_s: Summary,
-}
-
 /// A step of the play: an event, or what follows from one.
 #[derive(Clone, Copy)]
 enum Step {
@@ -140,7 +68,7 @@
     real: &Real,
     seed: u64,
     program: &Path,
-) -> Result<RealResult, String> {
+) -> Result<RealResult, LabError> {
     let mut play = Play::start(scenario, real, seed, program)?;
     let ports: Vec<u16> = play
         .processes
@@ -201,7 +129,7 @@
 }
 
 /// Two ports that nobody has now, below those that the system gives to outgoing connections.
-fn free_ports(rng: &mut StdRng) -> Result<(u16, u16), String> {
+fn free_ports(rng: &mut StdRng) -> Result<(u16, u16), LabError> {
     let mut free = Vec::new();
     for _ in 0..PORT_TRIES {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, rng.random_range(PORTS)));
@@ -209,19 +137,16 @@
         free.extend(listener);
         if let [first, second] = &free[..] {
             let port = |listener: &TcpListener| listener.local_addr().map(|at| at.port());
-            return Ok((
-                port(first).map_err(|fault| fault.to_string())?,
-                port(second).map_err(|fault| fault.to_string())?,
-            ));
+            return Ok((port(first)?, port(second)?));
         }
     }
-    Err("no free ports".into())
+    Err(LabError::NoFreePorts)
 }
 
-fn ports(child: &Child) -> Result<Vec<u16>, String> {
+fn ports(child: &Child) -> Result<Vec<u16>, LabError> {
     match child.reply(PATIENCE)? {
         Reply::Ready(ports) => Ok(ports),
-        other => Err(format!("wanted ports, got {other:?}")),
+        other => Err(LabError::unexpected("ports", &other)),
     }
 }
 
@@ -235,11 +160,15 @@
 }
 
 impl Play {
-    fn start(scenario: &Scenario, real: &Real, seed: u64, program: &Path) -> Result<Self, String> {
+    fn start(
+        scenario: &Scenario,
+        real: &Real,
+        seed: u64,
+        program: &Path,
+    ) -> Result<Self, LabError> {
         let folder =
             std::env::temp_dir().join(format!("mossrill-lab-{}-{seed}", std::process::id()));
-        std::fs::create_dir_all(&folder)
-            .map_err(|fault| format!("{}: {fault}", folder.display()))?;
+        std::fs::create_dir_all(&folder).map_err(LabError::path(&folder))?;
         let start = Start::Upstream {
             servers: real.servers,
             mean_ms: real.server_mean_ms,
@@ -281,8 +210,8 @@
         limiters: u32,
         file: PathBuf,
         rng: &mut StdRng,
-    ) -> Result<RealProcess, String> {
-        let mut fault = String::new();
+    ) -> Result<RealProcess, LabError> {
+        let mut last_error = LabError::NoFreePorts;
         for _ in 0..START_TRIES {
             let (port, control) = free_ports(rng)?;
             let place = Place {
@@ -294,10 +223,10 @@
             self.files(limiters).write_configuration(&place, 0)?;
             match RealProcess::start(&self.program, place) {
                 Ok(process) => return Ok(process),
-                Err(reason) => fault = reason,
+                Err(error) => last_error = error,
             }
         }
-        Err(fault)
+        Err(last_error)
     }
 
     fn files(&self, limiters: u32) -> Files<'_> {
@@ -320,15 +249,15 @@
         running + self.ended_cpu_s
     }
 
-    fn counter_load(&mut self) -> Result<Vec<ZoneLoad>, String> {
+    fn counter_load(&mut self) -> Result<Vec<ZoneLoad>, LabError> {
         self.counter.tell(&Command::Report)?;
         match self.counter.reply(PATIENCE)? {
             Reply::Load(zones) => Ok(zones),
-            other => Err(format!("wanted a load, got {other:?}")),
+            other => Err(LabError::unexpected("a load", &other)),
         }
     }
 
-    fn carry_out(&mut self, step: Step) -> Result<(), String> {
+    fn carry_out(&mut self, step: Step) -> Result<(), LabError> {
         match step {
             Step::Pause { process } => self.processes[process].signal(Signal::STOP),
             Step::Resume { process } => self.processes[process].signal(Signal::CONT),
@@ -338,7 +267,7 @@
     }
 
     /// Every second process ends at once and is started again.
-    fn restart_half(&mut self) -> Result<(), String> {
+    fn restart_half(&mut self) -> Result<(), LabError> {
         for number in (0..self.processes.len()).step_by(2) {
             let process = &mut self.processes[number];
             self.ended_cpu_s += cpu_seconds(Some(process.id()));
@@ -352,7 +281,7 @@
     }
 
     /// One more entry in each configuration, and the word to read it again; then waits until all use it.
-    fn change_configuration(&mut self) -> Result<(), String> {
+    fn change_configuration(&mut self) -> Result<(), LabError> {
         self.further += 1;
         let limiters = self.processes.len() as u32;
         for process in &self.processes {
--- a/src/bin/mossrill-allocator.rs
+++ b/src/bin/mossrill-allocator.rs
@@ -3,12 +3,11 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use mossrill::quota_lease::config::AllocatorConfig;
+use mossrill::config::{self, ConfigError};
 use mossrill::quota_lease::server::Server;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use slog::{crit, info, o, Drain, Logger};
-use std::error::Error;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -28,7 +27,7 @@
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     #[error(transparent)]
-    Config(Box<dyn Error>),
+    Config(#[from] ConfigError),
     #[error(transparent)]
     Server(io::Error),
 }
@@ -51,9 +50,8 @@
 fn run(arguments: &Arguments, log: &Logger) -> Result<(), StartError> {
     // Signals are handled before anything listens, as one may arrive at any time.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(StartError::Signals)?;
-    let config = AllocatorConfig::from_file(&arguments.config)
-        .map_err(|error| StartError::Config(error.into()))?;
-    let server = Server::start(config, log).map_err(StartError::Server)?;
+    let settings = config::allocator_from_file(&arguments.config)?;
+    let server = Server::start(settings, log).map_err(StartError::Server)?;
     signals.forever().next();
     info!(log, "shutdown requested");
     server.stop();
--- a/src/quota_lease/server/mod.rs
+++ b/src/quota_lease/server/mod.rs
@@ -4,8 +4,8 @@
 mod connections;
 mod input;
 mod owner;
+mod settings;
 
-use super::config::AllocatorConfig;
 use crate::core::Clock;
 use crate::log_throttle::LogThrottle;
 use crate::membership::fleet::{Fleet, FleetSettings};
@@ -22,6 +22,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+pub use settings::ServerSettings;
+
 /// The longest wait for the last answers when the process ends.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 /// Connections that wait to be accepted. All limiters may reconnect within one second, and one that is
@@ -44,27 +46,27 @@
     /// # Errors
     ///
     /// If the address is not available or a thread can't be started.
-    pub fn start(config: AllocatorConfig, log: &Logger) -> io::Result<Self> {
-        warn_if_few_descriptors(&config, log);
+    pub fn start(settings: ServerSettings, log: &Logger) -> io::Result<Self> {
+        warn_if_few_descriptors(&settings, log);
         let clock = Clock::start();
         let (inputs, received) = unbounded();
-        let listener = listen(config.listen)?;
+        let listener = listen(settings.listen)?;
         let address = listener.local_addr()?;
         let connections = Arc::new(Connections {
             inputs: inputs.clone(),
-            timeouts: config.timeouts,
-            limit: config.connections,
+            timeouts: settings.timeouts,
+            limit: settings.connections,
             counters: ConnectionCounters::default(),
             error_throttle: LogThrottle::default(),
             log: log.new(o!("part" => "connections")),
         });
         let owner_log = log.new(o!("part" => "allocator"));
-        let owner = Owner::new(&config, clock, connections.clone(), owner_log);
+        let owner = Owner::new(&settings, clock, connections.clone(), owner_log);
         spawn("allocator", move || owner.run(&received))?;
         spawn("accept", move || connections.accept(&listener))?;
-        let fleet = start_fleet(config.fleet, clock, inputs.clone(), log)?;
-        info!(log, "listening"; "address" => %address, "allocator" => config.number,
-            "of" => config.allocators);
+        let fleet = start_fleet(settings.fleet, clock, inputs.clone(), log)?;
+        info!(log, "listening"; "address" => %address, "allocator" => settings.number,
+            "of" => settings.allocators);
         Ok(Self {
             address,
             inputs,
@@ -110,8 +112,8 @@
 }
 
 /// Logs a warning if the limit of file descriptors is too low for the configured connections.
-fn warn_if_few_descriptors(config: &AllocatorConfig, log: &Logger) {
-    let wanted = (config.connections + OTHER_DESCRIPTORS) as u64;
+fn warn_if_few_descriptors(settings: &ServerSettings, log: &Logger) {
+    let wanted = (settings.connections + OTHER_DESCRIPTORS) as u64;
     let Some(allowed) = getrlimit(Resource::Nofile).current else {
         return;
     };
--- a/src/quota_lease/server/owner.rs
+++ b/src/quota_lease/server/owner.rs
@@ -2,10 +2,10 @@
 
 use super::connections::Connections;
 use super::input::Input;
+use super::settings::ServerSettings;
 use crate::core::Clock;
 use crate::decision::{Micros, QuotaShares};
 use crate::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
-use crate::quota_lease::config::AllocatorConfig;
 use crate::quota_lease::message::{Grant, Verdict};
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use slog::{info, Logger};
@@ -80,25 +80,30 @@
 
 impl Owner {
     pub(super) fn new(
-        config: &AllocatorConfig,
+        settings: &ServerSettings,
         clock: Clock,
         connections: Arc<Connections>,
         log: Logger,
     ) -> Self {
-        let settings = AllocatorSettings {
-            limiters: config.limiters,
-            lease: config.lifetime.as_micros() as Micros,
-            max_accounts: config.accounts,
+        let allocator_settings = AllocatorSettings {
+            limiters: settings.limiters,
+            lease: settings.lifetime.as_micros() as Micros,
+            max_accounts: settings.accounts,
             ..AllocatorSettings::default()
         };
         let incarnation = clock.now();
         Self {
-            allocator: Allocator::new(config.number, config.allocators, incarnation, settings),
+            allocator: Allocator::new(
+                settings.number,
+                settings.allocators,
+                incarnation,
+                allocator_settings,
+            ),
             clock,
             connections,
             counters: ReportCounters::default(),
             lease: LoggedLease::default(),
-            log_interval: config.log_interval,
+            log_interval: settings.log_interval,
             log,
         }
     }
