--- a/src/client/accept.rs
+++ b/src/client/accept.rs
@@ -1,4 +1,4 @@
-//! New connections: accepting them, and room for them within the limit.
+//! Accepts new connections, and evicts idle ones to stay within the limit.
 
 use super::connection::{ClientConnection, ConnectionState};
 use super::protocol::ClientProtocol;
@@ -12,60 +12,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An agent that does not read its answers for so long is dropped: some stand still for seconds.
+/// Timeout of writes to a client; some clients stop reading for seconds.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Wait after a failed accept, as when descriptors run out.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// One that has nothing open for so long is closed if another needs its place.
+/// A connection without open commands for this long may be closed if another needs its place.
 const EVICTABLE_AFTER: Duration = Duration::from_secs(2);
-/// A new connection waits so long for another to end when all are busy.
+/// The time that a new connection waits for another to end when all are busy.
 const ROOM_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<P: ClientProtocol> Front<P> {
+    /// Accepts connections for as long as the process runs.
     pub(super) fn run_accept_loop(self: &Arc<Self>, listener: &TcpListener) {
         loop {
             let paused = lock(&self.accept_paused);
             drop(self.accept_resumed.wait_while(paused, |paused| *paused));
             match listener.accept() {
-                Ok((stream, _)) => {
-                    // The one that was waited for when the hand-over began.
-                    let hand_over = lock(&self.hand_over_to).clone();
-                    if hand_over.is_some_and(|hand_over| hand_over(&stream, &[]))
-                        || !self.make_room()
-                    {
-                        continue;
-                    }
-                    if let Err(fault) = self.start_connection(stream, None) {
-                        warn!(self.log, "client connection dropped"; "error" => %fault);
-                    }
-                }
-                Err(fault) => {
-                    warn!(self.log, "accept failed"; "error" => %fault);
+                Ok((stream, _)) => self.start_or_hand_over(stream),
+                Err(error) => {
+                    warn!(self.log, "accept failed"; "error" => %error);
                     thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Keeps within the descriptors: of the connections that owe nothing, one goes that never asked for anything and has
-    /// stopped writing, else one idle for so long that it may be closed, else any; of these the one from which nothing
-    /// has come for longest. False if all are busy: the new one is closed then, as one that waits would hold up all
-    /// behind it.
+    /// Serves a new connection, unless the limit is reached or it can be handed over: an accept that had begun before a
+    /// hand-over returns during it.
+    fn start_or_hand_over(self: &Arc<Self>, stream: TcpStream) {
+        let hand_over = lock(&self.hand_over_to).clone();
+        if hand_over.is_some_and(|hand_over| hand_over(&stream, &[])) || !self.make_room() {
+            return;
+        }
+        if let Err(error) = self.start_connection(stream, None) {
+            warn!(self.log, "client connection dropped"; "error" => %error);
+        }
+    }
+
+    /// Makes room for a new connection within the limit, by evicting the first connection in eviction order where that is
+    /// needed. Returns false if all are busy: the new one is closed then, since waiting would delay all behind it.
     ///
-    /// Guards against floods of connections that say nothing, or a part and no more: they push out each other, and not an
-    /// agent that writes slowly.
+    /// Guards against floods of connections that send nothing, or an incomplete command: they evict each other rather than
+    /// a client that sends slowly.
     pub(super) fn make_room(&self) -> bool {
         let began = Instant::now();
         let mut connections = lock(&self.connections);
         while connections.len() >= self.max_connections.load(Ordering::Relaxed) {
             let evictable = connections
                 .values()
-                .filter_map(|c| Some((c.eviction_order()?, c)));
+                .filter_map(|connection| Some((connection.eviction_order()?, connection)));
             if let Some((_, connection)) = evictable.min_by_key(|(order, _)| *order) {
                 connection.evict();
             } else if began.elapsed() >= ROOM_TIMEOUT {
-                if let Some(more) = self.full_log.permit() {
-                    warn!(self.log, "client connection limit reached"; "open" => connections.len(), "suppressed" => more);
+                if let Some(suppressed) = self.full_log.permit() {
+                    warn!(self.log, "client connection limit reached"; "open" => connections.len(), "suppressed" => suppressed);
                 }
                 return false;
             }
@@ -78,7 +78,7 @@
         true
     }
 
-    /// Serves a connection that is new, or one with what another process has read from it.
+    /// Starts the reader of a connection: a new one, or one of another process with the bytes that it has read (`read`).
     pub(super) fn start_connection(
         self: &Arc<Self>,
         stream: TcpStream,
@@ -95,29 +95,41 @@
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         lock(&self.connections).insert(number, connection.clone());
         self.connection_opened.notify_one();
-        let (front, reading) = (self.clone(), connection.clone());
-        let begun = spawn("agent-read", move || {
-            front.run_reader(number, &reading, read.unwrap_or_default())
+        let front = self.clone();
+        let reader_connection = connection.clone();
+        let started = spawn("agent-read", move || {
+            front.run_reader(number, &reader_connection, read.unwrap_or_default())
         });
-        if begun.is_err() {
+        if started.is_err() {
             self.close_connection(number, &connection);
         }
-        begun
+        started
     }
 }
 
+/// Which connections are evicted first; of one rank, the one without activity for longest.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// Never sent a request, and is not sending a command.
+    Silent,
+    /// Idle for [`EVICTABLE_AFTER`].
+    Idle,
+    Active,
+}
+
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Its place among the connections that may be closed for others, the least first; none if it may not.
-    fn eviction_order(&self) -> Option<(u8, Instant)> {
+    /// The place among connections that may be evicted; the least goes first. None if replies are pending or the connection
+    /// is closing.
+    fn eviction_order(&self) -> Option<(EvictionRank, Instant)> {
         let state = lock(&self.state);
         if state.unanswered > 0 || state.closed || state.closing_when_read {
             return None;
         }
         let idle = state.last_activity.elapsed();
         let rank = match (state.has_requested, state.is_sending()) {
-            (false, false) => 0,
-            (true, false) if idle >= EVICTABLE_AFTER => 1,
-            _ => 2,
+            (false, false) => EvictionRank::Silent,
+            (true, false) if idle >= EVICTABLE_AFTER => EvictionRank::Idle,
+            _ => EvictionRank::Active,
         };
         Some((rank, state.last_activity))
     }
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of an agent: what it owes, what may still come on it and when it ends.
+//! One connection of a client: its pending replies, its activity and its end.
 
 use super::protocol::{ClientProtocol, Reply, ValueOf};
 use crate::metrics::InFlightRequest;
@@ -10,68 +10,67 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// An agent from which more has come within this time is still writing, slowly, and has so long for its command. What
-/// can't be read comes at full speed and is known at once.
+/// A client that has sent a part of a command within this time counts as sending it, slowly.
 const SENDING_WINDOW: Duration = Duration::from_millis(700);
-/// Agents may hold four fifths of the places; what is above is for floods. Above three fifths, connections that have
-/// nothing open for so long are closed.
+/// Above the limit of connections with requests, those without open commands for this long are closed.
 pub(super) const SHORT_IDLE: Duration = Duration::from_millis(300);
 
-/// A command that is owed an answer.
+/// A command without a reply that was written.
 pub(super) struct PendingReply<P: ClientProtocol> {
-    /// Its number; none of the front's own words.
+    /// The number of its request; 0 for a direct reply.
     pub(super) number: u64,
-    /// What the writer has to know.
+    /// What the protocol needs in order to write the reply.
     pub(super) context: P::ReplyContext,
-    /// The answer, once there is one.
+    /// The reply, once there is one.
     pub(super) reply: Option<Reply<ValueOf<P>>>,
-    /// Where a request is counted.
+    /// Counts the request at its end.
     pub(super) in_flight: Option<InFlightRequest>,
 }
 
-/// A connection of an agent.
+/// A connection of a client.
 pub(super) struct ClientConnection<P: ClientProtocol> {
     pub(super) stream: TcpStream,
     pub(super) state: Mutex<ConnectionState<P>>,
-    /// An answer has been written, or the connection has ended.
+    /// Notified after a reply was written and when a thread of the connection or the connection ends.
     pub(super) progress: Condvar,
 }
 
+/// The state that the reader, the writer and the watchdog of a connection share.
 pub(super) struct ConnectionState<P: ClientProtocol> {
-    /// Answers to be written, in order.
+    /// Replies to be written, in the order of commands.
     pub(super) replies: VecDeque<PendingReply<P>>,
-    /// There is a thread that writes them; for good once it ends the connection.
+    /// A thread writes replies. Stays set once that thread closes the connection.
     pub(super) writer_running: bool,
-    /// Further commands may come.
+    /// Further commands may be received.
     pub(super) accepts_commands: bool,
-    /// There is a thread that reads.
+    /// A thread reads from the connection.
     pub(super) reader_running: bool,
-    /// Requests that wait for their answers.
+    /// The numbers of requests without a reply.
     pub(super) open_requests: Vec<u64>,
-    /// Commands read and not answered yet.
+    /// The number of commands without a written reply.
     pub(super) unanswered: usize,
-    /// Nothing that is read from now on is taken.
+    /// Commands that are read from now on are ignored.
     pub(super) closed: bool,
-    /// Its reader ends it once it finds no more to be read and nothing is owed.
+    /// The reader closes the connection once it has read all that was received and no reply is pending.
     pub(super) closing_when_read: bool,
-    /// What is read next may have come long ago: since then the agent may have left.
+    /// Bytes that are read next may have been received long ago, and the client may have disconnected since.
     pub(super) reading_was_paused: bool,
-    /// Handed over: another process reads and writes on it.
+    /// Another process reads from the connection and writes to it.
     pub(super) handed_over: bool,
-    /// A request has come: neither the front's own words nor what can't be understood counts.
+    /// A request was received. Commands with a direct reply and malformed ones do not count.
     pub(super) has_requested: bool,
-    /// Pieces of the next that have come.
+    /// Reads that did not complete the next command.
     pub(super) partial_reads: u32,
-    /// Since when the connection waits for a command to become whole.
+    /// When the connection was accepted or the first byte of an incomplete command was received.
     pub(super) incomplete_since: Option<Instant>,
-    /// What can't be read has come: whatever is still open by then is failed.
+    /// When open requests are abandoned, as a malformed command was received.
     pub(super) give_up_at: Option<Instant>,
     pub(super) opened_at: Instant,
     pub(super) last_activity: Instant,
 }
 
 impl<P: ClientProtocol> ConnectionState<P> {
-    /// State of a connection that has just come: from a client, or from another process (`adopted`).
+    /// The state of a connection that was accepted, or taken over from another process (`adopted`).
     pub(super) fn new(adopted: bool) -> Self {
         let now = Instant::now();
         Self {
@@ -94,42 +93,40 @@
         }
     }
 
-    /// There are replies that are not written yet.
+    /// Whether replies are pending or being written.
     pub(super) fn has_replies_to_write(&self) -> bool {
         self.writer_running || !self.replies.is_empty()
     }
 
-    /// The agent is in the middle of a command, and goes on: one piece and no more is what a crowd sends.
+    /// Whether the client is sending a command and has sent at least two parts of it; floods send one.
     pub(super) fn is_sending(&self) -> bool {
         self.partial_reads > 1 && self.last_activity.elapsed() < SENDING_WINDOW
     }
 
-    /// A command may be on its way: the agent writes one, or has only just connected.
+    /// Whether a command may be received soon: the client is sending one, or has only just connected.
     pub(super) fn command_may_be_coming(&self) -> bool {
         self.is_sending() || (!self.has_requested && self.opened_at.elapsed() < SHORT_IDLE)
     }
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// A command has been read; how many are owed an answer with it, or none if the connection is closing and the
-    /// command is not taken.
+    /// Counts a command that was read. Returns the number of commands without a written reply, or none if the connection
+    /// is closing and the command is ignored.
     pub(super) fn begin_command(&self) -> Option<usize> {
         let mut state = lock(&self.state);
         if state.closed {
             return None;
         }
-        (
-            state.unanswered,
-            state.partial_reads,
-            state.incomplete_since,
-        ) = (state.unanswered + 1, 0, None);
+        state.unanswered += 1;
+        state.partial_reads = 0;
+        state.incomplete_since = None;
         Some(state.unanswered)
     }
 
-    /// The first command still owed has been answered; false if the connection is to end.
+    /// Records that the reply to the oldest command was written. Returns whether further replies may be written.
     pub(super) fn end_command(&self, number: u64, closing: bool) -> bool {
         let mut state = lock(&self.state);
-        state.open_requests.retain(|n| *n != number);
+        state.open_requests.retain(|other| *other != number);
         state.unanswered = state.unanswered.saturating_sub(1);
         state.last_activity = Instant::now();
         if closing {
@@ -139,10 +136,10 @@
         !state.closed || (state.give_up_at.is_some() && state.unanswered > 0)
     }
 
-    /// Ends if nothing is owed: by its reader, who serves what it has read by then.
+    /// Has the reader close the connection if no reply is pending; it processes what was received by then.
     ///
-    /// Guards against an end between the reading of a request and its taking: the agent would find its connection closed
-    /// under it, and not know that it never ran.
+    /// Guards against a close between the read of a request and its processing: the client could not know that the request
+    /// was never executed.
     pub(super) fn close_if_settled(&self, state: &mut ConnectionState<P>) {
         if state.unanswered == 0 && !state.handed_over {
             state.closing_when_read = true;
@@ -150,7 +147,7 @@
         }
     }
 
-    /// The agent left while it was not read from. Seen once reading goes on, before a request of its is taken.
+    /// Whether the client disconnected while reading was paused. Checked before its next request is accepted.
     pub(super) fn peer_left_while_paused(&self) -> bool {
         let mut state = lock(&self.state);
         let left = std::mem::take(&mut state.reading_was_paused)
@@ -160,7 +157,7 @@
         left
     }
 
-    /// Ends if nothing is owed, unless a command may be on its way.
+    /// Closes the connection if no reply is pending, unless a command may be received soon.
     pub(super) fn close_unless_busy(&self) {
         let mut state = lock(&self.state);
         if !state.command_may_be_coming() {
@@ -168,11 +165,12 @@
         }
     }
 
-    /// Ends if nothing is owed.
+    /// Closes the connection if no reply is pending.
     pub(super) fn evict(&self) {
         self.close_if_settled(&mut lock(&self.state));
     }
 
+    /// Closes the connection now; pending replies are dropped. The socket stays open if it was handed over.
     pub(super) fn close(&self) {
         let mut state = lock(&self.state);
         state.closed = true;
@@ -185,14 +183,14 @@
 }
 
 impl<P: ClientProtocol> Presence for ClientConnection<P> {
-    /// While the limiter itself ends the connection, the client's own end can't be told from ours.
+    /// While the limiter closes the connection, a disconnect by the client can't be recognized.
     fn has_left(&self) -> bool {
         let closing = lock(&self.state).closing_when_read;
         !closing && peer_hung_up(&self.stream)
     }
 }
 
-/// The agent has closed its connection, whether or not all that it sent has been read.
+/// Whether the client has closed its connection, whether or not all that it sent was read.
 pub(super) fn peer_hung_up(stream: &TcpStream) -> bool {
     let mut one = [PollFd::new(stream, PollFlags::RDHUP)];
     let now = Timespec {
--- a/src/client/interruptible.rs
+++ b/src/client/interruptible.rs
@@ -1,100 +1,109 @@
-//! Blocking reads from a client that another thread can interrupt, with nothing of what the client sent lost.
+//! Blocking reads from a client that another thread can interrupt without losing a byte.
 
+use crate::threads::lock;
 use rustix::event::{poll, PollFd, PollFlags};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
 use std::sync::Mutex;
 
-/// Ends the waiting of all who read from agents.
+/// Interrupts all readers of client connections at once.
 pub struct ReadInterrupt {
-    /// There is a byte on it while they are to stop.
-    sign: UnixStream,
-    set: Mutex<UnixStream>,
+    /// Readable while readers are to be interrupted.
+    signal: UnixStream,
+    signal_writer: Mutex<UnixStream>,
 }
 
 impl ReadInterrupt {
-    /// One that is not set.
+    /// An interrupt that is not set.
+    ///
+    /// # Errors
+    ///
+    /// If no socket pair can be created.
     pub fn new() -> io::Result<Self> {
-        let (sign, set) = UnixStream::pair()?;
-        sign.set_nonblocking(true)?;
+        let (signal, signal_writer) = UnixStream::pair()?;
+        signal.set_nonblocking(true)?;
         Ok(Self {
-            sign,
-            set: Mutex::new(set),
+            signal,
+            signal_writer: Mutex::new(signal_writer),
         })
     }
 
-    /// Wakes those that wait now or later, or no longer.
-    pub fn set(&self, woken: bool) {
-        let mut set = crate::threads::lock(&self.set);
-        while (&self.sign).read(&mut [0; 8]).is_ok_and(|read| read > 0) {}
-        if woken {
-            _ = set.write_all(&[1]);
+    /// Sets or clears the interrupt. While set, it ends reads that wait now or begin to wait.
+    pub fn set(&self, interrupts: bool) {
+        let mut signal_writer = lock(&self.signal_writer);
+        while (&self.signal).read(&mut [0; 8]).is_ok_and(|read| read > 0) {}
+        if interrupts {
+            _ = signal_writer.write_all(&[1]);
         }
     }
 
-    /// Waits until there is something to be read; false if woken, which comes first.
-    fn wait(&self, stream: &TcpStream) -> bool {
-        let mut both = [
-            PollFd::new(&self.sign, PollFlags::IN),
+    /// Waits until the stream is readable. Returns false if interrupted, which takes precedence.
+    fn wait_readable(&self, stream: &TcpStream) -> bool {
+        let mut polled = [
+            PollFd::new(&self.signal, PollFlags::IN),
             PollFd::new(stream, PollFlags::IN),
         ];
-        while poll(&mut both, None) == Err(rustix::io::Errno::INTR) {}
-        both[0].revents().is_empty()
+        while poll(&mut polled, None) == Err(rustix::io::Errno::INTR) {}
+        polled[0].revents().is_empty()
     }
 }
 
-/// Reads what a client sends, after what was read of it already.
+/// Reads from a client, beginning with bytes that were read before.
 pub struct InterruptibleReader<'a> {
     stream: &'a TcpStream,
-    wake: Option<&'a ReadInterrupt>,
-    first: Vec<u8>,
+    interrupt: Option<&'a ReadInterrupt>,
+    /// Bytes that were read before.
+    unread: Vec<u8>,
     uninterruptible: bool,
     interrupted: bool,
 }
 
 impl<'a> InterruptibleReader<'a> {
-    /// A reader that `wake` interrupts.
-    pub fn new(stream: &'a TcpStream, wake: Option<&'a ReadInterrupt>, first: Vec<u8>) -> Self {
+    /// A reader of a stream, after the bytes in `unread`; `interrupt` ends its waits.
+    pub fn new(
+        stream: &'a TcpStream,
+        interrupt: Option<&'a ReadInterrupt>,
+        unread: Vec<u8>,
+    ) -> Self {
         Self {
             stream,
-            wake,
-            first,
+            interrupt,
+            unread,
             uninterruptible: false,
             interrupted: false,
         }
     }
 
-    /// While set, nothing interrupts it.
+    /// Sets whether the interrupt is ignored.
     pub fn set_uninterruptible(&mut self, uninterruptible: bool) {
         self.uninterruptible = uninterruptible;
     }
 
-    /// It was interrupted while the client was still connected.
+    /// Whether a read was interrupted; the connection is intact.
     pub fn interrupted(&self) -> bool {
         self.interrupted
     }
 
-    /// What was read before and not asked for.
+    /// The bytes that were read before and not returned.
     pub fn into_unread(self) -> Vec<u8> {
-        self.first
+        self.unread
     }
 }
 
 impl Read for InterruptibleReader<'_> {
     fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
-        if !self.first.is_empty() {
-            let size = to.len().min(self.first.len());
-            to[..size].copy_from_slice(&self.first[..size]);
-            self.first.drain(..size);
+        if !self.unread.is_empty() {
+            let size = to.len().min(self.unread.len());
+            to[..size].copy_from_slice(&self.unread[..size]);
+            self.unread.drain(..size);
             return Ok(size);
         }
-        if self
-            .wake
-            .is_some_and(|wake| !self.uninterruptible && !wake.wait(self.stream))
-        {
-            self.interrupted = true;
-            return Err(ErrorKind::WouldBlock.into());
+        if let Some(interrupt) = self.interrupt {
+            if !self.uninterruptible && !interrupt.wait_readable(self.stream) {
+                self.interrupted = true;
+                return Err(ErrorKind::WouldBlock.into());
+            }
         }
         self.stream.read(to)
     }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,11 +1,9 @@
 //! A front: accepts connections of clients and writes replies in the order of the commands.
 //!
-//! Each connection has a thread that reads and, while there are replies to be written, one that writes: a slow or
-//! broken client holds up its own connection alone. How commands are read and replies written is a
-//! [`ClientProtocol`].
+//! Each connection has a thread that reads and, while replies can be written, one that writes: a slow or failed client
+//! delays its own connection alone. A [`ClientProtocol`] reads commands and writes replies.
 //!
-//! One more thread, the watchdog, closes connections on which no command becomes whole or that are held for long
-//! after their last reply.
+//! One more thread, the watchdog, closes connections with an incomplete command or without commands after a timeout.
 
 mod accept;
 mod connection;
@@ -36,15 +34,15 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// A front.
+/// Serves the clients of a limiter.
 pub struct Front<P: ClientProtocol> {
     protocol: P,
     max_connections: AtomicUsize,
-    /// Connections can be handed over; ends the waiting of their readers.
+    /// Interrupts readers for a hand-over; none if connections are never handed over.
     read_interrupt: Option<ReadInterrupt>,
-    /// Where to, while they are.
+    /// Hands a connection over, while a hand-over runs.
     hand_over_to: Mutex<Option<ConnectionHandOver>>,
-    /// No connection is accepted.
+    /// Whether accepting is paused.
     accept_paused: Mutex<bool>,
     accept_resumed: Condvar,
     events: ClientEventSink<P>,
@@ -53,9 +51,9 @@
     closing: AtomicBool,
     next_number: AtomicU64,
     connections: Mutex<HashMap<u64, Arc<ClientConnection<P>>>>,
-    /// A connection has ended.
+    /// Notified when a connection was closed.
     connection_ended: Condvar,
-    /// There is a connection to watch over.
+    /// Notified when a connection was opened, for the watchdog.
     connection_opened: Condvar,
     log: Logger,
     malformed_log: LogThrottle,
@@ -63,7 +61,7 @@
 }
 
 impl<P: ClientProtocol> Front<P> {
-    /// A front for at most so many connections.
+    /// A front for at most `most` connections, which passes requests to `events` and counts them in `figures`.
     pub fn new(
         protocol: P,
         most: usize,
@@ -93,7 +91,11 @@
         })
     }
 
-    /// Starts to take connections.
+    /// Starts the threads that accept connections and watch them.
+    ///
+    /// # Errors
+    ///
+    /// If a thread can't be started.
     pub fn listen(self: &Arc<Self>, listener: TcpListener) -> io::Result<()> {
         let front = self.clone();
         spawn("agents", move || front.run_accept_loop(&listener))?;
@@ -101,68 +103,68 @@
         spawn("agents-watch", move || front.run_watchdog())
     }
 
-    /// Takes connections, or none for now: they wait for whoever else accepts from the listener.
-    pub fn set_accepting(&self, goes_on: bool) {
-        *lock(&self.accept_paused) = !goes_on;
+    /// Resumes or pauses accepting. Meanwhile connections wait for another process that accepts from the listener.
+    pub fn set_accepting(&self, accepts: bool) {
+        *lock(&self.accept_paused) = !accepts;
         self.accept_resumed.notify_all();
     }
 
-    /// From now on so many connections at most.
+    /// Sets the most connections.
     pub fn set_max_connections(&self, most: usize) {
         self.max_connections.store(most, Ordering::Relaxed);
     }
 
-    /// No connection is left.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         lock(&self.connections).is_empty()
     }
 
-    /// From now on the front says that it is ready.
+    /// Records that the limiter has an endpoint list; clients that ask get that as the reply.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Relaxed);
     }
 
-    /// The limiter knows a node list and takes requests.
+    /// Whether the limiter has an endpoint list.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Closes every connection that owes nothing, and each other once it has answered; none while they are handed over.
+    /// Closes every connection once no reply is pending on it; none while they are handed over.
     pub fn close_idle(&self) {
         self.closing.store(true, Ordering::SeqCst);
         self.close_if_closing();
     }
 
-    /// Closes what owes nothing and on which no command is on its way, if all are to be closed.
+    /// Closes connections without a pending reply and without a command that may be received soon, if all are to be closed.
     fn close_if_closing(&self) {
         if self.is_closing() {
-            lock(&self.connections)
-                .values()
-                .for_each(|connection| connection.close_unless_busy());
+            for connection in lock(&self.connections).values() {
+                connection.close_unless_busy();
+            }
         }
     }
 
-    /// Connections are to be closed once they owe nothing, and not handed over.
+    /// Whether connections are to be closed once no reply is pending, rather than handed over.
     fn is_closing(&self) -> bool {
         self.closing.load(Ordering::SeqCst) && lock(&self.hand_over_to).is_none()
     }
 
-    /// Some agent is in the middle of a command.
+    /// Whether a command may be received soon on any connection.
     pub fn has_partial_command(&self) -> bool {
         lock(&self.connections)
             .values()
             .any(|connection| lock(&connection.state).command_may_be_coming())
     }
 
-    /// Waits until every connection has ended, or for so long.
-    pub fn wait_closed(&self, most: Duration) {
+    /// Waits until every connection is closed, at most for `timeout`.
+    pub fn wait_closed(&self, timeout: Duration) {
         let connections = lock(&self.connections);
         _ = self
             .connection_ended
-            .wait_timeout_while(connections, most, |connections| !connections.is_empty());
+            .wait_timeout_while(connections, timeout, |connections| !connections.is_empty());
     }
 
-    /// Closes a connection, and lets another take its place.
+    /// Closes a connection and removes it.
     fn close_connection(&self, number: u64, connection: &ClientConnection<P>) {
         self.abandon_requests(connection);
         connection.close();
@@ -170,19 +172,20 @@
         self.connection_ended.notify_all();
     }
 
-    /// The agent has gone away: nobody waits for what is still open.
+    /// Reports the open requests of a connection as abandoned: the client has disconnected.
     fn abandon_requests(&self, connection: &ClientConnection<P>) {
         let mut state = lock(&connection.state);
         state.closed = true;
-        let left = std::mem::take(&mut state.open_requests);
+        let abandoned = std::mem::take(&mut state.open_requests);
         drop(state);
-        self.report_abandoned(left);
+        self.report_abandoned(abandoned);
     }
 
-    /// All at once: told one after another, a request that waits would be sent on in the place of the one before it.
-    fn report_abandoned(&self, left: Vec<u64>) {
-        if !left.is_empty() {
-            _ = (self.events)(ClientEvent::Disconnected(left));
+    /// Reports abandoned requests in one event: with one each, the core would forward a waiting request in place of the one
+    /// that was abandoned before it.
+    fn report_abandoned(&self, numbers: Vec<u64>) {
+        if !numbers.is_empty() {
+            _ = (self.events)(ClientEvent::Disconnected(numbers));
         }
     }
 }
--- a/src/client/protocol.rs
+++ b/src/client/protocol.rs
@@ -8,18 +8,25 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// A protocol that clients speak on their connections.
+/// Reads commands from clients and writes replies.
 pub trait ClientProtocol: Send + Sync + Sized + 'static {
     /// The protocol of the upstream servers behind it.
     type Upstream: UpstreamProtocol;
-    /// What [`ClientProtocol::write`] has to know of a command.
+    /// What [`ClientProtocol::write`] needs of a command.
     type ReplyContext: Send + 'static;
-    /// Reads commands until the agent goes away, nothing more is to be taken from it or the connection is to be handed
-    /// over; what has been read by then and is no whole command.
+
+    /// Reads commands until the client disconnects, the session refuses a command or the read is interrupted for a
+    /// hand-over. Returns the bytes of the incomplete command that were read by then.
     fn read(&self, from: &mut InterruptibleReader, session: &Session<Self>) -> Vec<u8>;
+
     /// The last reply on a connection that the limiter closes.
-    fn closing_reply(&self, why: CloseReason) -> (Self::ReplyContext, Vec<u8>);
-    /// Writes an answer; false if the connection is to end after it.
+    fn closing_reply(&self, reason: CloseReason) -> (Self::ReplyContext, Vec<u8>);
+
+    /// Writes an answer. Returns false if the connection is to be closed after it.
+    ///
+    /// # Errors
+    ///
+    /// If the client can't be written to, or the answer broke off; the connection is closed.
     fn write(
         &self,
         to: &TcpStream,
@@ -28,17 +35,17 @@
     ) -> io::Result<bool>;
 }
 
-/// Why a connection is ended while the agent may still read.
+/// Why the limiter closes a connection whose client may still read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseReason {
-    /// No whole command came in time.
+    /// No command was complete in time.
     TooSlow,
-    /// More commands came at once than may wait for their answers.
+    /// More commands were pipelined than allowed.
     TooMany,
 }
 
 impl CloseReason {
-    /// The reason in words, for the client and the log.
+    /// The reason as text, for the client and the log.
     pub fn description(self) -> &'static str {
         match self {
             Self::TooSlow => "no whole command in time",
@@ -47,7 +54,7 @@
     }
 }
 
-/// Where the answer of a request goes; without one, the agent is told that the request failed.
+/// Receives the reply to a request. Dropped without one, it replies that the request failed.
 pub struct ReplySlot<V> {
     fill: Option<Box<dyn FnOnce(Reply<V>) + Send>>,
     client: Arc<dyn Presence>,
@@ -64,12 +71,12 @@
         }
     }
 
-    /// Who waits for the answer.
+    /// Whether the client is still connected.
     pub fn presence(&self) -> Arc<dyn Presence> {
         self.client.clone()
     }
 
-    /// Gives the answer.
+    /// Replies.
     pub fn fill(mut self, reply: Reply<V>) {
         if let Some(fill) = self.fill.take() {
             fill(reply);
@@ -85,21 +92,21 @@
     }
 }
 
-/// What is written to an agent.
+/// A reply to a client.
 pub enum Reply<V> {
     /// The answer of a request.
     Answer(Answer<V>),
-    /// A reply of the front's own; `last` if the connection ends with it.
+    /// A reply without an answer of the core.
     Direct {
-        /// As they are written.
+        /// The bytes to write.
         text: Vec<u8>,
-        /// Nothing follows.
+        /// Whether the connection is closed after it.
         last: bool,
     },
 }
 
 impl<V> Reply<V> {
-    /// A reply of the front's own, with more to follow.
+    /// A direct reply that keeps the connection open.
     pub fn direct(text: &str) -> Self {
         Self::Direct {
             text: text.into(),
@@ -108,4 +115,5 @@
     }
 }
 
+/// The values that the upstream servers behind a client protocol send.
 pub(super) type ValueOf<P> = <<P as ClientProtocol>::Upstream as UpstreamProtocol>::Value;
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -14,53 +14,56 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time for an agent to read its last answer before the connection is closed under it.
+/// The time that a client has for reading its last reply before the connection is closed.
 pub(super) const CLOSE_LINGER: Duration = Duration::from_millis(300);
-/// Read beyond what ended a connection, so that its last words are not lost to a reset; no more than that, as
-/// some agents have 60 MB to send.
-const MAX_DRAINED: usize = 128 * 1024;
+/// The most bytes that are read and ignored after the command that ended a connection, so that the last reply is not lost
+/// to a reset; some clients would send 60 MB.
+const MAX_DRAINED_BYTES: usize = 128 * 1024;
+
+/// Bytes that are ignored at a time.
+const DRAIN_PIECE_BYTES: usize = 4 * 1024;
 
 /// How the reading of commands ended.
 #[derive(PartialEq)]
 enum ReadEnd {
-    /// No more is taken from the connection, or the client has gone away.
+    /// No further command is accepted, or the client has disconnected.
     Ended,
     /// Another process reads from it now.
     HandedOver,
 }
 
-/// How a connection ends once no more is read from it.
+/// How a connection ends after its last read.
 enum Ending {
-    /// Nothing is owed, and it is closed at once.
+    /// No reply is pending: it is closed at once.
     Settled,
-    /// The limiter closes it, and its last reply is written.
+    /// The limiter closes it, and its last reply was written.
     LastReplyWritten,
-    /// The client ends it, or replies are still to be written.
+    /// The client closes it, or replies are pending.
     Other,
 }
 
 impl<P: ClientProtocol> Front<P> {
-    /// Reads until the connection ends or is handed over; `first` has been read from it before.
+    /// Reads commands until the connection ends or is handed over, beginning with the bytes in `unread`.
     pub(super) fn run_reader(
         self: &Arc<Self>,
         number: u64,
         connection: &Arc<ClientConnection<P>>,
-        first: Vec<u8>,
+        unread: Vec<u8>,
     ) {
         let session = Session {
             front: self,
             connection,
             number,
         };
-        if self.read_commands(&session, first) == ReadEnd::HandedOver {
+        if self.read_commands(&session, unread) == ReadEnd::HandedOver {
             return self.reader_ended(number, connection);
         }
-        // The watchdog has ended the reading.
+        // The watchdog shuts down the connection after that time.
         if connection.command_timed_out() && connection.begin_command().is_some() {
             session.dismiss(CloseReason::TooSlow);
         }
         match connection.stop_accepting() {
-            // It has read all that had come. What nobody has read the agent sends again elsewhere.
+            // All that was received has been processed. The client retries later commands elsewhere.
             Ending::Settled => return self.reader_ended(number, connection),
             Ending::LastReplyWritten => {
                 _ = connection.stream.shutdown(Shutdown::Write);
@@ -69,62 +72,62 @@
             Ending::Other => {}
         }
         drain(&connection.stream);
-        // Whoever has that much more to say would not be seen to leave behind it.
+        // After this many bytes, a disconnect behind them would not be noticed.
         self.abandon_requests(connection);
         self.reader_ended(number, connection);
     }
 
-    /// Reads commands until the protocol takes no more of them, or the connection is another process's.
-    fn read_commands(&self, session: &Session<P>, mut first: Vec<u8>) -> ReadEnd {
+    /// Reads commands until the protocol accepts no more or the connection is handed over.
+    fn read_commands(&self, session: &Session<P>, mut unread: Vec<u8>) -> ReadEnd {
         let connection = session.connection;
         loop {
             let mut from =
-                InterruptibleReader::new(&connection.stream, self.read_interrupt.as_ref(), first);
-            first = self.protocol.read(&mut from, session);
+                InterruptibleReader::new(&connection.stream, self.read_interrupt.as_ref(), unread);
+            unread = self.protocol.read(&mut from, session);
             let interrupted = from.interrupted();
-            first.extend(from.into_unread());
+            unread.extend(from.into_unread());
             if !interrupted {
                 return ReadEnd::Ended;
             }
-            // All that was asked on it is answered from here; what comes next is the other's.
-            let hand_over = connection
-                .detach_when_settled()
-                .then(|| lock(&self.hand_over_to).clone())
-                .flatten();
-            if hand_over.is_some_and(|hand_over| hand_over(&connection.stream, &first)) {
-                return ReadEnd::HandedOver;
+            // Commands up to here are answered by this process, later ones by the other.
+            if connection.detach_when_settled() {
+                let hand_over = lock(&self.hand_over_to).clone();
+                if hand_over.is_some_and(|hand_over| hand_over(&connection.stream, &unread)) {
+                    return ReadEnd::HandedOver;
+                }
             }
             if !connection.reattach() {
                 return ReadEnd::Ended;
             }
-            // Guards against asking again and again while the other's end is not known yet.
+            // Guards against a busy loop until this process learns that the other one has ended.
             thread::sleep(ACCEPT_RETRY_DELAY);
         }
     }
 
-    /// The reader of a connection ends; the writer, if there is one, ends the connection after it.
+    /// Records the end of the reader. The connection is closed, by the writer if replies are pending.
     pub(super) fn reader_ended(&self, number: u64, connection: &ClientConnection<P>) {
         let mut state = lock(&connection.state);
-        (state.accepts_commands, state.reader_running) = (false, false);
-        // A request has its answer at its deadline at the latest, and is written then.
-        let writes = state.has_replies_to_write();
+        state.accepts_commands = false;
+        state.reader_running = false;
+        // Each request has a reply by its deadline.
+        let has_replies = state.has_replies_to_write();
         drop(state);
         connection.progress.notify_all();
-        if !writes {
+        if !has_replies {
             self.close_connection(number, connection);
         }
     }
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Its command is not whole within the time for it.
+    /// Whether a command was not complete in time.
     fn command_timed_out(&self) -> bool {
         lock(&self.state)
             .incomplete_since
             .is_some_and(|since| since.elapsed() >= COMMAND_TIMEOUT)
     }
 
-    /// Takes no further command: its writer ends once all that is owed is written.
+    /// Stops accepting commands: the writer ends after the pending replies.
     fn stop_accepting(&self) -> Ending {
         let mut state = lock(&self.state);
         state.accepts_commands = false;
@@ -138,12 +141,13 @@
     }
 }
 
-/// Reads on to the end: to close with bytes unread would reset the connection under its last answer.
+/// Reads and ignores bytes up to the end: a close with unread bytes resets the connection, and its last reply is lost.
 fn drain(mut stream: &TcpStream) {
-    let (mut part, mut drained) = ([0; 4 * 1024], 0);
-    while drained <= MAX_DRAINED {
-        match stream.read(&mut part) {
-            Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
+    let mut bytes = [0; DRAIN_PIECE_BYTES];
+    let mut drained = 0;
+    while drained <= MAX_DRAINED_BYTES {
+        match stream.read(&mut bytes) {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Ok(0) | Err(_) => break,
             Ok(read) => drained += read,
         }
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,4 +1,4 @@
-//! What the reader of a connection hands its commands to.
+//! Processes the commands of one connection: reserves replies, submits requests and replies directly.
 
 use super::connection::{ClientConnection, PendingReply};
 use super::event::{ClientEvent, ClientRequest};
@@ -13,10 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Commands of one connection that wait for their answers; an agent that writes more has gone too far.
+/// The most commands of one connection without a written reply.
 const MAX_PIPELINED: usize = 64;
 
-/// What the reader of a connection hands its commands to.
+/// Receives the commands that a [`ClientProtocol`] reads from one connection.
 pub struct Session<'a, P: ClientProtocol> {
     pub(super) front: &'a Arc<Front<P>>,
     pub(super) connection: &'a Arc<ClientConnection<P>>,
@@ -24,8 +24,8 @@
 }
 
 impl<P: ClientProtocol> Session<'_, P> {
-    /// Takes the next place in the order of answers for a request of this class; none if the connection is closing,
-    /// and what was read is not taken.
+    /// Reserves the next reply for a request of this class. Returns the number of the request and the slot of its reply, or
+    /// none if the connection is closing and the command is to be ignored.
     pub fn reserve_reply(
         &self,
         context: P::ReplyContext,
@@ -50,71 +50,76 @@
             in_flight,
         });
         drop(state);
-        let (front, connection, own) = (self.front.clone(), self.connection.clone(), self.number);
+        Some((number, self.reply_slot(number)))
+    }
+
+    /// The slot of the pending reply to this request.
+    fn reply_slot(&self, request: u64) -> ReplySlot<ValueOf<P>> {
+        let front = self.front.clone();
+        let connection = self.connection.clone();
+        let connection_number = self.number;
         let fill = move |reply| {
             let mut state = lock(&connection.state);
-            if let Some(pending) = state
-                .replies
-                .iter_mut()
-                .find(|pending| pending.number == number)
-            {
+            let mut replies = state.replies.iter_mut();
+            if let Some(pending) = replies.find(|pending| pending.number == request) {
                 pending.reply = Some(reply);
             }
-            front.start_writer(own, &connection, state);
+            front.start_writer(connection_number, &connection, state);
         };
-        Some((number, ReplySlot::new(self.connection.clone(), fill)))
+        ReplySlot::new(self.connection.clone(), fill)
     }
 
-    /// Replies without asking the core, in the order of commands; false if the connection is closing.
-    pub fn reply_directly(&self, context: P::ReplyContext, words: Reply<ValueOf<P>>) -> bool {
+    /// Replies without the core, in the order of commands. Returns false if the connection is closing.
+    pub fn reply_directly(&self, context: P::ReplyContext, reply: Reply<ValueOf<P>>) -> bool {
         match self.connection.begin_command() {
             None => false,
             Some(unanswered) if unanswered > MAX_PIPELINED => {
                 self.dismiss(CloseReason::TooMany);
                 false
             }
-            Some(_) => self.put(context, words),
+            Some(_) => self.write_or_queue(context, reply),
         }
     }
 
-    /// Sends the last reply: what comes after can't be told apart or is not wanted. Whatever was asked before is
-    /// answered first, but not for longer than an agent may be kept waiting for these.
-    pub fn reply_and_close(&self, context: P::ReplyContext, words: Vec<u8>, fault: &str) {
+    /// Sends the last reply and closes the connection; `error` is logged. Earlier commands are answered first, and abandoned
+    /// at the command timeout.
+    pub fn reply_and_close(&self, context: P::ReplyContext, text: Vec<u8>, error: &str) {
         if self.connection.begin_command().is_some() {
-            self.last(context, words, fault);
+            self.send_last_reply(context, text, error);
         }
     }
 
-    pub(super) fn dismiss(&self, why: CloseReason) {
-        let (context, words) = self.front.protocol.closing_reply(why);
-        self.last(context, words, why.description());
+    /// Closes the connection with the reply for this reason.
+    pub(super) fn dismiss(&self, reason: CloseReason) {
+        let (context, text) = self.front.protocol.closing_reply(reason);
+        self.send_last_reply(context, text, reason.description());
     }
 
-    fn last(&self, context: P::ReplyContext, text: Vec<u8>, fault: &str) {
-        self.log_malformed(fault);
+    fn send_last_reply(&self, context: P::ReplyContext, text: Vec<u8>, error: &str) {
+        self.log_malformed(error);
         let mut state = lock(&self.connection.state);
         state.closed = true;
         state.give_up_at = Some(state.opened_at + COMMAND_TIMEOUT);
         drop(state);
-        self.put(context, Reply::Direct { text, last: true });
+        self.write_or_queue(context, Reply::Direct { text, last: true });
     }
 
-    /// With nothing before them, words are written at once.
-    fn put(&self, context: P::ReplyContext, words: Reply<ValueOf<P>>) -> bool {
+    /// Writes a direct reply at once if no other is pending, else queues it. Returns false if the connection is closing.
+    fn write_or_queue(&self, context: P::ReplyContext, reply: Reply<ValueOf<P>>) -> bool {
         let closing = self.front.is_closing();
         let mut state = lock(&self.connection.state);
-        match words {
+        match reply {
             Reply::Direct { text, last } if !state.writer_running && state.replies.is_empty() => {
                 drop(state);
                 (&self.connection.stream).write_all(&text).is_ok()
                     && self.connection.end_command(0, closing)
                     && !last
             }
-            words => {
+            reply => {
                 state.replies.push_back(PendingReply {
                     number: 0,
                     context,
-                    reply: Some(words),
+                    reply: Some(reply),
                     in_flight: None,
                 });
                 self.front.start_writer(self.number, self.connection, state);
@@ -123,46 +128,45 @@
         }
     }
 
-    /// More of a command has come, and it is not whole.
+    /// Records that a read did not complete a command.
     pub fn note_partial_command(&self) {
         let mut state = lock(&self.connection.state);
-        (state.partial_reads, state.last_activity) =
-            (state.partial_reads.saturating_add(1), Instant::now());
+        state.partial_reads = state.partial_reads.saturating_add(1);
+        state.last_activity = Instant::now();
         state.incomplete_since.get_or_insert_with(Instant::now);
     }
 
-    /// Reads nothing for a while.
+    /// Blocks the reader for this long.
     pub fn pause_reading(&self, wait: Duration) {
         thread::sleep(wait);
         lock(&self.connection.state).reading_was_paused = true;
     }
 
-    /// A request of this class is answered as failed by the front itself.
+    /// Counts a request of this class that was never submitted as failed.
     pub fn count_failed(&self, class: usize) {
         drop(self.front.figures.taken(class));
     }
 
     /// Passes a request to the core.
     pub fn submit(&self, request: ClientRequest<P>) {
-        // Under one lock: told between the two that its agent has left, the core would not know the request.
+        // Under one lock: reported between the two, a disconnect would be of a request that the core does not know.
         let mut state = lock(&self.connection.state);
         state.open_requests.push(request.number);
         let unsent = (self.front.events)(ClientEvent::Request(request));
-        // A core that has ended takes no request: it comes back, and as it is dropped it answers itself, which takes the
-        // same lock.
+        // An undelivered request replies when it is dropped, which takes the same lock.
         drop(state);
         drop(unsent);
     }
 
-    /// The limiter knows a node list.
+    /// Whether the limiter has an endpoint list.
     pub fn is_ready(&self) -> bool {
         self.front.is_ready()
     }
 
-    /// Logs what is wrong with an agent's input, but not every time.
-    pub fn log_malformed(&self, fault: &str) {
-        if let Some(more) = self.front.malformed_log.permit() {
-            info!(self.front.log, "malformed command"; "error" => fault, "suppressed" => more);
+    /// Logs what is wrong with a client's command, at a limited rate.
+    pub fn log_malformed(&self, error: &str) {
+        if let Some(suppressed) = self.front.malformed_log.permit() {
+            info!(self.front.log, "malformed command"; "error" => error, "suppressed" => suppressed);
         }
     }
 }
--- a/src/client/watchdog.rs
+++ b/src/client/watchdog.rs
@@ -1,5 +1,5 @@
-//! The thread that watches over all connections: what never completes a command, or is held for good after its last
-//! answer, is closed, and whoever sends what can't be read is not kept waiting behind an answer.
+//! The thread that watches all connections: it closes those with an incomplete command or without commands after a
+//! timeout, evicts idle ones above the limit, and abandons requests before a malformed command.
 
 use super::connection::{peer_hung_up, ClientConnection, SHORT_IDLE};
 use super::protocol::ClientProtocol;
@@ -12,18 +12,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A command is to be whole by then, counted from the connection or, later, from its first byte; what can't be
-/// read is answered by then too. An agent may take 2 s, and is owed an answer within 3 s of connecting: a look later.
+/// The time within which a command has to be complete, from the accept of the connection or from the first byte of a later
+/// command; also the time, from the accept, until requests before a malformed command are abandoned. Clients may take 2 s,
+/// and have to get a reply within 3 s of connecting.
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// The same for an agent that is still writing, slowly.
+/// The same for a client that is still sending, slowly.
 const SLOW_COMMAND_TIMEOUT: Duration = Duration::from_secs(6);
-/// A connection that has nothing open for so long is closed. After 2 s it may be.
+/// A connection without a pending reply or an incomplete command is closed after this time; clients expect 2 s at least.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Between two looks at the connections, while there are any.
+/// The interval of checks while connections are open.
 const WATCHDOG_INTERVAL: Duration = Duration::from_millis(200);
+/// Connections on which requests were received, in fifths of all.
+const REQUESTING_FIFTHS: usize = 3;
 
 impl<P: ClientProtocol> Front<P> {
-    /// Closes what has been kept waiting, or keeps others waiting, for too long.
+    /// Checks all connections in an interval for as long as the process runs.
     pub(super) fn run_watchdog(&self) {
         let mut connections = lock(&self.connections);
         loop {
@@ -42,43 +45,49 @@
         }
     }
 
-    /// Leaves a quarter of what agents may hold free: of the connections on which requests have come, those idle longest
-    /// are closed.
+    /// Limits connections on which requests were received to three fifths of all: those without activity for longest are
+    /// closed. Clients may hold four fifths, and the rest is for floods, so a quarter of the clients' part stays free.
     ///
-    /// Guards against agents that ask once and hold their connection: once they hold all that they may, no further one of
-    /// theirs reaches the limiter.
+    /// Guards against clients that send one request and hold their connection: once they hold all that they may, no further
+    /// one of theirs reaches the limiter.
     pub(super) fn evict_idle(&self, connections: &HashMap<u64, Arc<ClientConnection<P>>>) {
-        let most = self.max_connections.load(Ordering::Relaxed) * 3 / 5;
-        if connections.len() <= most {
+        let max_connections = self.max_connections.load(Ordering::Relaxed);
+        let max_requesting = max_connections * REQUESTING_FIFTHS / 5;
+        if connections.len() <= max_requesting {
             return;
         }
-        let (mut asked, mut idle) = (0, Vec::new());
+        let mut requesting: usize = 0;
+        let mut idle = Vec::new();
         for connection in connections.values() {
             let state = lock(&connection.state);
-            asked += usize::from(state.has_requested);
-            let quiet = state.unanswered == 0
+            if !state.has_requested {
+                continue;
+            }
+            requesting += 1;
+            let is_idle = state.unanswered == 0
                 && !state.is_sending()
                 && state.last_activity.elapsed() >= SHORT_IDLE;
-            idle.extend(
-                (state.has_requested && quiet).then_some((state.last_activity, connection)),
-            );
+            if is_idle {
+                idle.push((state.last_activity, connection));
+            }
+        }
+        idle.sort_unstable_by_key(|(last_activity, _)| *last_activity);
+        let excess = requesting.saturating_sub(max_requesting);
+        for (_, connection) in idle.iter().take(excess) {
+            connection.evict();
         }
-        idle.sort_unstable_by_key(|(since, _)| *since);
-        idle.iter()
-            .take(asked.saturating_sub(most))
-            .for_each(|(_, connection)| connection.evict());
     }
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Closes the connection if it has waited for too long; else says which requests are to be given up, as what
-    /// stands behind them can't wait.
+    /// Closes the connection after a timeout. Returns the requests that are abandoned: the client has disconnected, or the
+    /// reply to a malformed command after them is due.
     fn check_timeouts(&self, now: Instant) -> Vec<u64> {
         let mut state = lock(&self.state);
-        if state.give_up_at.is_some_and(|by| now >= by) {
+        if state.give_up_at.is_some_and(|deadline| now >= deadline) {
             return std::mem::take(&mut state.open_requests);
         }
-        // Its reader may not see the end: it rests, waits for the hand-over or has read enough.
+        // The reader may not notice the disconnect: it is paused, waits for a hand-over or has ended.
         if !state.closing_when_read && !state.open_requests.is_empty() && peer_hung_up(&self.stream)
         {
             state.closed = true;
@@ -87,19 +96,18 @@
         if state.closed {
             return Vec::new();
         }
-        let patience = if state.is_sending() {
+        let command_timeout = if state.is_sending() {
             SLOW_COMMAND_TIMEOUT
         } else {
             COMMAND_TIMEOUT
         };
-        if state
-            .incomplete_since
-            .is_some_and(|since| now >= since + patience)
-        {
-            // The reader comes to its end, says so and closes.
-            _ = self.stream.shutdown(Shutdown::Read);
-        } else if state.incomplete_since.is_none() && now >= state.last_activity + IDLE_TIMEOUT {
-            self.close_if_settled(&mut state);
+        match state.incomplete_since {
+            Some(since) if now >= since + command_timeout => {
+                // The reader reaches the end of the stream, replies with the reason and closes.
+                _ = self.stream.shutdown(Shutdown::Read);
+            }
+            None if now >= state.last_activity + IDLE_TIMEOUT => self.close_if_settled(&mut state),
+            _ => {}
         }
         Vec::new()
     }
--- a/src/client/writer.rs
+++ b/src/client/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the answers of a connection, in the order of its commands.
+//! The thread that writes the replies of a connection, in the order of its commands.
 
 use super::connection::{ClientConnection, ConnectionState, PendingReply};
 use super::protocol::{ClientProtocol, Reply, ValueOf};
@@ -8,17 +8,17 @@
 use crate::metrics::{InFlightRequest, RequestOutcome};
 use crate::threads::{lock, spawn};
 use slog::warn;
-use std::io::Write;
+use std::io::{self, Write};
 use std::net::Shutdown;
 use std::sync::{Arc, MutexGuard};
 
-/// What a writer finds at the head of the replies.
+/// The head of the pending replies.
 enum NextReply<P: ClientProtocol> {
     /// A reply.
     Ready(ReadyReply<P>),
-    /// No reply yet; whoever brings one starts a writer.
+    /// No reply yet; the next one starts a writer.
     Later,
-    /// None, and none will come: the writer ends the connection.
+    /// No reply is pending and no command will be received: the writer closes the connection.
     Never,
 }
 
@@ -31,86 +31,93 @@
 }
 
 impl<P: ClientProtocol> Front<P> {
-    /// Has answers written if the next is there, by a thread that is there while there are any.
+    /// Starts a writer thread if the next reply can be written and none runs.
     ///
-    /// Guards against a thread for each connection or request that waits: a system that stops and continues a process, as
-    /// for its part of a processor, does so with each of its threads.
+    /// Guards against a waiting thread for each connection or request: a system that suspends and resumes a process, as for a
+    /// CPU quota, does so with each of its threads.
     pub(super) fn start_writer(
         self: &Arc<Self>,
         number: u64,
         connection: &Arc<ClientConnection<P>>,
         mut state: MutexGuard<ConnectionState<P>>,
     ) {
-        if state.writer_running
-            || state
-                .replies
-                .front()
-                .is_none_or(|pending| pending.reply.is_none())
-        {
+        let next = state.replies.front();
+        let is_ready = next.is_some_and(|pending| pending.reply.is_some());
+        if state.writer_running || !is_ready {
             return;
         }
         state.writer_running = true;
         drop(state);
-        let (front, own) = (self.clone(), connection.clone());
-        if let Err(fault) = spawn("agent-write", move || front.run_writer(number, &own)) {
-            warn!(self.log, "client connection dropped"; "error" => %fault);
+        let front = self.clone();
+        let writer_connection = connection.clone();
+        let work = move || front.run_writer(number, &writer_connection);
+        if let Err(error) = spawn("agent-write", work) {
+            warn!(self.log, "client connection dropped"; "error" => %error);
             self.close_connection(number, connection);
         }
     }
 
-    /// Writes answers in order while they are there.
+    /// Writes replies in order while the next can be written; closes the connection if it is to end.
     pub(super) fn run_writer(&self, number: u64, connection: &ClientConnection<P>) {
-        let by_choice = loop {
-            let ReadyReply {
-                number,
-                context,
-                reply,
-                in_flight,
-            } = match connection.next_reply() {
+        loop {
+            let ready = match connection.next_reply() {
                 NextReply::Ready(ready) => ready,
                 NextReply::Later => return,
-                NextReply::Never => break false,
+                NextReply::Never => break,
             };
-            let goes_on = match reply {
-                Reply::Answer(answer) => {
-                    let outcome = outcome(&answer);
-                    let written = self.protocol.write(&connection.stream, context, answer);
-                    in_flight
-                        .filter(|_| written.is_ok())
-                        .into_iter()
-                        .for_each(|in_flight| in_flight.finish(outcome));
-                    written
-                }
-                Reply::Direct { text, last } => {
-                    (&connection.stream).write_all(&text).map(|()| !last)
+            let request = ready.number;
+            match self.write_reply(connection, ready) {
+                Ok(true) if connection.end_command(request, self.is_closing()) => {}
+                Ok(_) => {
+                    connection.linger();
+                    break;
                 }
-            };
-            match goes_on {
-                Ok(true) if connection.end_command(number, self.is_closing()) => {}
-                Ok(_) => break true,
-                Err(_) => break false,
+                Err(_) => break,
             }
-        };
-        if by_choice {
-            // The agent is told by the end of sending, and gets a moment to read what it was told.
-            _ = connection.stream.shutdown(Shutdown::Write);
-            let state = lock(&connection.state);
-            drop(
-                connection
-                    .progress
-                    .wait_timeout_while(state, CLOSE_LINGER, |state| state.reader_running),
-            );
         }
-        // Ends the reader too, which tells of what is still open.
+        // Ends the reader too, which reports requests that are still open.
         self.close_connection(number, connection);
     }
+
+    /// Writes a reply and counts its request. Returns false if the connection is to be closed after it.
+    fn write_reply(
+        &self,
+        connection: &ClientConnection<P>,
+        ready: ReadyReply<P>,
+    ) -> io::Result<bool> {
+        match ready.reply {
+            Reply::Answer(answer) => {
+                let outcome = outcome(&answer);
+                let keep = self
+                    .protocol
+                    .write(&connection.stream, ready.context, answer)?;
+                if let Some(in_flight) = ready.in_flight {
+                    in_flight.finish(outcome);
+                }
+                Ok(keep)
+            }
+            Reply::Direct { text, last } => {
+                (&connection.stream).write_all(&text)?;
+                Ok(!last)
+            }
+        }
+    }
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// The reply to be written next.
+    /// Ends the sending and waits for the reader, so that the client can read the last reply before the connection is closed.
+    fn linger(&self) {
+        _ = self.stream.shutdown(Shutdown::Write);
+        let state = lock(&self.state);
+        let wait = self
+            .progress
+            .wait_timeout_while(state, CLOSE_LINGER, |state| state.reader_running);
+        drop(wait);
+    }
+
+    /// Takes the next reply, if it can be written; else records that no writer runs or that it closes the connection.
     fn next_reply(&self) -> NextReply<P> {
         let mut state = lock(&self.state);
-        let later = state.accepts_commands || !state.replies.is_empty();
         match state.replies.pop_front() {
             Some(PendingReply {
                 number,
@@ -123,21 +130,24 @@
                 reply,
                 in_flight,
             }),
-            not_ready => {
-                not_ready
-                    .into_iter()
-                    .for_each(|pending| state.replies.push_front(pending));
-                state.writer_running = !later;
-                match later {
-                    true => NextReply::Later,
-                    false => NextReply::Never,
-                }
+            Some(unanswered) => {
+                state.replies.push_front(unanswered);
+                state.writer_running = false;
+                NextReply::Later
+            }
+            None if state.accepts_commands => {
+                state.writer_running = false;
+                NextReply::Later
+            }
+            None => {
+                state.writer_running = true;
+                NextReply::Never
             }
         }
     }
 }
 
-/// How an answer is counted once it is written whole.
+/// How a request with this answer is counted once the answer is written.
 fn outcome<V>(answer: &Answer<V>) -> RequestOutcome {
     match answer {
         Answer::Served(_) => RequestOutcome::Served,
