--- a/src/client/accept.rs
+++ b/src/client/accept.rs
@@ -1,6 +1,6 @@
 //! Accepts new connections, and evicts idle ones to stay within the limit.
 
-use super::connection::{ClientConnection, ConnectionState};
+use super::connection::{ClientConnection, ConnectionOrigin, ConnectionState};
 use super::protocol::ClientProtocol;
 use super::Front;
 use crate::threads::{lock, spawn};
@@ -86,7 +86,11 @@
     ) -> io::Result<()> {
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
-        let state = ConnectionState::new(read.is_some());
+        let origin = match read {
+            Some(_) => ConnectionOrigin::OtherProcess,
+            None => ConnectionOrigin::Client,
+        };
+        let state = ConnectionState::new(origin);
         let connection = Arc::new(ClientConnection {
             stream,
             state: Mutex::new(state),
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -17,8 +17,8 @@
 
 /// A command without a reply that was written.
 pub(super) struct PendingReply<P: ClientProtocol> {
-    /// The number of its request; 0 for a direct reply.
-    pub(super) number: u64,
+    /// The number of its request; none for a direct reply.
+    pub(super) request: Option<u64>,
     /// What the protocol needs in order to write the reply.
     pub(super) context: P::ReplyContext,
     /// The reply, once there is one.
@@ -35,6 +35,15 @@
     pub(super) progress: Condvar,
 }
 
+/// Where a connection comes from.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ConnectionOrigin {
+    /// It was accepted.
+    Client,
+    /// Another process served it before and handed it over.
+    OtherProcess,
+}
+
 /// The state that the reader, the writer and the watchdog of a connection share.
 pub(super) struct ConnectionState<P: ClientProtocol> {
     /// Replies to be written, in the order of commands.
@@ -70,8 +79,9 @@
 }
 
 impl<P: ClientProtocol> ConnectionState<P> {
-    /// The state of a connection that was accepted, or taken over from another process (`adopted`).
-    pub(super) fn new(adopted: bool) -> Self {
+    /// The state of a connection without pending commands.
+    pub(super) fn new(origin: ConnectionOrigin) -> Self {
+        let adopted = origin == ConnectionOrigin::OtherProcess;
         let now = Instant::now();
         Self {
             replies: VecDeque::new(),
@@ -124,9 +134,11 @@
     }
 
     /// Records that the reply to the oldest command was written. Returns whether further replies may be written.
-    pub(super) fn end_command(&self, number: u64, closing: bool) -> bool {
+    pub(super) fn end_command(&self, request: Option<u64>, closing: bool) -> bool {
         let mut state = lock(&self.state);
-        state.open_requests.retain(|other| *other != number);
+        if let Some(request) = request {
+            state.open_requests.retain(|other| *other != request);
+        }
         state.unanswered = state.unanswered.saturating_sub(1);
         state.last_activity = Instant::now();
         if closing {
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -44,7 +44,7 @@
         let mut state = lock(&self.connection.state);
         state.has_requested = true;
         state.replies.push_back(PendingReply {
-            number,
+            request: Some(number),
             context,
             reply: None,
             in_flight,
@@ -61,7 +61,7 @@
         let fill = move |reply| {
             let mut state = lock(&connection.state);
             let mut replies = state.replies.iter_mut();
-            if let Some(pending) = replies.find(|pending| pending.number == request) {
+            if let Some(pending) = replies.find(|pending| pending.request == Some(request)) {
                 pending.reply = Some(reply);
             }
             front.start_writer(connection_number, &connection, state);
@@ -112,12 +112,12 @@
             Reply::Direct { text, last } if !state.writer_running && state.replies.is_empty() => {
                 drop(state);
                 (&self.connection.stream).write_all(&text).is_ok()
-                    && self.connection.end_command(0, closing)
+                    && self.connection.end_command(None, closing)
                     && !last
             }
             reply => {
                 state.replies.push_back(PendingReply {
-                    number: 0,
+                    request: None,
                     context,
                     reply: Some(reply),
                     in_flight: None,
--- a/src/client/writer.rs
+++ b/src/client/writer.rs
@@ -24,7 +24,7 @@
 
 /// A reply that can be written.
 struct ReadyReply<P: ClientProtocol> {
-    number: u64,
+    request: Option<u64>,
     context: P::ReplyContext,
     reply: Reply<ValueOf<P>>,
     in_flight: Option<InFlightRequest>,
@@ -65,7 +65,7 @@
                 NextReply::Later => return,
                 NextReply::Never => break,
             };
-            let request = ready.number;
+            let request = ready.request;
             match self.write_reply(connection, ready) {
                 Ok(true) if connection.end_command(request, self.is_closing()) => {}
                 Ok(_) => {
@@ -120,12 +120,12 @@
         let mut state = lock(&self.state);
         match state.replies.pop_front() {
             Some(PendingReply {
-                number,
+                request,
                 context,
                 reply: Some(reply),
                 in_flight,
             }) => NextReply::Ready(ReadyReply {
-                number,
+                request,
                 context,
                 reply,
                 in_flight,
--- a/src/platform/command.rs
+++ b/src/platform/command.rs
@@ -28,28 +28,59 @@
     /// Not RESP; what follows on the connection can't be parsed.
     #[error(transparent)]
     Resp(#[from] RespError),
+    /// The command does not fit a buffer.
     #[error("command too long")]
     TooLong,
+    /// The command is no request, or has too many words.
     #[error("unknown command")]
     UnknownCommand,
+    /// The account is not 16 hexadecimal digits, or out of range.
     #[error("bad account")]
     Account,
+    /// The id of the request is not 1 to 64 graphic characters.
     #[error("bad id")]
     RequestId,
+    /// No class of this name is configured.
     #[error("unknown class")]
     UnknownClass,
+    /// No plan of this name is configured.
     #[error("unknown plan")]
     UnknownPlan,
+    /// The units or the limiters are absent or out of range.
     #[error("bad units, spread or first")]
     Units,
+    /// The class is sent by the other command.
     #[error("the class goes with the other command")]
     WrongCommand,
+    /// The class needs an idempotency key, and it is absent or malformed.
     #[error("bad k")]
     IdempotencyKey,
+    /// The deadline is absent or 0.
     #[error("bad d")]
     Deadline,
 }
 
+/// The commands of requests.
+#[derive(Clone, Copy, PartialEq)]
+enum CommandKind {
+    /// For classes that are not idempotent.
+    Submit,
+    /// For idempotent classes.
+    Query,
+}
+
+impl CommandKind {
+    fn parse(word: &str) -> Option<Self> {
+        if word.eq_ignore_ascii_case("SVC.SUBMIT") {
+            Some(Self::Submit)
+        } else if word.eq_ignore_ascii_case("SVC.QUERY") {
+            Some(Self::Query)
+        } else {
+            None
+        }
+    }
+}
+
 /// A valid request command.
 pub(super) struct RequestCommand {
     pub(super) account: AccountId,
@@ -93,9 +124,8 @@
         words: &[Range<usize>],
     ) -> Result<RequestCommand, CommandError> {
         let word = |index: usize| text(&bytes[words[index].clone()]);
-        let is_submit = word(0).eq_ignore_ascii_case("SVC.SUBMIT");
-        let is_query = word(0).eq_ignore_ascii_case("SVC.QUERY");
-        if !(is_submit || is_query) || words.len() > MAX_WORDS {
+        let kind = CommandKind::parse(word(0)).ok_or(CommandError::UnknownCommand)?;
+        if words.len() > MAX_WORDS {
             return Err(CommandError::UnknownCommand);
         }
         if !is_account(word(ACCOUNT)) {
@@ -110,22 +140,13 @@
         let units = fields.units.ok_or(CommandError::Units)?;
         let limiter_count = fields.limiter_count.ok_or(CommandError::Units)?;
         let first_limiter = fields.first_limiter.ok_or(CommandError::Units)?;
-        let class_settings = self.classes.get(class);
-        let (max_timeout, idempotency) = *class_settings.ok_or(CommandError::UnknownClass)?;
-        if is_submit == (idempotency == Idempotency::Idempotent) {
-            return Err(CommandError::WrongCommand);
-        }
-        let needs_key = matches!(idempotency, Idempotency::Keyed(_));
-        if needs_key && !fields.idempotency_key.is_some_and(is_name) {
-            return Err(CommandError::IdempotencyKey);
-        }
-        let deadline_ms = fields.deadline_ms.ok_or(CommandError::Deadline)?;
+        let timeout = self.check_class(class, kind, &fields)?;
         Ok(RequestCommand {
             account: AccountId::from(word(ACCOUNT)),
             id: RequestId::from(word(REQUEST_ID)),
             class,
             plan,
-            timeout: Duration::from_millis(deadline_ms).min(max_timeout),
+            timeout,
             units,
             limiter_count,
             first_limiter,
@@ -133,6 +154,30 @@
         })
     }
 
+    /// Checks that a request of the class may be sent by this command with these fields. Returns its timeout.
+    fn check_class(
+        &self,
+        class: usize,
+        kind: CommandKind,
+        fields: &Fields,
+    ) -> Result<Duration, CommandError> {
+        let class_settings = self.classes.get(class);
+        let (max_timeout, idempotency) = *class_settings.ok_or(CommandError::UnknownClass)?;
+        let expected_kind = match idempotency {
+            Idempotency::Idempotent => CommandKind::Query,
+            _ => CommandKind::Submit,
+        };
+        if kind != expected_kind {
+            return Err(CommandError::WrongCommand);
+        }
+        let needs_key = matches!(idempotency, Idempotency::Keyed(_));
+        if needs_key && !fields.idempotency_key.is_some_and(is_name) {
+            return Err(CommandError::IdempotencyKey);
+        }
+        let deadline_ms = fields.deadline_ms.ok_or(CommandError::Deadline)?;
+        Ok(Duration::from_millis(deadline_ms).min(max_timeout))
+    }
+
     /// Parses `name=value` pairs that begin at `start` in the buffer; the last of a name counts.
     fn parse_fields<'a>(&self, pairs: &'a str, start: usize) -> Fields<'a> {
         let mut fields = Fields::default();
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -74,7 +74,7 @@
 
 /// The line that begins at `at`, without its end.
 fn line(bytes: &[u8], at: usize) -> Parsed<Range<usize>> {
-    match bytes[at..].iter().position(|b| *b == b'\n') {
+    match bytes[at..].iter().position(|byte| *byte == b'\n') {
         Some(0) => Err(RespError::MissingCarriageReturn),
         Some(end) if bytes[at + end - 1] != b'\r' => Err(RespError::MissingCarriageReturn),
         Some(end) => Ok(Some((at..at + end - 1, at + end + 1))),
@@ -91,7 +91,7 @@
 }
 
 /// The length that begins at `at`, after a type byte; a length of -1 is none.
-fn length(bytes: &[u8], at: usize, most: usize) -> Parsed<Option<usize>> {
+fn length(bytes: &[u8], at: usize, max: usize) -> Parsed<Option<usize>> {
     let Some((text, next)) = line(bytes, at)? else {
         return if bytes.len() - at > MAX_LENGTH_LINE_BYTES {
             Err(RespError::LengthTooLong)
@@ -102,8 +102,9 @@
     let digits = text.len();
     match integer(&bytes[text])? {
         -1 => Ok(Some((None, next))),
-        n if n >= 0 && n as usize <= most && n.to_string().len() == digits => {
-            Ok(Some((Some(n as usize), next)))
+        // A sign or leading zeros are no plain digits.
+        size if size >= 0 && size as usize <= max && size.to_string().len() == digits => {
+            Ok(Some((Some(size as usize), next)))
         }
         _ => Err(RespError::LengthOutOfRange),
     }
@@ -136,7 +137,9 @@
     let Some((count, mut at)) = length(bytes, 1, MAX_ELEMENTS)? else {
         return Ok(None);
     };
-    let count = count.filter(|n| *n > 0).ok_or(RespError::EmptyCommand)?;
+    let count = count
+        .filter(|count| *count > 0)
+        .ok_or(RespError::EmptyCommand)?;
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
         match bytes.get(at) {
@@ -171,6 +174,7 @@
     nested(bytes, at, MAX_DEPTH)
 }
 
+/// The reply at `at`; arrays in it may be nested `depth` deep.
 fn nested(bytes: &[u8], at: usize, depth: usize) -> Parsed<Reply> {
     let Some(kind) = bytes.get(at) else {
         return Ok(None);
@@ -184,28 +188,31 @@
             Err(_) => (Reply::Simple(text), next),
         }),
         b'$' => bulk(bytes, at + 1)?.map(|(value, next)| (Reply::Bulk(value), next)),
-        b'*' if depth > 0 => {
-            let Some((count, mut next)) = length(bytes, at + 1, MAX_ELEMENTS)? else {
-                return Ok(None);
-            };
-            let Some(count) = count else {
-                return Ok(Some((Reply::Array(None), next)));
-            };
-            let mut values = Vec::with_capacity(count);
-            for _ in 0..count {
-                let Some((value, end)) = nested(bytes, next, depth - 1)? else {
-                    return Ok(None);
-                };
-                values.push(value);
-                next = end;
-            }
-            Some((Reply::Array(Some(values)), next))
-        }
+        b'*' if depth > 0 => array(bytes, at + 1, depth - 1)?,
         b'*' => return Err(RespError::NestedTooDeep),
         _ => return Err(RespError::UnknownType),
     })
 }
 
+/// The array whose length begins at `at`; its elements may be nested `depth` deep.
+fn array(bytes: &[u8], at: usize, depth: usize) -> Parsed<Reply> {
+    let Some((count, mut next)) = length(bytes, at, MAX_ELEMENTS)? else {
+        return Ok(None);
+    };
+    let Some(count) = count else {
+        return Ok(Some((Reply::Array(None), next)));
+    };
+    let mut values = Vec::with_capacity(count);
+    for _ in 0..count {
+        let Some((value, end)) = nested(bytes, next, depth)? else {
+            return Ok(None);
+        };
+        values.push(value);
+        next = end;
+    }
+    Ok(Some((Reply::Array(Some(values)), next)))
+}
+
 /// Appends a command of these words.
 pub fn write_command<'a>(to: &mut Vec<u8>, words: impl ExactSizeIterator<Item = &'a [u8]>) {
     to.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
