--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,6 +1,6 @@
 //! The admin interface: one call a connection, answered within a second however busy the limiter is.
 //!
-//! This module parses calls and renders answers without a socket; `listener` accepts connections, and [`line`] executes
+//! This module parses calls and renders answers without a socket; `listener` accepts connections, and `line` executes
 //! calls. Metrics are read without the core. Calls that change something go to the core by a queue of their own, which it
 //! reads first.
 
--- a/tests/units/node_list_waits.rs
+++ b/tests/units/node_list_waits.rs
@@ -6,12 +6,12 @@
 };
 use std::time::Duration;
 
-/// Where a node told to be draining may be sent to for a second.
+/// The longest wait before a prompt poll, for a drain grace of a second.
 const FIRST: Duration = Duration::from_millis(700);
 
-/// 100 limiters that were cut off at the same moment ask a list that takes one of them in 20 ms and turns away
-/// who waits longer than 250 ms; who is turned away took that time all the same. So many are left after 10 s,
-/// and when the others were served, in ms.
+/// Simulates 100 limiters that were cut off at the same moment and poll a server that takes 20 ms for each and rejects
+/// those that wait longer than 250 ms, which costs it the same time. Returns how many limiters have no list after 10 s, and
+/// the times at which the others were served, in ms.
 fn cut_off(mut pause: impl FnMut(&mut (Duration, fastrand::Rng)) -> Duration) -> (usize, Vec<u64>) {
     let fleet = (0..100).map(|seed| {
         (
@@ -108,8 +108,8 @@
     );
 }
 
-/// What the list has to tell counts as told so long after it could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change of the list counts as known this long after the server could be reached.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
 /// Left for a limiter that has a tenth of a core.
 const MARGIN: Duration = Duration::from_millis(300);
 
@@ -149,7 +149,7 @@
             ("a connection did not come up", unreachable),
         ] {
             assert!(
-                time + MARGIN <= TOLD,
+                time + MARGIN <= KNOWN_AFTER,
                 "{limiters} limiters, drain grace {grace} s, {what}: {time:?}"
             );
         }
