--- /dev/null
+++ b/tests/units/layers.rs
@@ -0,0 +1,227 @@
+//! The layers of `src/`: a module imports from its own layer or from one below it.
+
+use crate::source_text::{rust_files, SourceFile};
+use std::collections::BTreeSet;
+
+/// The layers from the bottom up, and the modules of each. A module that is not listed by its
+/// whole path belongs to the layer of the module that contains it.
+const LAYERS: &[&[&str]] = &[
+    &["decision"],
+    &["threads", "metrics", "log_throttle", "protocol"],
+    &["membership", "quota_lease", "handover"],
+    &["simulator", "openapi::description"],
+    &["config"],
+    &["core"],
+    &["upstream", "client", "counter", "discovery"],
+    &["platform", "openapi", "admin"],
+    &["process"],
+    &["cli"],
+];
+
+/// Imports against the layers that are still in the code, as importing and imported module. Each
+/// of them must exist: this list can only become shorter.
+const EXCEPTIONS: &[(&str, &str)] = &[
+    ("membership", "core"),
+    ("openapi", "process"),
+    ("platform", "process"),
+    ("quota_lease", "config"),
+    ("quota_lease", "core"),
+];
+
+/// Names that `src/lib.rs` exports from a module, and the module.
+const ROOT_EXPORTS: &[(&str, &str)] = &[("Engine", "decision")];
+
+/// The listed module that the path lies in, and the number of its layer.
+fn layer_of(path: &[String]) -> Option<(usize, &'static str)> {
+    let lies_in = |module: &str| {
+        let module: Vec<&str> = module.split("::").collect();
+        path.len() >= module.len() && module.iter().zip(path).all(|(a, b)| a == b)
+    };
+    let listed = LAYERS
+        .iter()
+        .enumerate()
+        .flat_map(|(layer, modules)| modules.iter().map(move |module| (layer, *module)));
+    listed
+        .filter(|(_, module)| lies_in(module))
+        .max_by_key(|(_, module)| module.len())
+}
+
+/// The module path of a source file: `src/client/mod.rs` is `client`.
+fn module_path(file: &SourceFile) -> Vec<String> {
+    let mut path: Vec<String> = file
+        .path
+        .trim_start_matches("src/")
+        .trim_end_matches(".rs")
+        .split('/')
+        .map(str::to_owned)
+        .collect();
+    if path.last().is_some_and(|last| last == "mod") {
+        path.pop();
+    }
+    path
+}
+
+/// Splits the text of a group at its commas, but not inside inner groups.
+fn split_group(group: &str) -> Vec<&str> {
+    let mut parts = Vec::new();
+    let mut depth = 0;
+    let mut start = 0;
+    for (index, character) in group.char_indices() {
+        match character {
+            '{' => depth += 1,
+            '}' if depth == 0 => {
+                parts.push(&group[start..index]);
+                return parts;
+            }
+            '}' => depth -= 1,
+            ',' if depth == 0 => {
+                parts.push(&group[start..index]);
+                start = index + 1;
+            }
+            _ => {}
+        }
+    }
+    parts.push(&group[start..]);
+    parts
+}
+
+/// The paths at the beginning of `text`, with groups in braces written out.
+fn expand(prefix: &[String], text: &str) -> Vec<Vec<String>> {
+    let mut path = prefix.to_vec();
+    let mut rest = text.trim_start();
+    loop {
+        if let Some(group) = rest.strip_prefix('{') {
+            return split_group(group)
+                .into_iter()
+                .filter(|part| !part.trim().is_empty())
+                .flat_map(|part| expand(&path, part))
+                .collect();
+        }
+        let end = rest
+            .find(|c: char| !(c.is_alphanumeric() || c == '_'))
+            .unwrap_or(rest.len());
+        path.push(rest[..end].to_owned());
+        let Some(next) = rest[end..].strip_prefix("::") else {
+            return vec![path];
+        };
+        rest = next;
+    }
+}
+
+/// The paths that a file names from the root of the crate, in `use` lines or inline.
+fn imports(file: &SourceFile) -> Vec<Vec<String>> {
+    let code = file.code();
+    let own = module_path(file);
+    let mut paths = Vec::new();
+    for (start, marker) in code.match_indices("crate::") {
+        let before = code[..start].chars().next_back();
+        if before.is_none_or(|c| !(c.is_alphanumeric() || c == '_' || c == '$')) {
+            paths.extend(expand(&[], &code[start + marker.len()..]));
+        }
+    }
+    for (start, marker) in code.match_indices("mossrill::") {
+        if file.belongs_to_a_program() {
+            paths.extend(expand(&[], &code[start + marker.len()..]));
+        }
+    }
+    for (start, marker) in code.match_indices("super::") {
+        let levels_before = code[..start].matches_suffix_count("super::");
+        if levels_before == 0 {
+            let mut parent = own.clone();
+            let mut rest = &code[start..];
+            while let Some(next) = rest.strip_prefix(marker) {
+                parent.pop();
+                rest = next;
+            }
+            // Paths from a module inside the file name items of the file's own module.
+            let in_crate = |path: &Vec<String>| layer_of(path).is_some();
+            paths.extend(expand(&parent, rest).into_iter().filter(in_crate));
+        }
+    }
+    paths
+}
+
+/// Counts how often a text ends with a suffix.
+trait SuffixCount {
+    /// Number of repetitions of `suffix` at the end.
+    fn matches_suffix_count(&self, suffix: &str) -> usize;
+}
+
+impl SuffixCount for str {
+    fn matches_suffix_count(&self, suffix: &str) -> usize {
+        let mut rest = self;
+        let mut count = 0;
+        while let Some(next) = rest.strip_suffix(suffix) {
+            rest = next;
+            count += 1;
+        }
+        count
+    }
+}
+
+/// The layer of a file; programs are above all modules.
+fn layer_of_file(file: &SourceFile) -> (usize, &'static str) {
+    if file.belongs_to_a_program() {
+        return (LAYERS.len() - 1, "cli");
+    }
+    layer_of(&module_path(file)).unwrap_or_else(|| panic!("{} is in no layer", file.path))
+}
+
+/// All imports between listed modules against the layers, with a file that has each.
+fn upward_imports(files: &[SourceFile]) -> BTreeSet<(&'static str, &'static str)> {
+    let mut found = BTreeSet::new();
+    for file in files.iter().filter(|file| file.path != "src/lib.rs") {
+        let (layer, module) = layer_of_file(file);
+        for mut path in imports(file) {
+            let export = ROOT_EXPORTS.iter().find(|(name, _)| path[0] == *name);
+            if let Some((_, origin)) = export {
+                path = vec![(*origin).to_owned()];
+            }
+            let Some((imported_layer, imported)) = layer_of(&path) else {
+                panic!("{}: crate::{} is in no layer", file.path, path.join("::"));
+            };
+            if imported_layer > layer {
+                println!("{} imports {}", file.path, path.join("::"));
+                found.insert((module, imported));
+            }
+        }
+    }
+    found
+}
+
+#[test]
+fn no_layer_imports_from_one_above_it() {
+    let files = rust_files("src");
+    assert!(files.len() > 80, "the source is not read");
+    let found = upward_imports(&files);
+    let known: BTreeSet<_> = EXCEPTIONS.iter().copied().collect();
+    let new: Vec<_> = found.difference(&known).collect();
+    assert!(new.is_empty(), "imports against the layers: {new:?}");
+    let gone: Vec<_> = known.difference(&found).collect();
+    assert!(
+        gone.is_empty(),
+        "exceptions that are none any more: {gone:?}"
+    );
+}
+
+#[test]
+fn imports_are_read_from_use_lines_groups_and_inline_paths() {
+    let file = SourceFile {
+        path: "src/client/mod.rs".into(),
+        text: "use crate::core::{messages::{Answer, Input}, Clock};\n// crate::cli::x\n\
+               fn f() { crate::threads::spawn(\"crate::admin\"); super::config::read() }\n"
+            .into(),
+    };
+    let found: BTreeSet<String> = imports(&file).iter().map(|path| path.join("::")).collect();
+    let expected = [
+        "config::read",
+        "core::Clock",
+        "core::messages::Answer",
+        "core::messages::Input",
+        "threads::spawn",
+    ];
+    assert_eq!(
+        found.iter().map(String::as_str).collect::<Vec<_>>(),
+        expected
+    );
+}
--- a/tests/units/main.rs
+++ b/tests/units/main.rs
@@ -5,5 +5,8 @@
 mod glossary;
 mod handover_link;
 mod handover_stages;
+mod layers;
+mod log_messages;
 mod node_list_waits;
 mod shutdown;
+mod source_text;
