--- a/tests/units/glossary.rs
+++ b/tests/units/glossary.rs
@@ -35,7 +35,7 @@
     let mut terms = Vec::new();
     for row in rows {
         let cells: Vec<&str> = row.trim_matches('|').split('|').map(str::trim).collect();
-        let [term, meaning, place, _old] = cells[..] else {
+        let [term, meaning, place, _wire_name] = cells[..] else {
             panic!("four cells: {row}")
         };
         assert!(!meaning.is_empty(), "{term} has no meaning");
