--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -46,7 +46,7 @@
     accept_paused: Mutex<bool>,
     accept_resumed: Condvar,
     events: ClientEventSink<P>,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     ready: AtomicBool,
     closing: AtomicBool,
     next_number: AtomicU64,
@@ -61,24 +61,24 @@
 }
 
 impl<P: ClientProtocol> Front<P> {
-    /// A front for at most `most` connections, which passes requests to `events` and counts them in `figures`.
+    /// A front for at most `max_connections`, which passes requests to `events` and counts them in `metrics`.
     pub fn new(
         protocol: P,
-        most: usize,
+        max_connections: usize,
         read_interrupt: Option<ReadInterrupt>,
         events: ClientEventSink<P>,
-        figures: Arc<Metrics>,
+        metrics: Arc<Metrics>,
         log: Logger,
     ) -> Arc<Self> {
         Arc::new(Self {
             protocol,
-            max_connections: AtomicUsize::new(most),
+            max_connections: AtomicUsize::new(max_connections),
             read_interrupt,
             hand_over_to: Mutex::default(),
             accept_paused: Mutex::default(),
             accept_resumed: Condvar::new(),
             events,
-            figures,
+            metrics,
             ready: AtomicBool::new(false),
             closing: AtomicBool::new(false),
             next_number: AtomicU64::new(0),
@@ -110,8 +110,9 @@
     }
 
     /// Sets the most connections.
-    pub fn set_max_connections(&self, most: usize) {
-        self.max_connections.store(most, Ordering::Relaxed);
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections
+            .store(max_connections, Ordering::Relaxed);
     }
 
     /// Whether no connection is open.
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -36,7 +36,7 @@
         }
         let number = self.front.next_number.fetch_add(1, Ordering::Relaxed);
         let unanswered = self.connection.begin_command()?;
-        let in_flight = Some(self.front.figures.taken(class));
+        let in_flight = Some(self.front.metrics.taken(class));
         if unanswered > MAX_PIPELINED {
             self.dismiss(CloseReason::TooMany);
             return None;
@@ -144,7 +144,7 @@
 
     /// Counts a request of this class that was never submitted as failed.
     pub fn count_failed(&self, class: usize) {
-        drop(self.front.figures.taken(class));
+        drop(self.front.metrics.taken(class));
     }
 
     /// Passes a request to the core.
