--- a/benches/capacity/page/steady.rs
+++ b/benches/capacity/page/steady.rs
@@ -7,7 +7,7 @@
     LIMITERS, LONGEST_NEWS, REQUESTS, ROUTES, SCRAPE_SECONDS, SERVERS, SERVICES, TENANTS,
 };
 use super::{Amount, Line};
-use mossrill::membership::datagram::MOST_LIMITERS;
+use mossrill::membership::datagram::MAX_LIMITERS;
 
 /// Timer events a second: 64 in the shortest aim of half a second.
 const TIMERS: f64 = 128.0;
@@ -204,8 +204,8 @@
             Amount(LIMITERS, Unit::Limiters),
             &[],
         )
-        .within(f64::from(MOST_LIMITERS))
-        .by("the fleet's view; a larger fleet is refused at the start (`MOST_LIMITERS`)"),
+        .within(f64::from(MAX_LIMITERS))
+        .by("the fleet's view; a larger fleet is refused at the start (`MAX_LIMITERS`)"),
         Line::new(
             "operators' tools, figures",
             "`show-stat` every 10 s, a class for each service",
--- a/benches/fleet/main.rs
+++ b/benches/fleet/main.rs
@@ -9,7 +9,7 @@
 mod net;
 
 use clap::Parser;
-use mossrill::membership::datagram::State;
+use mossrill::membership::member_state::MemberState;
 use net::{Meter, Net, Work, SECOND};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -162,7 +162,7 @@
         let began = net.now;
         let joined = |net: &Net| {
             net.up()
-                .all(|(_, p)| p.view.living().iter().all(|lives| *lives))
+                .all(|(_, p)| p.view.alive().iter().all(|lives| *lives))
         };
         all.unsettled[0] += reached(net.until(first, joined), &mut all.start);
         net.run((began + first).saturating_sub(net.now));
@@ -184,13 +184,13 @@
         all.datagrams.push(of(net.sent.iter().sum(), sent));
         all.bytes.push(of(net.bytes.iter().sum(), bytes));
         // Told of by its finder; what others make of the same word counts once.
-        let found = |c: &&(u64, usize, mossrill::membership::view::Change)| {
-            c.2.state == State::Dead && c.2.by as usize == c.1
+        let found = |c: &&(u64, usize, mossrill::membership::view::StateChange)| {
+            c.2.state == MemberState::Dead && c.2.reported_by as usize == c.1
         };
         let falsely = net.changes[before..].iter().filter(found).count();
         all.falsely.push(falsely as f64 * 3600e6 / span as f64);
         net.changes.clear();
-        let knows = |net: &Net| net.up().all(|(_, p)| p.view.state(0) >= State::Dead);
+        let knows = |net: &Net| net.up().all(|(_, p)| p.view.state(0) >= MemberState::Dead);
         net.kill(0);
         all.unsettled[1] += reached(net.until(60 * SECOND, knows), &mut all.death);
         (net.meter, net.changes) = (meter(size), Vec::new());
@@ -201,7 +201,7 @@
         // With datagrams lost somebody is under suspicion at nearly any moment: nobody may be taken for dead.
         let healed = |net: &Net| {
             net.up()
-                .all(|(_, p)| p.view.living()[1..].iter().all(|lives| *lives))
+                .all(|(_, p)| p.view.alive()[1..].iter().all(|lives| *lives))
         };
         all.unsettled[2] += reached(net.until(300 * SECOND, healed), &mut all.heal);
         all.spent_heal
--- a/lab/src/lease_mechanism.rs
+++ b/lab/src/lease_mechanism.rs
@@ -68,9 +68,9 @@
         let machines = network.machines();
         let settings = HolderSettings {
             allocators: machines,
-            trust: quota.trust,
-            fallback_least: (quota.fallback_least * MILLI).round() as u64,
-            spacing: (quota.spacing_ms * 1e3).round() as Micros,
+            use_fallback_first: quota.trust,
+            fallback_min_burst: (quota.fallback_least * MILLI).round() as u64,
+            min_report_spacing: (quota.spacing_ms * 1e3).round() as Micros,
             ..HolderSettings::default()
         };
         let limits = population.plans.iter().map(|plan| PlanLimits {
@@ -216,16 +216,16 @@
             else {
                 continue;
             };
-            let standing = process.view.standing(now);
+            let standing = process.view.quota_shares(now);
             let given = standing
                 .reassigned
                 .iter()
                 .enumerate()
                 .filter(|(_, given)| **given);
             let ownership = Ownership {
-                given_away: given.fold(0, |bits, (number, _)| bits | 1 << number),
-                given_until: standing.reassigned_until,
-                until: standing.lease_ends,
+                reassigned: given.fold(0, |bits, (number, _)| bits | 1 << number),
+                reassigned_until: standing.reassigned_until,
+                lease_ends: standing.lease_ends,
             };
             allocator.set_ownership(now, ownership);
         }
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -133,7 +133,7 @@
     if membership.members < 2 {
         return refuse("membership.members", "must be 2 at least");
     }
-    let most = mossrill::membership::datagram::MOST_LIMITERS;
+    let most = mossrill::membership::datagram::MAX_LIMITERS;
     if membership.members > most {
         return refuse(
             "membership.members",
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -202,7 +202,7 @@
 
 /// Closest reports, in milliseconds, where a scenario says nothing: as the holder has it.
 fn default_spacing_ms() -> f64 {
-    mossrill::quota_lease::holder::HolderSettings::default().spacing as f64 / 1e3
+    mossrill::quota_lease::holder::HolderSettings::default().min_report_spacing as f64 / 1e3
 }
 
 /// What keeps the quotas.
--- a/src/admin/line.rs
+++ b/src/admin/line.rs
@@ -3,7 +3,7 @@
 use crate::admin::{acknowledgement, render_metrics, Call, CallError};
 use crate::core::AdminCommand;
 use crate::decision::ServerId;
-use crate::membership::link::Fleet;
+use crate::membership::fleet::Fleet;
 use crate::metrics::Metrics;
 use crossbeam_channel::{bounded, Sender};
 use slog::{info, Logger};
@@ -44,7 +44,7 @@
     }
 
     fn show_stat(&self) -> String {
-        let fleet_metrics = self.fleet.as_ref().map_or(Vec::new(), Fleet::figures);
+        let fleet_metrics = self.fleet.as_ref().map_or(Vec::new(), Fleet::metrics);
         render_metrics(&self.figures, fleet_metrics)
     }
 
--- a/src/config/quota_lease.rs
+++ b/src/config/quota_lease.rs
@@ -54,8 +54,8 @@
                 limiter,
                 allocators: allocators.len() as u32,
                 lease: lifetime.as_micros() as Micros,
-                interval: interval.as_micros() as Micros,
-                lost_after: answer.as_micros() as Micros,
+                report_interval: interval.as_micros() as Micros,
+                unavailable_after: answer.as_micros() as Micros,
                 fallback_thousandths: (keys.fallback * 1_000.0).round() as u32,
                 ..HolderSettings::default()
             },
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -4,11 +4,9 @@
 use super::open_requests::request_number;
 use super::Core;
 use crate::decision::{AccountId, Event, Micros, Plan, RequestId};
-use crate::quota_lease::holder::{
-    Answer, Dropped, Holder, HolderFigures, Outcome, Receipt, Take, Ticket,
-};
-use crate::quota_lease::link::LinkEvent;
-use crate::quota_lease::message::{AccountKey, MilliUnits, PlanLimits, Report};
+use crate::quota_lease::holder::{Answer, Holder, HolderFigures, Outcome, Receipt, Take, Ticket};
+use crate::quota_lease::link::AllocatorEvent;
+use crate::quota_lease::message::{AccountKey, DroppedMessages, MilliUnits, PlanLimits, Report};
 use slog::info;
 use std::collections::HashMap;
 
@@ -110,14 +108,14 @@
     }
 
     /// Handles an event of a connection to an allocator; returns the results that follow from it.
-    pub(crate) fn handle_event(&mut self, now: Micros, event: LinkEvent) -> Vec<LeaseResult> {
+    pub(crate) fn handle_event(&mut self, now: Micros, event: AllocatorEvent) -> Vec<LeaseResult> {
         let answers = match event {
-            LinkEvent::Answer(grant) => self.holder.on_grant(now, &grant).unwrap_or_default(),
-            LinkEvent::Unreadable { reason, .. } => {
+            AllocatorEvent::Answer(grant) => self.holder.on_grant(now, &grant).unwrap_or_default(),
+            AllocatorEvent::Unreadable { reason, .. } => {
                 self.holder.count_dropped(&reason);
                 Vec::new()
             }
-            LinkEvent::Lost { allocator } => self.holder.on_lost(now, allocator),
+            AllocatorEvent::Lost { allocator } => self.holder.on_connection_lost(now, allocator),
         };
         self.results(now, answers)
     }
@@ -140,7 +138,7 @@
     }
 
     /// Metrics since the start, and counts of grants that were dropped, when they are to be logged.
-    pub(crate) fn metrics_due(&mut self, now: Micros) -> Option<(HolderFigures, Dropped)> {
+    pub(crate) fn metrics_due(&mut self, now: Micros) -> Option<(HolderFigures, DroppedMessages)> {
         if now < self.next_log {
             return None;
         }
@@ -192,7 +190,7 @@
     }
 
     /// Handles an event of a connection to an allocator.
-    pub(super) fn handle_allocator_event(&mut self, now: Micros, event: LinkEvent) {
+    pub(super) fn handle_allocator_event(&mut self, now: Micros, event: AllocatorEvent) {
         let Some(leases) = &mut self.leases else {
             return;
         };
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -4,7 +4,7 @@
     AccountId, Endpoint, Outcome, QuotaShares, RequestId, ServerId, UpdateScope,
 };
 use crate::handover::message::Body;
-use crate::quota_lease::link::LinkEvent;
+use crate::quota_lease::link::AllocatorEvent;
 use crate::quota_lease::message::Report;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -164,7 +164,7 @@
         total: f64,
     },
     /// A connection to an allocator of quota leases has an event.
-    Allocator(LinkEvent),
+    Allocator(AllocatorEvent),
     /// The shares of what all limiters have together have changed.
     QuotaShares(QuotaShares),
     /// A [`Command`](super::Command) is queued.
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -7,17 +7,6 @@
 use prost::{Message as _, Oneof};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-// Re-exported until the lead joins the folders.
-pub use super::format::{FORMAT, PARTS_FORMAT};
-// Re-exported until the lead joins the folders.
-pub use super::key::Key;
-// Re-exported until the lead joins the folders.
-pub use super::member_state::MemberState as State;
-// Re-exported until the lead joins the folders.
-pub use super::version::encode as version;
-// Re-exported until the lead joins the folders.
-pub use self::{GossipUpdate as News, MessageKind as Word, MAX_LIMITERS as MOST_LIMITERS};
-
 /// The longest datagram in bytes, with its tag: what the platform carries between limiters.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Bytes of the authentication tag before the protocol buffer.
@@ -38,7 +27,7 @@
     pub fleet: String,
     /// The sender's number.
     #[prost(uint32, tag = "3")]
-    pub from: u32,
+    pub sender: u32,
     /// The sender's incarnation.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
@@ -48,17 +37,17 @@
     /// The receiver's session as the sender knows it, 0 if it does not. A receiver that finds its own
     /// session here knows that the datagram was written after its process started.
     #[prost(fixed64, tag = "6")]
-    pub to: u64,
+    pub receiver_session: u64,
     /// Sequence number of the sender's datagrams to this receiver, from 1.
     #[prost(uint64, tag = "7")]
-    pub number: u64,
+    pub sequence: u64,
     /// The highest sequence number that the sender received in the receiver's session. The datagram
     /// was written after that one had arrived.
     #[prost(uint64, tag = "8")]
-    pub heard: u64,
+    pub acknowledged: u64,
     /// The sender believes the receiver alive and renews its lease.
     #[prost(bool, tag = "9")]
-    pub grants: bool,
+    pub renews_lease: bool,
     /// The sender's IPv4 address.
     #[prost(fixed32, tag = "10")]
     pub ip: u32,
@@ -70,16 +59,16 @@
     pub version: u32,
     /// Kind of the message.
     #[prost(oneof = "MessageKind", tags = "20, 21, 22, 23, 24, 25")]
-    pub word: Option<MessageKind>,
+    pub message: Option<MessageKind>,
     /// Gossip: updates about members.
     #[prost(message, repeated, tag = "13")]
-    pub news: Vec<GossipUpdate>,
+    pub updates: Vec<GossipUpdate>,
     /// One bit for each limiter whose lease the sender has revoked. [`FORMAT`] only.
     #[prost(bytes = "vec", tag = "14")]
-    pub released: Vec<u8>,
+    pub revoked: Vec<u8>,
     /// A part of that set. Without it the datagram carries no revocations. [`PARTS_FORMAT`] only.
     #[prost(message, optional, tag = "15")]
-    pub released_part: Option<RevocationPart>,
+    pub revoked_part: Option<RevocationPart>,
     /// Limiters in the sender's configuration. [`PARTS_FORMAT`] only.
     #[prost(uint32, tag = "16")]
     pub limiters: u32,
@@ -96,10 +85,10 @@
     Ack(bool),
     /// Asks the receiver to ping this limiter, which has not answered the sender (ping-req).
     #[prost(uint32, tag = "22")]
-    Ask(u32),
-    /// This limiter has answered a ping sent for an [`Ask`](Self::Ask) (indirect ack).
+    PingRequest(u32),
+    /// This limiter has answered a ping sent for an [`PingRequest`](Self::PingRequest) (indirect ack).
     #[prost(uint32, tag = "23")]
-    Vouch(u32),
+    IndirectAck(u32),
     /// Carries gossip updates only.
     #[prost(bool, tag = "24")]
     Gossip(bool),
@@ -113,7 +102,7 @@
 pub struct GossipUpdate {
     /// Its number.
     #[prost(uint32, tag = "1")]
-    pub who: u32,
+    pub limiter: u32,
     /// Its [`MemberState`], by number.
     #[prost(uint32, tag = "2")]
     pub state: u32,
@@ -122,7 +111,7 @@
     pub incarnation: u64,
     /// Number of the limiter that reported the state first.
     #[prost(uint32, tag = "4")]
-    pub by: u32,
+    pub reported_by: u32,
     /// Its IPv4 address.
     #[prost(fixed32, tag = "5")]
     pub ip: u32,
@@ -161,11 +150,14 @@
     /// Checks the update in a fleet of `limiters`; `None` if a number, state, incarnation or address
     /// is out of range.
     pub fn read(&self, limiters: u32) -> Option<CheckedUpdate> {
-        if self.who >= limiters || self.by >= limiters || self.incarnation >= MAX_INCARNATION {
+        if self.limiter >= limiters
+            || self.reported_by >= limiters
+            || self.incarnation >= MAX_INCARNATION
+        {
             return None;
         }
         Some(CheckedUpdate {
-            member: self.who as usize,
+            member: self.limiter as usize,
             state: MemberState::from_number(self.state)?,
             address: unicast_address(self.ip, self.port)?,
         })
--- a/src/membership/fleet.rs
+++ b/src/membership/fleet.rs
@@ -51,7 +51,7 @@
     }
 
     /// Takes part in the fleet, or stops and frees the address for the other process of an upgrade.
-    pub fn speak(&self, active: bool) {
+    pub fn set_active(&self, active: bool) {
         let command = if active {
             Command::Activate
         } else {
@@ -77,7 +77,7 @@
     }
 
     /// Returns the name and value of each metric; none before the member first takes part.
-    pub fn figures(&self) -> Vec<(String, u64)> {
+    pub fn metrics(&self) -> Vec<(String, u64)> {
         lock(&self.view)
             .as_ref()
             .map_or(Vec::new(), report::metrics)
--- a/src/membership/format.rs
+++ b/src/membership/format.rs
@@ -24,7 +24,7 @@
         /// Limiters in one window, a multiple of eight.
         window: u32,
         /// The whole set goes into one part if its run lengths take at most this many bytes.
-        most_run_bytes: u32,
+        max_run_bytes: u32,
     },
 }
 
@@ -36,7 +36,7 @@
         }
         Self::Parts {
             window: WINDOW,
-            most_run_bytes: MAX_RUN_BYTES,
+            max_run_bytes: MAX_RUN_BYTES,
         }
     }
 
--- a/src/membership/key.rs
+++ b/src/membership/key.rs
@@ -67,7 +67,7 @@
     if datagram.fleet != fleet {
         return Err(Rejection::WrongFleet);
     }
-    if datagram.word.is_none() || datagram.session == 0 {
+    if datagram.message.is_none() || datagram.session == 0 {
         return Err(Rejection::Malformed);
     }
     if datagram.incarnation >= MAX_INCARNATION || datagram.address().is_none() {
--- a/src/membership/lease.rs
+++ b/src/membership/lease.rs
@@ -175,7 +175,7 @@
     fn encode(&mut self) {
         if let Encoding::Parts {
             window,
-            most_run_bytes,
+            max_run_bytes: most_run_bytes,
         } = self.encoding
         {
             self.parts =
--- a/src/membership/member_state.rs
+++ b/src/membership/member_state.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether a member in this state counts as alive.
-    pub fn lives(self) -> bool {
+    pub fn is_alive(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -19,16 +19,3 @@
 mod transport;
 pub mod version;
 pub mod view;
-
-// Re-exported until the lead joins the folders.
-pub mod link {
-    //! Former place of [`fleet`](super::fleet).
-    pub use super::fleet::{Fleet, FleetSettings as Place};
-}
-
-// Re-exported until the lead joins the folders.
-pub mod released {
-    //! Former place of [`format`](super::format) and [`revocation`](super::revocation).
-    pub use super::format::Encoding;
-    pub use super::revocation::RevocationPart as ReleasedPart;
-}
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -52,7 +52,7 @@
 }
 
 fn write_view(text: &mut String, view: &View, members: &[MemberStatus], now: Micros) {
-    let shares = view.standing(now);
+    let shares = view.quota_shares(now);
     let last_received = members
         .iter()
         .filter_map(|member| member.last_received)
@@ -68,7 +68,7 @@
         text,
         "fleet={} me={} living={} of={limiters} age_ms={} lease_ms={} part={share:.3} shared_out={reassigned:?} doubt={:.2}",
         view.settings().fleet,
-        view.settings().me,
+        view.settings().limiter,
         shares.alive,
         milliseconds_since(last_received, now),
         lease_end.saturating_sub(now) / 1_000,
--- a/src/membership/transport.rs
+++ b/src/membership/transport.rs
@@ -32,7 +32,7 @@
 #[derive(Clone)]
 pub struct FleetSettings {
     /// Settings of the view.
-    pub setup: ViewSettings,
+    pub view: ViewSettings,
     /// Local address of the UDP socket.
     pub listen: SocketAddr,
     /// The fleet's key.
@@ -150,9 +150,9 @@
                 let now = self.clock.now();
                 let address = socket.local_addr().ok();
                 info!(self.log, "membership started"; "address" => ?address,
-                    "limiter" => self.settings.setup.me);
+                    "limiter" => self.settings.view.limiter);
                 self.socket = Some(socket);
-                let settings = self.settings.setup.clone();
+                let settings = self.settings.view.clone();
                 let seed = self.settings.seed;
                 let incarnation = now / 1_000;
                 lock(&self.view).get_or_insert_with(|| View::new(settings, incarnation, seed, now));
@@ -170,7 +170,7 @@
     /// Waits for one datagram until the view is to be woken, and processes it.
     fn receive(&mut self) {
         let Some(socket) = &self.socket else { return };
-        let wake_at = lock(&self.view).as_ref().map_or(0, View::next);
+        let wake_at = lock(&self.view).as_ref().map_or(0, View::next_wake);
         let wait = Duration::from_micros(wake_at.saturating_sub(self.clock.now()));
         let timeout = wait.clamp(MIN_READ_TIMEOUT, COMMAND_POLL_INTERVAL);
         if socket.set_read_timeout(Some(timeout)).is_err() {
@@ -187,11 +187,11 @@
     fn process(&mut self, bytes: &[u8], sender: SocketAddr) {
         let mut actions = Vec::new();
         let now = self.clock.now();
-        let opened = self.settings.key.open(&self.settings.setup.fleet, bytes);
+        let opened = self.settings.key.open(&self.settings.view.fleet, bytes);
         let mut view = lock(&self.view);
         let Some(view) = view.as_mut() else { return };
         let result = match opened {
-            Ok(datagram) => view.heard(now, datagram, &mut actions),
+            Ok(datagram) => view.receive(now, datagram, &mut actions),
             Err(rejection) => {
                 view.count_rejection(rejection);
                 Err(rejection)
@@ -219,11 +219,11 @@
         let now = self.clock.now();
         let shares = {
             let mut view = lock(&self.view);
-            let Some(view) = view.as_mut().filter(|view| now >= view.next()) else {
+            let Some(view) = view.as_mut().filter(|view| now >= view.next_wake()) else {
                 return;
             };
             view.wake(now, &mut actions);
-            view.standing(now)
+            view.quota_shares(now)
         };
         self.execute_actions(actions);
         if self.is_worth_reporting(&shares) {
@@ -238,8 +238,9 @@
         let Some(reported) = &self.reported_shares else {
             return true;
         };
-        let setup = &self.settings.setup;
-        let tolerance = lease_duration(setup.period, setup.size) / LEASE_REPORT_FRACTION;
+        let setup = &self.settings.view;
+        let tolerance =
+            lease_duration(setup.protocol_period, setup.limiters) / LEASE_REPORT_FRACTION;
         shares.reassigned != reported.reassigned
             || shares.alive != reported.alive
             || has_moved(reported.lease_ends, shares.lease_ends, tolerance)
@@ -280,7 +281,7 @@
 
     fn log_change(&self, change: &StateChange) {
         // Suspicions begin and end with every few lost datagrams.
-        let stays_alive = change.state.lives() && change.previous.lives();
+        let stays_alive = change.state.is_alive() && change.previous.is_alive();
         let is_routine = change.state == MemberState::Suspect || stays_alive;
         let suppressed = if is_routine {
             self.suspicion_throttle.permit()
@@ -290,7 +291,7 @@
         if let Some(suppressed) = suppressed {
             info!(self.log, "member state changed"; "limiter" => change.limiter,
                 "state" => change.state.name(), "before" => change.previous.name(),
-                "incarnation" => change.incarnation, "by" => change.by, "suppressed" => suppressed);
+                "incarnation" => change.incarnation, "by" => change.reported_by, "suppressed" => suppressed);
         }
     }
 }
--- a/src/membership/view/action.rs
+++ b/src/membership/view/action.rs
@@ -25,5 +25,5 @@
     /// The member's incarnation that the state belongs to.
     pub incarnation: u64,
     /// Number of the limiter that reported the state first.
-    pub by: u32,
+    pub reported_by: u32,
 }
--- a/src/membership/view/gossip.rs
+++ b/src/membership/view/gossip.rs
@@ -40,7 +40,7 @@
             return false;
         }
         self.size += bytes;
-        self.datagram.news.push(update);
+        self.datagram.updates.push(update);
         true
     }
 }
@@ -53,7 +53,7 @@
         if self.pending_updates.is_empty() {
             return;
         }
-        let reserved = f64::from(self.settings.out_per_s) * RESERVED_RATE_FRACTION;
+        let reserved = f64::from(self.settings.max_sent_per_second) * RESERVED_RATE_FRACTION;
         if self.send_limit.level(now) < reserved {
             return;
         }
@@ -147,10 +147,10 @@
             return true;
         };
         let added = writer.add(GossipUpdate {
-            who: index as u32,
+            limiter: index as u32,
             state: state.number(),
             incarnation: member.incarnation,
-            by: member.reported_by,
+            reported_by: member.reported_by,
             ip: u32::from(*address.ip()),
             port: u32::from(address.port()),
             version: member.version,
--- a/src/membership/view/mod.rs
+++ b/src/membership/view/mod.rs
@@ -37,9 +37,6 @@
 pub use settings::ViewSettings;
 pub use status::{Counters, MemberStatus};
 
-// Re-exported until the lead joins the folders.
-pub use self::{StateChange as Change, ViewSettings as Setup};
-
 /// Members alive that a member notifies when it leaves.
 const LEAVE_FANOUT: usize = 8;
 /// The protocol period varies by up to this fraction in either direction, at random.
@@ -91,18 +88,18 @@
     /// usually grows from start to start; `seed` seeds the random numbers.
     pub fn new(settings: ViewSettings, incarnation: u64, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let own = settings.me as usize;
-        let size = settings.size as usize;
-        let lease = lease_duration(settings.period, settings.size);
+        let own = settings.limiter as usize;
+        let size = settings.limiters as usize;
+        let lease = lease_duration(settings.protocol_period, settings.limiters);
         let mut leases = vec![PeerLease::new(now, lease); size];
         leases[own] = PeerLease::default();
         let mut round: Vec<usize> = (0..size).filter(|limiter| *limiter != own).collect();
         rng.shuffle(&mut round);
-        let first_period = now + rng.u64(0..settings.period.max(1));
-        let receive_rate = f64::from(settings.in_per_s);
+        let first_period = now + rng.u64(0..settings.protocol_period.max(1));
+        let receive_rate = f64::from(settings.max_received_per_second);
         Self {
             session: rng.u64(1..),
-            send_limit: TokenBucket::new(f64::from(settings.out_per_s), now),
+            send_limit: TokenBucket::new(f64::from(settings.max_sent_per_second), now),
             receive_limit: TokenBucket::new(receive_rate, now),
             unproven_limit: TokenBucket::new(receive_rate / 2.0, now),
             rng,
@@ -110,7 +107,7 @@
             alive: (0..size).map(|limiter| limiter == own).collect(),
             retransmits: vec![0; size],
             leases,
-            revoked: RevokedLeases::new(lease, settings.size, settings.encoding),
+            revoked: RevokedLeases::new(lease, settings.limiters, settings.encoding),
             next_forget_at: Micros::MAX,
             next_revocation_at: now,
             round,
@@ -132,7 +129,7 @@
     }
 
     /// Returns when [`wake`](Self::wake) is to be called next.
-    pub fn next(&self) -> Micros {
+    pub fn next_wake(&self) -> Micros {
         let periodic = self.next_probe_at.min(self.next_gossip_at);
         periodic.min(self.indirect_probe_due().unwrap_or(Micros::MAX))
     }
@@ -153,13 +150,13 @@
             self.probe_indirectly(now, actions);
         }
         if now >= self.next_gossip_at {
-            self.next_gossip_at = now + self.settings.period / 2;
+            self.next_gossip_at = now + self.settings.protocol_period / 2;
             self.check_suspicions(now, actions);
             self.gossip(now, actions);
         }
         if now >= self.next_probe_at {
             let jitter = 1.0 - PERIOD_JITTER + 2.0 * PERIOD_JITTER * self.rng.f64();
-            let period = self.settings.period as f64 * self.local_health() * jitter;
+            let period = self.settings.protocol_period as f64 * self.local_health() * jitter;
             self.next_probe_at = now + period as Micros;
             self.finish_probe(now, actions);
             self.probe_next(now, actions);
@@ -180,10 +177,10 @@
     }
 
     /// Returns the quota shares that this limiter may use at `now`.
-    pub fn standing(&self, now: Micros) -> QuotaShares {
+    pub fn quota_shares(&self, now: Micros) -> QuotaShares {
         let leases = LeaseView {
-            limiter: self.settings.me,
-            guaranteed: self.settings.kept,
+            limiter: self.settings.limiter,
+            guaranteed: self.settings.guaranteed_share,
             alive: &self.alive,
             leases: &self.leases,
             revoked: &self.revoked,
@@ -192,7 +189,7 @@
     }
 
     /// Returns for each limiter whether it is believed alive.
-    pub fn living(&self) -> &[bool] {
+    pub fn alive(&self) -> &[bool] {
         &self.alive
     }
 
@@ -237,22 +234,22 @@
 
     /// Returns the index of this limiter in vectors by limiter.
     fn own_index(&self) -> usize {
-        self.settings.me as usize
+        self.settings.limiter as usize
     }
 }
 
 fn initial_members(settings: &ViewSettings, incarnation: u64, now: Micros) -> Vec<Member> {
-    let mut members: Vec<Member> = (0..settings.size).map(|_| Member::default()).collect();
+    let mut members: Vec<Member> = (0..settings.limiters).map(|_| Member::default()).collect();
     for (limiter, address) in &settings.seeds {
         let member = &mut members[*limiter as usize];
         member.address = Some(*address);
         member.seed = true;
     }
-    let own = &mut members[settings.me as usize];
+    let own = &mut members[settings.limiter as usize];
     own.state = MemberState::Alive;
     own.incarnation = incarnation.max(1);
     own.since = now;
-    own.reported_by = settings.me;
+    own.reported_by = settings.limiter;
     own.version = settings.version;
     own.address = Some(settings.address);
     members
--- a/src/membership/view/probe.rs
+++ b/src/membership/view/probe.rs
@@ -80,7 +80,7 @@
             return;
         };
         let target = &self.members[probe.target];
-        let alive = target.state.lives();
+        let alive = target.state.is_alive();
         let incarnation = target.incarnation;
         let unreachable = !probe.acknowledged && !probe.indirectly_acknowledged;
         // One member that nobody reaches is no evidence of a lossy network; two in a row are.
@@ -95,7 +95,7 @@
                 state: MemberState::Suspect,
                 incarnation,
                 contact: None,
-                reported_by: self.settings.me,
+                reported_by: self.settings.limiter,
             };
             self.apply_update(now, update, actions);
         }
@@ -120,7 +120,7 @@
         if !self.send(now, target, MessageKind::Ping(true), actions) {
             return;
         }
-        let period = self.settings.period as f64;
+        let period = self.settings.protocol_period as f64;
         let timeout = period * PROBE_TIMEOUT_PERIODS * self.local_health();
         self.probe = Some(Probe {
             target,
@@ -165,7 +165,12 @@
         probe.indirect_sent = true;
         let target = probe.target;
         for helper in self.random_alive(INDIRECT_PROBES, Some(target)) {
-            self.send(now, helper, MessageKind::Ask(target as u32), actions);
+            self.send(
+                now,
+                helper,
+                MessageKind::PingRequest(target as u32),
+                actions,
+            );
         }
     }
 
@@ -223,7 +228,7 @@
                 requester,
                 target,
                 number: self.members[target].last_sent,
-                expires_at: now + RELAYED_PROBE_PERIODS * self.settings.period,
+                expires_at: now + RELAYED_PROBE_PERIODS * self.settings.protocol_period,
             });
         }
     }
@@ -245,7 +250,12 @@
             !answered
         });
         for requester in requesters {
-            self.send(now, requester, MessageKind::Vouch(target as u32), actions);
+            self.send(
+                now,
+                requester,
+                MessageKind::IndirectAck(target as u32),
+                actions,
+            );
         }
     }
 }
--- a/src/membership/view/receive.rs
+++ b/src/membership/view/receive.rs
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Returns why the datagram was rejected; the rejection is counted.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         now: Micros,
         datagram: Datagram,
@@ -61,24 +61,24 @@
         actions: &mut Vec<Action>,
     ) -> Result<(), Rejection> {
         let votes = self.revocations_of(datagram)?;
-        let sender = datagram.from as usize;
-        if sender >= self.members.len() || datagram.from == self.settings.me {
+        let sender = datagram.sender as usize;
+        if sender >= self.members.len() || datagram.sender == self.settings.limiter {
             return Err(Rejection::OutOfRange);
         }
         if self.leaving {
             return Ok(());
         }
-        let message = datagram.word.ok_or(Rejection::Malformed)?;
+        let message = datagram.message.ok_or(Rejection::Malformed)?;
         let freshness = self.freshness(datagram);
         if !freshness.is_proven() {
             return self.answer_unproven(now, datagram, message, freshness, actions);
         }
         self.record_receipt(now, datagram, freshness.new_session)?;
-        if let Some(sent_at) = self.members[sender].sent_at(datagram.heard) {
-            self.leases[sender].on_datagram(sent_at, datagram.grants, votes.as_ref());
+        if let Some(sent_at) = self.members[sender].sent_at(datagram.acknowledged) {
+            self.leases[sender].on_datagram(sent_at, datagram.renews_lease, votes.as_ref());
         }
-        self.record_ack(sender, datagram.heard);
-        self.relay_ack(now, sender, datagram.heard, actions);
+        self.record_ack(sender, datagram.acknowledged);
+        self.relay_ack(now, sender, datagram.acknowledged, actions);
         let believed_lost = self.members[sender].must_refute();
         let incarnation = self.incarnation();
         let all_valid = self.apply_updates(now, datagram, message, actions);
@@ -92,9 +92,9 @@
     }
 
     fn freshness(&self, datagram: &Datagram) -> Freshness {
-        let known = &self.members[datagram.from as usize];
+        let known = &self.members[datagram.sender as usize];
         Freshness {
-            written_in_this_session: datagram.to == self.session,
+            written_in_this_session: datagram.receiver_session == self.session,
             new_session: known.session != datagram.session,
             may_be_later_process: known.session == 0 || datagram.incarnation > known.incarnation,
         }
@@ -113,8 +113,10 @@
     ) {
         match message {
             MessageKind::Ping(_) => self.acknowledge(now, sender, actions),
-            MessageKind::Ask(target) => self.relay_probe(now, sender, target as usize, actions),
-            MessageKind::Vouch(target) => self.record_indirect_ack(target as usize),
+            MessageKind::PingRequest(target) => {
+                self.relay_probe(now, sender, target as usize, actions)
+            }
+            MessageKind::IndirectAck(target) => self.record_indirect_ack(target as usize),
             MessageKind::Ack(_) | MessageKind::Gossip(_) | MessageKind::Leave(_) => {
                 let first_ack = matches!(message, MessageKind::Ack(_)) && unacquainted;
                 if first_ack || refuted {
@@ -157,7 +159,7 @@
     }
 
     fn unproven_sender(&self, datagram: &Datagram, addressed_here: bool) -> Destination {
-        let known = &self.members[datagram.from as usize];
+        let known = &self.members[datagram.sender as usize];
         let configured_address = known.address.filter(|_| known.seed);
         let route = if addressed_here {
             Route::ConflictingProcess
@@ -165,10 +167,10 @@
             Route::Member
         };
         Destination {
-            member: datagram.from as usize,
+            member: datagram.sender as usize,
             address: configured_address.or_else(|| datagram.address()),
             session: datagram.session,
-            acknowledged: datagram.number,
+            acknowledged: datagram.sequence,
             route,
         }
     }
@@ -184,12 +186,12 @@
         datagram: &Datagram,
         new_session: bool,
     ) -> Result<(), Rejection> {
-        let member = &mut self.members[datagram.from as usize];
+        let member = &mut self.members[datagram.sender as usize];
         if new_session {
             member.session = datagram.session;
             member.replay_window = ReplayWindow::default();
         }
-        if !member.replay_window.accept(datagram.number) {
+        if !member.replay_window.accept(datagram.sequence) {
             return Err(Rejection::Stale);
         }
         if !self.receive_limit.take(now) {
@@ -212,7 +214,7 @@
     ) -> bool {
         let leaves = matches!(message, MessageKind::Leave(_));
         let sender = StateUpdate {
-            member: datagram.from as usize,
+            member: datagram.sender as usize,
             state: if leaves {
                 MemberState::Left
             } else {
@@ -223,12 +225,12 @@
                 address,
                 version: datagram.version,
             }),
-            reported_by: datagram.from,
+            reported_by: datagram.sender,
         };
         self.apply_update(now, sender, actions);
         let mut all_valid = true;
-        for gossip in &datagram.news {
-            let Some(checked) = gossip.read(self.settings.size) else {
+        for gossip in &datagram.updates {
+            let Some(checked) = gossip.read(self.settings.limiters) else {
                 all_valid = false;
                 continue;
             };
@@ -240,7 +242,7 @@
                     address: checked.address,
                     version: gossip.version,
                 }),
-                reported_by: gossip.by,
+                reported_by: gossip.reported_by,
             };
             self.apply_update(now, update, actions);
         }
@@ -253,13 +255,13 @@
     ///
     /// If the sender's fleet has another format or size, or the votes can't be decoded.
     fn revocations_of(&self, datagram: &Datagram) -> Result<Option<RevocationWindows>, Rejection> {
-        let size = self.settings.size;
+        let size = self.settings.limiters;
         if datagram.format != self.settings.encoding.format() {
             return Err(Rejection::WrongFormat);
         }
         let window = match self.settings.encoding {
             Encoding::Whole => {
-                let votes = RevocationWindows::whole(&datagram.released, size as usize);
+                let votes = RevocationWindows::whole(&datagram.revoked, size as usize);
                 return Ok(Some(votes));
             }
             Encoding::Parts { window, .. } => window,
@@ -267,10 +269,10 @@
         if datagram.limiters != size {
             return Err(Rejection::WrongFleet);
         }
-        if !datagram.released.is_empty() {
+        if !datagram.revoked.is_empty() {
             return Err(Rejection::OutOfRange);
         }
-        let Some(part) = &datagram.released_part else {
+        let Some(part) = &datagram.revoked_part else {
             return Ok(None);
         };
         let votes = part.read(size, window).ok_or(Rejection::OutOfRange)?;
--- a/src/membership/view/send.rs
+++ b/src/membership/view/send.rs
@@ -113,28 +113,28 @@
         Datagram {
             format: self.settings.encoding.format(),
             fleet: self.settings.fleet.clone(),
-            from: self.settings.me,
+            sender: self.settings.limiter,
             incarnation: self.incarnation(),
             session: self.session,
-            to: to.session,
-            number,
-            heard: if to.session == 0 { 0 } else { to.acknowledged },
-            grants: self.leases[to.member].grants(now),
+            receiver_session: to.session,
+            sequence: number,
+            acknowledged: if to.session == 0 { 0 } else { to.acknowledged },
+            renews_lease: self.leases[to.member].grants(now),
             ip: u32::from(*own_address.ip()),
             port: u32::from(own_address.port()),
             version: self.settings.version,
-            word: Some(message),
+            message: Some(message),
             ..Datagram::default()
         }
     }
 
     fn add_revocations(&mut self, to: usize, revocations: Revocations, datagram: &mut Datagram) {
         match self.settings.encoding {
-            Encoding::Whole => datagram.released = self.revoked.bits().to_vec(),
+            Encoding::Whole => datagram.revoked = self.revoked.bits().to_vec(),
             Encoding::Parts { .. } => {
-                datagram.limiters = self.settings.size;
+                datagram.limiters = self.settings.limiters;
                 if revocations == Revocations::NextPart {
-                    datagram.released_part = self.next_part(to);
+                    datagram.revoked_part = self.next_part(to);
                 }
             }
         }
--- a/src/membership/view/settings.rs
+++ b/src/membership/view/settings.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug)]
 pub struct ViewSettings {
     /// Number of this limiter.
-    pub me: u32,
+    pub limiter: u32,
     /// Number of configured limiters.
-    pub size: u32,
+    pub limiters: u32,
     /// How datagrams carry the set of revoked leases.
     pub encoding: Encoding,
     /// The fleet's name.
@@ -22,13 +22,13 @@
     /// Configured addresses of limiters, by number. Gossip does not override them.
     pub seeds: Vec<(u32, SocketAddrV4)>,
     /// Protocol period in µs: one member is probed in each.
-    pub period: Micros,
+    pub protocol_period: Micros,
     /// The most datagrams sent in a second.
-    pub out_per_s: u32,
+    pub max_sent_per_second: u32,
     /// The most datagrams accepted in a second.
-    pub in_per_s: u32,
+    pub max_received_per_second: u32,
     /// Time in µs after which a dead member is forgotten.
-    pub forget: Micros,
+    pub forget_after: Micros,
     /// Fraction of its even share that a limiter keeps in any case, from 0 to 1.
-    pub kept: f64,
+    pub guaranteed_share: f64,
 }
--- a/src/membership/view/table.rs
+++ b/src/membership/view/table.rs
@@ -65,7 +65,7 @@
     }
 
     fn store_update(&mut self, now: Micros, update: &StateUpdate) {
-        let own = self.settings.me;
+        let own = self.settings.limiter;
         let member = &mut self.members[update.member];
         member.state = update.state;
         member.incarnation = update.incarnation;
@@ -88,8 +88,8 @@
 
     /// Starts or stops the renewal of the member's lease if it came to life or died.
     fn update_lease(&mut self, now: Micros, update: &StateUpdate, previous: MemberState) {
-        let alive = update.state.lives();
-        if alive == previous.lives() {
+        let alive = update.state.is_alive();
+        if alive == previous.is_alive() {
             return;
         }
         self.alive[update.member] = alive;
@@ -110,15 +110,15 @@
         actions: &mut Vec<Action>,
     ) {
         self.members[update.member].since = now;
-        if !update.state.lives() {
-            self.next_forget_at = self.next_forget_at.min(now + self.settings.forget);
+        if !update.state.is_alive() {
+            self.next_forget_at = self.next_forget_at.min(now + self.settings.forget_after);
         }
         actions.push(Action::Changed(StateChange {
             limiter: update.member as u32,
             previous,
             state: update.state,
             incarnation: update.incarnation,
-            by: update.reported_by,
+            reported_by: update.reported_by,
         }));
     }
 
@@ -136,7 +136,7 @@
 
     /// Records that a further member suspects `member` by its own probes.
     fn confirm_suspicion(&mut self, member: usize, accuser: u32) {
-        let own = self.settings.me;
+        let own = self.settings.limiter;
         let suspected = &mut self.members[member];
         let Some(suspicion) = &mut suspected.suspicion else {
             return;
--- a/src/membership/view/timeouts.rs
+++ b/src/membership/view/timeouts.rs
@@ -22,10 +22,10 @@
             let found_here = suspicion.found_here;
             let incarnation = member.incarnation;
             let periods = suspicion.timeout_periods(self.members.len()) * self.local_health();
-            let timeout = (periods * self.settings.period as f64) as Micros;
+            let timeout = (periods * self.settings.protocol_period as f64) as Micros;
             // A member whose datagrams arrive is not dead, whatever the others report.
             let recently_received = member.last_received.map_or(0, |at| {
-                at + RECENTLY_RECEIVED_PERIODS * self.settings.period
+                at + RECENTLY_RECEIVED_PERIODS * self.settings.protocol_period
             });
             if now >= recently_received.max(suspicion.began + timeout) {
                 self.counters.declared_dead += 1;
@@ -34,7 +34,7 @@
                     state: MemberState::Dead,
                     incarnation,
                     contact: None,
-                    reported_by: self.settings.me,
+                    reported_by: self.settings.limiter,
                 };
                 self.apply_update(now, update, actions);
             } else if found_here {
@@ -60,7 +60,7 @@
             if !matches!(member.state, MemberState::Dead | MemberState::Left) {
                 continue;
             }
-            let due = member.since + self.settings.forget;
+            let due = member.since + self.settings.forget_after;
             if now < due {
                 self.next_forget_at = self.next_forget_at.min(due);
                 continue;
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -10,13 +10,13 @@
 use crate::client::{ClientProtocol, Front};
 use crate::clock::Clock;
 use crate::config::Common;
+use crate::config::QuotaLeaseConfig;
 use crate::core::{Command, Core, CoreOptions};
 use crate::counter::{CountLines, Counted};
 use crate::decision::{QuotaShares, RequestClass, UpdateScope};
 use crate::handover::{Beside, Limiting};
-use crate::membership::link::{Fleet, Place};
+use crate::membership::fleet::{Fleet, FleetSettings};
 use crate::metrics::Metrics;
-use crate::quota_lease::config::LimiterLeases;
 use crate::quota_lease::link::AllocatorLinks;
 use crate::threads::spawn;
 use crate::upstream::{UpstreamPool, UpstreamPoolOptions};
@@ -194,7 +194,7 @@
     /// on.
     fn start_fleet(
         &self,
-        place: Option<Place>,
+        place: Option<FleetSettings>,
         clock: Clock,
         limiter_count: &Arc<AtomicU32>,
     ) -> io::Result<Option<Fleet>> {
@@ -251,7 +251,7 @@
 
     fn start_allocators(
         &self,
-        leases: Option<&LimiterLeases>,
+        leases: Option<&QuotaLeaseConfig>,
     ) -> io::Result<Option<AllocatorLinks>> {
         let Some(leases) = leases else {
             return Ok(None);
--- a/src/process/core_queue.rs
+++ b/src/process/core_queue.rs
@@ -6,7 +6,7 @@
 use crate::core::{Command, Input};
 use crate::counter::Counted;
 use crate::decision::{QuotaShares, UpdateScope};
-use crate::quota_lease::link::Told;
+use crate::quota_lease::link::AllocatorEventHandler;
 use crate::upstream::{UpstreamEvent, UpstreamEventSink, UpstreamPool, UpstreamProtocol};
 use crossbeam_channel::Sender;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
     }
 
     /// Forwards the events of connections to allocators.
-    pub(super) fn allocator_events(&self) -> Told {
+    pub(super) fn allocator_events(&self) -> AllocatorEventHandler {
         let inputs = self.inputs.clone();
         Arc::new(move |event| _ = inputs.send(Input::Allocator(event)))
     }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -17,7 +17,7 @@
 use crate::counter::CountLines;
 use crate::decision::UpdateScope;
 use crate::handover::Beside;
-use crate::membership::link::Fleet;
+use crate::membership::fleet::Fleet;
 use assembly::Connections;
 use core_queue::CoreQueue;
 use crossbeam_channel::Receiver;
--- a/src/process/stopper.rs
+++ b/src/process/stopper.rs
@@ -3,7 +3,7 @@
 use super::core_queue::CoreQueue;
 use super::shutdown::{last_requests, PARTIAL_COMMAND_POLL, PARTIAL_COMMAND_WAIT, STILL_COMING};
 use crate::client::{ClientProtocol, Front};
-use crate::membership::link::Fleet;
+use crate::membership::fleet::Fleet;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -8,7 +8,7 @@
 use crate::handover::link::Link;
 use crate::handover::message::{Body, LearnedState};
 use crate::handover::{Beside, Limiting, PredecessorConnection};
-use crate::membership::link::Fleet;
+use crate::membership::fleet::Fleet;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamPool;
 use crossbeam_channel::bounded;
@@ -100,14 +100,14 @@
     fn serving(&self) {
         self.front.set_ready();
         if let Some(fleet) = &self.fleet {
-            fleet.speak(true);
+            fleet.set_active(true);
         }
     }
 
     fn hand_over(&self, to: Option<Arc<Link>>) {
         // Two processes are one member of the fleet: the one that serves sends heartbeats.
         if let Some(fleet) = &self.fleet {
-            fleet.speak(to.is_none());
+            fleet.set_active(to.is_none());
         }
         if to.is_none() {
             self.command(HandOverCommand::SuccessorGone);
--- a/src/quota_lease/allocator/account.rs
+++ b/src/quota_lease/allocator/account.rs
@@ -141,7 +141,7 @@
         let units = for_waiting + for_expected;
         self.bucket.take(units);
         self.granted[slot_index(self.newest_slot)] += units;
-        let overdrawn = entry.beyond > 0 && self.bucket.owed() > 0;
+        let overdrawn = entry.fallback_used > 0 && self.bucket.owed() > 0;
         let hold_off = if missing > 0 || overdrawn {
             Some(self.hold_off(now, missing, rules.max_hold_off))
         } else {
--- a/src/quota_lease/allocator/mod.rs
+++ b/src/quota_lease/allocator/mod.rs
@@ -182,7 +182,7 @@
             limiter_incarnation: report.incarnation,
             sequence: report.sequence,
             serving: self.ownership.serving(now),
-            given_away: self.ownership.reassigned(now),
+            reassigned: self.ownership.reassigned(now),
             slot: self.clock.slot(now),
             lease_ms: u32::try_from(lease_ms).unwrap_or(u32::MAX),
             ..Grant::default()
@@ -205,7 +205,7 @@
             // Units can be returned, and use reported, only to the incarnation that granted them.
             let request_only = ReportEntry {
                 returned: 0,
-                beyond: 0,
+                fallback_used: 0,
                 ..entry
             };
             return self.grant_entry(now, &request_only);
@@ -230,7 +230,7 @@
         };
         account.refresh(now, clock, entry.limits);
         account.take_back(now, clock, entry.returned, entry.returned_slot);
-        account.charge(entry.beyond);
+        account.charge(entry.fallback_used);
         let granted = account.grant(now, entry, rules);
         match granted.hold_off {
             Some(hold_off) => exhausted(granted.units, hold_off),
--- a/src/quota_lease/allocator/ownership.rs
+++ b/src/quota_lease/allocator/ownership.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ownership {
     /// Bit set of the allocators whose accounts are reassigned to the others, by number.
-    pub given_away: u64,
+    pub reassigned: u64,
     /// End of the time for which `given_away` is valid.
-    pub given_until: Micros,
+    pub reassigned_until: Micros,
     /// End of this allocator's own lease.
-    pub until: Micros,
+    pub lease_ends: Micros,
 }
 
 /// The latest ownership, and since when each lease and reassignment in it has been valid.
@@ -42,15 +42,15 @@
 
     /// Sets the ownership from now on. What had expired before begins anew.
     pub fn set(&mut self, now: Micros, ownership: Ownership) {
-        if now >= self.current.until {
+        if now >= self.current.lease_ends {
             self.lease_since = now;
         }
-        let still_valid = if now < self.current.given_until {
-            self.current.given_away
+        let still_valid = if now < self.current.reassigned_until {
+            self.current.reassigned
         } else {
             0
         };
-        let started = ownership.given_away & !still_valid;
+        let started = ownership.reassigned & !still_valid;
         for (number, since) in self.reassigned_since.iter_mut().enumerate() {
             if started >> number & 1 == 1 {
                 *since = now;
@@ -61,13 +61,13 @@
 
     /// Returns whether the allocator holds its own lease.
     pub fn serving(&self, now: Micros) -> bool {
-        now < self.current.until
+        now < self.current.lease_ends
     }
 
     /// Returns the bit set of the allocators whose accounts are reassigned.
     pub fn reassigned(&self, now: Micros) -> u64 {
-        if now < self.current.given_until {
-            self.current.given_away
+        if now < self.current.reassigned_until {
+            self.current.reassigned
         } else {
             0
         }
--- a/src/quota_lease/holder/allocators.rs
+++ b/src/quota_lease/holder/allocators.rs
@@ -31,8 +31,8 @@
         }
         let recovered = !self.is_available(allocator) || addressed_to != grant.incarnation;
         self.exchanges[allocator as usize].set_available();
-        let moved = self.reassigned != grant.given_away;
-        self.reassigned = grant.given_away;
+        let moved = self.reassigned != grant.reassigned;
+        self.reassigned = grant.reassigned;
         if moved {
             self.reroute(now, answers);
         }
@@ -51,7 +51,7 @@
         allocator: u32,
         answers: &mut Vec<Answer>,
     ) {
-        let retry_at = now.saturating_add(self.settings.retry_after);
+        let retry_at = now.saturating_add(self.settings.probe_after);
         self.exchanges[allocator as usize].set_unavailable(retry_at);
         for key in self.waiting_accounts() {
             let no_owner = self.available_owner(key).is_none();
--- a/src/quota_lease/holder/answers.rs
+++ b/src/quota_lease/holder/answers.rs
@@ -70,7 +70,7 @@
         let is_answered =
             |waiter: &Waiter| hold_off > 0 || waiter.requested_from == Some(origin.allocator);
         for waiter in self.take_waiters(key, is_answered) {
-            let retry_after = hold_off.max(self.settings.spacing);
+            let retry_after = hold_off.max(self.settings.min_report_spacing);
             self.resolve(&waiter, Outcome::Denied { retry_after }, answers);
         }
         self.set_timer(now, key);
@@ -86,10 +86,11 @@
         answers: &mut Vec<Answer>,
     ) {
         let key = requested.account;
-        if requested.beyond > 0 {
+        if requested.fallback_used > 0 {
             if let Some(account) = self.accounts.get_mut(&key) {
-                account.unreported_fallback =
-                    account.unreported_fallback.saturating_add(requested.beyond);
+                account.unreported_fallback = account
+                    .unreported_fallback
+                    .saturating_add(requested.fallback_used);
                 self.unreported.insert(key);
             }
         }
--- a/src/quota_lease/holder/exchange.rs
+++ b/src/quota_lease/holder/exchange.rs
@@ -59,7 +59,9 @@
     /// Returns whether the report in flight has timed out.
     pub(super) fn is_overdue(&self, now: Micros, settings: &HolderSettings) -> bool {
         self.in_flight.as_ref().is_some_and(|in_flight| {
-            now >= in_flight.first_sent.saturating_add(settings.lost_after)
+            now >= in_flight
+                .first_sent
+                .saturating_add(settings.unavailable_after)
         })
     }
 
@@ -99,7 +101,9 @@
         settings: &HolderSettings,
     ) -> Step {
         if let Some(in_flight) = &self.in_flight {
-            let retry_at = in_flight.last_sent.saturating_add(settings.repeat_after);
+            let retry_at = in_flight
+                .last_sent
+                .saturating_add(settings.retry_report_after);
             return if now >= retry_at {
                 Step::Retry
             } else {
@@ -120,18 +124,24 @@
     /// Returns when there will be something to do, [`Micros::MAX`] for never.
     pub(super) fn wake(&self, probe_when_idle: bool, settings: &HolderSettings) -> Micros {
         if let Some(in_flight) = &self.in_flight {
-            let retry_at = in_flight.last_sent.saturating_add(settings.repeat_after);
-            return retry_at.min(in_flight.first_sent.saturating_add(settings.lost_after));
+            let retry_at = in_flight
+                .last_sent
+                .saturating_add(settings.retry_report_after);
+            return retry_at.min(
+                in_flight
+                    .first_sent
+                    .saturating_add(settings.unavailable_after),
+            );
         }
         if let Some(retry_at) = self.unavailable_until {
             return retry_at;
         }
         if !self.due_immediately.is_empty() {
-            self.after_last_report(settings.spacing)
+            self.after_last_report(settings.min_report_spacing)
         } else if !self.due_next_interval.is_empty() {
-            self.after_last_report(settings.interval)
+            self.after_last_report(settings.report_interval)
         } else if probe_when_idle {
-            self.after_last_report(settings.retry_after)
+            self.after_last_report(settings.probe_after)
         } else {
             Micros::MAX
         }
--- a/src/quota_lease/holder/fallback.rs
+++ b/src/quota_lease/holder/fallback.rs
@@ -44,7 +44,7 @@
     let share = fraction / (THOUSAND * u128::from(limiter_count.max(1)));
     u64::try_from(share)
         .unwrap_or(u64::MAX)
-        .max(settings.fallback_least.min(burst))
+        .max(settings.fallback_min_burst.min(burst))
 }
 
 /// The token bucket of one account's fallback share.
--- a/src/quota_lease/holder/leased_account.rs
+++ b/src/quota_lease/holder/leased_account.rs
@@ -215,7 +215,7 @@
         if idle_at > now {
             idle_at.min(now.saturating_add(MAX_CHECK_LEASES * settings.lease))
         } else {
-            now.saturating_add(settings.interval)
+            now.saturating_add(settings.report_interval)
         }
     }
 
@@ -252,5 +252,5 @@
 }
 
 fn renewal_time(settings: &HolderSettings) -> Micros {
-    RENEWAL_INTERVALS * settings.interval
+    RENEWAL_INTERVALS * settings.report_interval
 }
--- a/src/quota_lease/holder/mod.rs
+++ b/src/quota_lease/holder/mod.rs
@@ -29,8 +29,6 @@
 use receipt::LeaseOrigin;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-// Re-exported until the lead joins the folders.
-pub use super::message::DroppedMessages as Dropped;
 pub use receipt::Receipt;
 pub use settings::HolderSettings;
 pub use types::{Answer, HolderFigures, Outcome, Poll, Take, Ticket};
@@ -107,7 +105,7 @@
         }
         let settings = self.settings;
         if !self.accounts.contains_key(&key) && !self.make_space(now) {
-            return self.denied(settings.interval);
+            return self.denied(settings.report_interval);
         }
         let fallback_empty_since = self.fallback_empty_since;
         let account = self
@@ -178,7 +176,7 @@
 
     /// Handles a broken connection to an allocator: the requests that wait for it get units of the
     /// fallback share, or none.
-    pub fn on_lost(&mut self, now: Micros, allocator: u32) -> Vec<Answer> {
+    pub fn on_connection_lost(&mut self, now: Micros, allocator: u32) -> Vec<Answer> {
         let mut answers = Vec::new();
         if (allocator as usize) < self.exchanges.len() {
             self.set_unavailable(now, allocator, &mut answers);
--- a/src/quota_lease/holder/receipt.rs
+++ b/src/quota_lease/holder/receipt.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the units of the fallback share, which no allocator has granted.
-    pub fn beyond(&self) -> MilliUnits {
+    pub fn fallback(&self) -> MilliUnits {
         self.units(|part| part.origin.is_none())
     }
 
--- a/src/quota_lease/holder/reports.rs
+++ b/src/quota_lease/holder/reports.rs
@@ -66,7 +66,7 @@
         };
         // Use of the fallback share can be reported only to a process that is known.
         if incarnation != 0 {
-            entry.beyond = std::mem::take(&mut account.unreported_fallback);
+            entry.fallback_used = std::mem::take(&mut account.unreported_fallback);
             self.unreported.remove(&key);
         }
         self.figures.returned += returned.iter().map(|part| part.units).sum::<MilliUnits>();
--- a/src/quota_lease/holder/requests.rs
+++ b/src/quota_lease/holder/requests.rs
@@ -19,7 +19,7 @@
     /// Takes the units of a request, or lets it wait for the account's owner.
     pub(super) fn take_or_wait(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Take {
         let Some(account) = self.accounts.get(&key) else {
-            return self.denied(self.settings.interval);
+            return self.denied(self.settings.report_interval);
         };
         let hold_off = account.held_off_until.saturating_sub(now);
         // Requests that wait already come first.
@@ -37,7 +37,7 @@
                 Outcome::Denied { retry_after } => self.denied(retry_after),
             };
         }
-        if self.settings.trust {
+        if self.settings.use_fallback_first {
             if let Outcome::Taken(receipt) = self.take_fallback(now, key, units) {
                 self.mark_due(key, ReportDue::NextInterval);
                 return Take::Taken(receipt);
@@ -48,7 +48,7 @@
 
     fn wait(&mut self, key: AccountKey, units: MilliUnits) -> Take {
         if self.waiting >= self.settings.max_waiting {
-            return self.denied(self.settings.interval);
+            return self.denied(self.settings.report_interval);
         }
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
@@ -81,12 +81,12 @@
         let settings = self.settings;
         let Some(account) = self.accounts.get_mut(&key) else {
             return Outcome::Denied {
-                retry_after: settings.interval,
+                retry_after: settings.report_interval,
             };
         };
         match account.take_fallback(now, units, &settings) {
             Ok(part) => {
-                self.figures.beyond += units;
+                self.figures.fallback += units;
                 self.unreported.insert(key);
                 Outcome::Taken(Receipt {
                     account: key,
@@ -94,7 +94,7 @@
                 })
             }
             Err(FallbackExhausted { retry_after }) => Outcome::Denied {
-                retry_after: retry_after.unwrap_or(settings.retry_after),
+                retry_after: retry_after.unwrap_or(settings.probe_after),
             },
         }
     }
--- a/src/quota_lease/holder/types.rs
+++ b/src/quota_lease/holder/types.rs
@@ -66,7 +66,7 @@
     /// Units that requests took from leases.
     pub taken: MilliUnits,
     /// Units that requests took from fallback shares.
-    pub beyond: MilliUnits,
+    pub fallback: MilliUnits,
     /// Requests that waited for an allocator.
     pub waited: u64,
     /// Requests that were denied.
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -61,9 +61,6 @@
 /// Receives the events of all connections. Must not block.
 pub type AllocatorEventHandler = Arc<dyn Fn(AllocatorEvent) + Send + Sync>;
 
-// Re-exported until the lead joins the folders.
-pub use self::{AllocatorEvent as LinkEvent, AllocatorEventHandler as Told};
-
 /// The connections of a limiter to all allocators.
 #[derive(Clone)]
 pub struct AllocatorLinks {
--- a/src/quota_lease/message/grant.rs
+++ b/src/quota_lease/message/grant.rs
@@ -40,7 +40,7 @@
     pub serving: bool,
     /// Bit set of the allocators whose accounts are reassigned to the others, by number.
     #[prost(uint64, tag = "7")]
-    pub given_away: u64,
+    pub reassigned: u64,
     /// Time slot in which the units are granted; units are returned with its number.
     #[prost(uint64, tag = "8")]
     pub slot: u64,
--- a/src/quota_lease/message/report.rs
+++ b/src/quota_lease/message/report.rs
@@ -32,7 +32,7 @@
     pub accounts: Vec<u64>,
     /// By entry: index into `plans`.
     #[prost(uint32, repeated, tag = "8")]
-    pub plan: Vec<u32>,
+    pub plan_index: Vec<u32>,
     /// By entry: units for requests that wait for them.
     #[prost(uint64, repeated, tag = "9")]
     pub waiting: Vec<MilliUnits>,
@@ -47,7 +47,7 @@
     pub returned_slot: Vec<u64>,
     /// By entry: units that requests used of the fallback share.
     #[prost(uint64, repeated, tag = "13")]
-    pub beyond: Vec<MilliUnits>,
+    pub fallback_used: Vec<MilliUnits>,
 }
 
 /// One entry of a report.
@@ -66,7 +66,7 @@
     /// Slot in which they were granted.
     pub returned_slot: u64,
     /// Units that requests used of the fallback share.
-    pub beyond: MilliUnits,
+    pub fallback_used: MilliUnits,
 }
 
 impl ReportEntry {
@@ -79,7 +79,7 @@
             expected: 0,
             returned: 0,
             returned_slot: 0,
-            beyond: 0,
+            fallback_used: 0,
         }
     }
 }
@@ -108,9 +108,9 @@
             &self.expected,
             &self.returned,
             &self.returned_slot,
-            &self.beyond,
+            &self.fallback_used,
         ];
-        check_columns(self.accounts.len(), &[self.plan.len()])?;
+        check_columns(self.accounts.len(), &[self.plan_index.len()])?;
         check_columns(self.accounts.len(), &columns.map(Vec::len))?;
         if self.plans.len() > MAX_PLANS {
             return Err(MessageError::Entries("too many plans"));
@@ -119,14 +119,19 @@
             return Err(MessageError::Entries("no plan"));
         }
         if self
-            .plan
+            .plan_index
             .iter()
             .any(|plan| *plan as usize >= self.plans.len())
         {
             return Err(MessageError::Entries("index of a plan"));
         }
         let plan_values = self.plans.iter().flat_map(|plan| [plan.rate, plan.burst]);
-        let entry_columns = [&self.waiting, &self.expected, &self.returned, &self.beyond];
+        let entry_columns = [
+            &self.waiting,
+            &self.expected,
+            &self.returned,
+            &self.fallback_used,
+        ];
         check_units(plan_values.chain(entry_columns.into_iter().flatten().copied()))
     }
 
@@ -138,28 +143,28 @@
             self.plans.len() - 1
         });
         self.accounts.push(entry.account.0);
-        self.plan.push(plan as u32);
+        self.plan_index.push(plan as u32);
         self.waiting.push(entry.waiting);
         self.expected.push(entry.expected);
         self.returned.push(entry.returned);
         self.returned_slot.push(entry.returned_slot);
-        self.beyond.push(entry.beyond);
+        self.fallback_used.push(entry.fallback_used);
     }
 
     /// Leaves out the columns that hold only zeros.
     pub fn leave_out_zeros(&mut self) {
-        omit_if_zero(&mut self.plan);
+        omit_if_zero(&mut self.plan_index);
         omit_if_zero(&mut self.waiting);
         omit_if_zero(&mut self.expected);
         omit_if_zero(&mut self.returned);
         omit_if_zero(&mut self.returned_slot);
-        omit_if_zero(&mut self.beyond);
+        omit_if_zero(&mut self.fallback_used);
     }
 
     /// Returns the entries of a report that was checked.
     pub fn entries(&self) -> impl Iterator<Item = ReportEntry> + '_ {
         self.accounts.iter().enumerate().map(|(index, account)| {
-            let plan = value(&self.plan, index) as usize;
+            let plan = value(&self.plan_index, index) as usize;
             ReportEntry {
                 account: AccountKey(*account),
                 limits: self.plans.get(plan).copied().unwrap_or_default(),
@@ -167,7 +172,7 @@
                 expected: value(&self.expected, index),
                 returned: value(&self.returned, index),
                 returned_slot: value(&self.returned_slot, index),
-                beyond: value(&self.beyond, index),
+                fallback_used: value(&self.fallback_used, index),
             }
         })
     }
--- a/src/quota_lease/mod.rs
+++ b/src/quota_lease/mod.rs
@@ -12,9 +12,3 @@
 pub mod message;
 pub mod placement;
 pub mod server;
-
-// Re-exported until the lead joins the folders.
-pub mod config {
-    //! Former place of the configuration of quota leases.
-    pub use crate::config::QuotaLeaseConfig as LimiterLeases;
-}
--- a/src/quota_lease/server/mod.rs
+++ b/src/quota_lease/server/mod.rs
@@ -99,7 +99,7 @@
         move |shares| _ = inputs.send(Input::Ownership(ownership(&shares))),
         log.new(o!("part" => "membership")),
     )?;
-    fleet.speak(true);
+    fleet.set_active(true);
     Ok(fleet)
 }
 
--- a/src/quota_lease/server/owner.rs
+++ b/src/quota_lease/server/owner.rs
@@ -28,9 +28,9 @@
         }
     }
     Ownership {
-        given_away: reassigned,
-        given_until: shares.reassigned_until,
-        until: shares.lease_ends,
+        reassigned,
+        reassigned_until: shares.reassigned_until,
+        lease_ends: shares.lease_ends,
     }
 }
 
@@ -150,7 +150,7 @@
             }
             Input::Undecodable(reason) => self.allocator.count_dropped(&reason),
             Input::Ownership(ownership) => {
-                self.lease.ends = ownership.until;
+                self.lease.ends = ownership.lease_ends;
                 self.allocator.set_ownership(now, ownership);
             }
             Input::Stop(done) => {
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -4,8 +4,8 @@
 use mossrill::decision::Micros;
 use mossrill::decision::QuotaShares;
 use mossrill::membership::datagram::Datagram;
-use mossrill::membership::released::Encoding;
-use mossrill::membership::view::{Action, Change, Setup, View};
+use mossrill::membership::format::Encoding;
+use mossrill::membership::view::{Action, StateChange, View, ViewSettings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Ordering;
@@ -100,7 +100,7 @@
     heap: BinaryHeap<Entry>,
     pub processes: Vec<Option<Process>>,
     lives: u64,
-    setup: Setup,
+    setup: ViewSettings,
     /// Part of the datagrams that is lost, that comes twice, and how long they take.
     pub loss: f64,
     pub twice: f64,
@@ -109,7 +109,7 @@
     pub side: Vec<u8>,
     pub cut: Vec<(usize, usize)>,
     /// Each change of state, when, and who saw it.
-    pub changes: Vec<(Micros, usize, Change)>,
+    pub changes: Vec<(Micros, usize, StateChange)>,
     pub sent: Vec<u64>,
     pub bytes: Vec<u64>,
     pub longest: usize,
@@ -126,19 +126,19 @@
 
 impl Net {
     pub fn new(size: u32, seed: u64) -> Self {
-        let setup = Setup {
-            me: 0,
-            size,
+        let setup = ViewSettings {
+            limiter: 0,
+            limiters: size,
             encoding: Encoding::of(size),
             fleet: "ferry".into(),
             address: address(0),
             version: 1_000,
             seeds: (0..size).map(|who| (who, address(who))).collect(),
-            period: 300_000,
-            out_per_s: 40,
-            in_per_s: 40,
-            forget: 60 * SECOND,
-            kept: 0.5,
+            protocol_period: 300_000,
+            max_sent_per_second: 40,
+            max_received_per_second: 40,
+            forget_after: 60 * SECOND,
+            guaranteed_share: 0.5,
         };
         let all = size as usize;
         Self {
@@ -164,7 +164,7 @@
         }
     }
 
-    pub fn with(mut self, change: impl Fn(&mut Setup)) -> Self {
+    pub fn with(mut self, change: impl Fn(&mut ViewSettings)) -> Self {
         change(&mut self.setup);
         self
     }
@@ -175,15 +175,15 @@
 
     /// Starts a process, in place of one that runs.
     pub fn start(&mut self, who: usize) {
-        let setup = Setup {
-            me: who as u32,
+        let setup = ViewSettings {
+            limiter: who as u32,
             address: address(who as u32),
             ..self.setup.clone()
         };
         let clock = (self.now / 1_000) as i64 + self.clock[who];
         let view = View::new(setup, clock as u64, self.rng.random(), self.now);
         self.lives += 1;
-        let (told, wake) = (view.standing(self.now), view.next());
+        let (told, wake) = (view.quota_shares(self.now), view.next_wake());
         let (life, still) = (self.lives, 0);
         self.processes[who] = Some(Process {
             view,
@@ -254,13 +254,13 @@
                     });
                     // A core is told with every look, not with every datagram.
                     if who % self.tell_every == 0 {
-                        let standing = || process.view.standing(at);
+                        let standing = || process.view.quota_shares(at);
                         process.told = measured(clock, &mut self.meter.standing, standing);
                     }
-                    Some(process.view.next())
+                    Some(process.view.next_wake())
                 }
                 Happens::Arrives(_, datagram) => {
-                    let heard = || process.view.heard(at, *datagram, &mut todo);
+                    let heard = || process.view.receive(at, *datagram, &mut todo);
                     _ = measured(clock, &mut self.meter.heard, heard);
                     None
                 }
@@ -325,7 +325,7 @@
         self.up().all(|(own, p)| {
             (0..self.processes.len()).all(|who| {
                 let lives = self.processes[who].is_some() && self.side[who] == self.side[own];
-                p.view.state(who).lives() == lives
+                p.view.state(who).is_alive() == lives
             })
         })
     }
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -17,28 +17,28 @@
     Datagram {
         format: FORMAT,
         fleet: "ferry".into(),
-        from: 3,
+        sender: 3,
         incarnation: 1_764_633_600_000,
         session: 7,
-        to: 9,
-        number: 5,
-        heard: 4,
-        grants: true,
+        receiver_session: 9,
+        sequence: 5,
+        acknowledged: 4,
+        renews_lease: true,
         ip: 0x7f00_0001,
         port: 7_946,
         version: version::encode("0.1.0"),
-        word: Some(MessageKind::Ping(true)),
-        news: vec![GossipUpdate {
-            who: 2,
+        message: Some(MessageKind::Ping(true)),
+        updates: vec![GossipUpdate {
+            limiter: 2,
             state: 3,
             incarnation: 8,
-            by: 1,
+            reported_by: 1,
             ip: 1,
             port: 2,
             version: 3,
         }],
-        released: vec![4],
-        released_part: None,
+        revoked: vec![4],
+        revoked_part: None,
         limiters: 0,
     }
 }
@@ -73,7 +73,7 @@
     let changes: [(Change, Rejection); 7] = [
         (|d| d.format = 0, Rejection::WrongFormat),
         (|d| d.format = 3, Rejection::WrongFormat),
-        (|d| d.word = None, Rejection::Malformed),
+        (|d| d.message = None, Rejection::Malformed),
         (|d| d.session = 0, Rejection::Malformed),
         (|d| d.port = 0, Rejection::OutOfRange),
         (|d| d.ip = 0xe000_0001, Rejection::OutOfRange),
@@ -132,7 +132,7 @@
     let size = plain.size();
     let larger = Datagram {
         limiters: 1,
-        released_part: Some(RevocationPart::default()),
+        revoked_part: Some(RevocationPart::default()),
         ..plain
     };
     assert!(larger.size() > size);
@@ -144,7 +144,7 @@
     let set: Vec<u32> = (0..MAX_LIMITERS / 2).map(|n| 2 * n + 1).collect();
     let Encoding::Parts {
         window,
-        most_run_bytes,
+        max_run_bytes: most_run_bytes,
     } = Encoding::of(MAX_LIMITERS)
     else {
         panic!("parts")
@@ -153,10 +153,10 @@
     assert_eq!(parts.len() as u32, MAX_LIMITERS.div_ceil(WINDOW));
     let most = 1 << 52;
     let news = GossipUpdate {
-        who: MAX_LIMITERS - 1,
+        limiter: MAX_LIMITERS - 1,
         state: 4,
         incarnation: most,
-        by: MAX_LIMITERS - 1,
+        reported_by: MAX_LIMITERS - 1,
         ip: u32::MAX,
         port: 65_535,
         version: 999_999_999,
@@ -165,21 +165,21 @@
         let longest = Datagram {
             format: PARTS_FORMAT,
             fleet: "sixteen bytes ab".into(),
-            from: MAX_LIMITERS - 1,
+            sender: MAX_LIMITERS - 1,
             incarnation: most,
             session: u64::MAX,
-            to: u64::MAX,
+            receiver_session: u64::MAX,
             // A datagram each second for thirty years.
-            number: 1 << 30,
-            heard: 1 << 30,
-            grants: true,
+            sequence: 1 << 30,
+            acknowledged: 1 << 30,
+            renews_lease: true,
             ip: u32::MAX,
             port: 65_535,
             version: 999_999_999,
-            word: Some(MessageKind::Ask(MAX_LIMITERS - 1)),
-            news: vec![news.clone()],
-            released: Vec::new(),
-            released_part: Some(part),
+            message: Some(MessageKind::PingRequest(MAX_LIMITERS - 1)),
+            updates: vec![news.clone()],
+            revoked: Vec::new(),
+            revoked_part: Some(part),
             limiters: MAX_LIMITERS,
         };
         assert!(
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -7,7 +7,8 @@
 mod relay;
 mod rig;
 
-use mossrill::membership::datagram::{Datagram, Word, FORMAT};
+use mossrill::membership::datagram::{Datagram, MessageKind};
+use mossrill::membership::format::FORMAT;
 use rig::{Plan, Rig};
 use std::net::UdpSocket;
 use std::thread;
@@ -278,11 +279,11 @@
         let datagram = Datagram {
             format: FORMAT,
             fleet: fleet.into(),
-            from,
+            sender: from,
             session: 1,
             ip: u32::from(std::net::Ipv4Addr::LOCALHOST),
             port: 9,
-            word: Some(Word::Ping(true)),
+            message: Some(MessageKind::Ping(true)),
             ..Datagram::default()
         };
         socket
--- a/tests/fleet/relay.rs
+++ b/tests/fleet/relay.rs
@@ -1,7 +1,7 @@
 //! The network between the processes of a fleet: every datagram goes through here, and by script is lost, late, out of
 //! order, repeated or cut off, one way or both ways.
 
-use mossrill::membership::datagram::Key;
+use mossrill::membership::key::Key;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -125,7 +125,7 @@
             let Ok(datagram) = key.open(&self.fleet, &bytes[..size]) else {
                 continue;
             };
-            let from = datagram.from as usize;
+            let from = datagram.sender as usize;
             self.real.lock().expect("whole")[from] = Some(at);
             let mut copies = Vec::new();
             {
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -6,8 +6,10 @@
 use mossrill::handover::message::{
     Account, Ban, Fails, FinalReport, Frame, HandoverMessage, LearnedState, Node, UnreportedUnits,
 };
-use mossrill::membership::datagram::{Datagram, Key, News, Word, FORMAT, PARTS_FORMAT};
-use mossrill::membership::released::ReleasedPart;
+use mossrill::membership::datagram::{Datagram, GossipUpdate, MessageKind};
+use mossrill::membership::format::{FORMAT, PARTS_FORMAT};
+use mossrill::membership::key::Key;
+use mossrill::membership::revocation::RevocationPart;
 use mossrill::quota_lease::message::{
     AccountKey, Grant, GrantEntry, PlanLimits, Report, ReportEntry, Verdict, FORMAT as LEASE_FORMAT,
 };
@@ -101,9 +103,9 @@
     ]
 }
 
-fn datagram(format: u32, word: Word) -> Datagram {
+fn datagram(format: u32, word: MessageKind) -> Datagram {
     let parts = format == PARTS_FORMAT;
-    let part = ReleasedPart {
+    let part = RevocationPart {
         first: 768,
         count: 768,
         bits: vec![1, 128],
@@ -112,55 +114,55 @@
     Datagram {
         format,
         fleet: "ferry".into(),
-        from: 3,
+        sender: 3,
         incarnation: 1_764_633_600_000,
         session: 0x0102_0304_0506_0708,
-        to: 0x1112_1314_1516_1718,
-        number: 5,
-        heard: 4,
-        grants: true,
+        receiver_session: 0x1112_1314_1516_1718,
+        sequence: 5,
+        acknowledged: 4,
+        renews_lease: true,
         ip: 0x7f00_0001,
         port: 7_946,
         version: 1_002_003,
-        word: Some(word),
-        news: vec![News {
-            who: 2,
+        message: Some(word),
+        updates: vec![GossipUpdate {
+            limiter: 2,
             state: 3,
             incarnation: 8,
-            by: 1,
+            reported_by: 1,
             ip: 0x7f00_0002,
             port: 7_947,
             version: 4,
         }],
-        released: if parts { Vec::new() } else { vec![4, 1] },
-        released_part: parts.then_some(part),
+        revoked: if parts { Vec::new() } else { vec![4, 1] },
+        revoked_part: parts.then_some(part),
         limiters: if parts { 2_000 } else { 0 },
     }
 }
 
 fn datagrams() -> Vec<(String, Datagram)> {
     let words = [
-        ("ping", Word::Ping(true)),
-        ("ack", Word::Ack(true)),
-        ("ask", Word::Ask(9)),
-        ("vouch", Word::Vouch(9)),
-        ("gossip", Word::Gossip(true)),
-        ("leave", Word::Leave(true)),
+        ("ping", MessageKind::Ping(true)),
+        ("ack", MessageKind::Ack(true)),
+        ("ask", MessageKind::PingRequest(9)),
+        ("vouch", MessageKind::IndirectAck(9)),
+        ("gossip", MessageKind::Gossip(true)),
+        ("leave", MessageKind::Leave(true)),
     ];
     let formats = [FORMAT, PARTS_FORMAT];
     let named = |format| {
         words.map(|(name, word)| (format!("{name}-format-{format}"), datagram(format, word)))
     };
     let mut all: Vec<_> = formats.into_iter().flat_map(named).collect();
-    let runs = ReleasedPart {
+    let runs = RevocationPart {
         first: 0,
         count: 2_000,
         bits: Vec::new(),
         runs: vec![3, 400, 1_000, 2],
     };
     let by_runs = Datagram {
-        released_part: Some(runs),
-        ..datagram(PARTS_FORMAT, Word::Ping(true))
+        revoked_part: Some(runs),
+        ..datagram(PARTS_FORMAT, MessageKind::Ping(true))
     };
     all.push(("ping-runs".into(), by_runs));
     all
@@ -181,7 +183,7 @@
         expected: 2_500,
         returned: 700,
         returned_slot: 31,
-        beyond: 90,
+        fallback_used: 90,
         ..ReportEntry::new(AccountKey::of("account-1"), limits(4_000, 12_000))
     };
     let second = ReportEntry {
@@ -203,7 +205,7 @@
         limiter_incarnation: 1_764_633_600_001,
         sequence: 12,
         serving: true,
-        given_away: 5,
+        reassigned: 5,
         slot: 32,
         lease_ms: 4_000,
         ..Grant::default()
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -321,7 +321,7 @@
     const ALIVE: usize = 9;
     let encoding = Encoding::Parts {
         window: 8,
-        most_run_bytes: 0,
+        max_run_bytes: 0,
     };
     let mut released = RevokedLeases::new(SHORT, SIZE as u32, encoding);
     let mut ways = vec![PeerLease::new(0, SHORT); SIZE];
@@ -382,7 +382,7 @@
 fn parts_take_turns_and_none_is_carried_by_questions_alone() {
     let encoding = Encoding::Parts {
         window: 8,
-        most_run_bytes: 0,
+        max_run_bytes: 0,
     };
     for windows in 1..=6 {
         let size = 8 * windows;
--- a/tests/quota_lease/allocator.rs
+++ b/tests/quota_lease/allocator.rs
@@ -32,9 +32,9 @@
 
 fn for_good(given_away: u64) -> Ownership {
     Ownership {
-        given_away,
-        given_until: Micros::MAX,
-        until: Micros::MAX,
+        reassigned: given_away,
+        reassigned_until: Micros::MAX,
+        lease_ends: Micros::MAX,
     }
 }
 
@@ -230,7 +230,7 @@
         7,
         INCARNATION,
         &[ReportEntry {
-            beyond: 1_000,
+            fallback_used: 1_000,
             ..wants(3_000)
         }],
     );
@@ -302,9 +302,9 @@
 #[test]
 fn only_an_owner_that_holds_its_lease_grants() {
     let ownership = |until, given_until, given_away| Ownership {
-        given_away,
-        given_until,
-        until,
+        reassigned: given_away,
+        reassigned_until: given_until,
+        lease_ends: until,
     };
     let is_owner = |allocator: &mut Allocator, now| {
         let entry = only_entry(&ask(allocator, now, &report(0, now, 0, &[wants(1_000)])));
@@ -348,11 +348,11 @@
     // The same where the time ran out before it was told anew.
     for ran_out in [
         Ownership {
-            until: 4 * FULL,
+            lease_ends: 4 * FULL,
             ..for_good(1 << first)
         },
         Ownership {
-            given_until: 4 * FULL,
+            reassigned_until: 4 * FULL,
             ..for_good(1 << first)
         },
     ] {
@@ -392,7 +392,7 @@
         let back = ReportEntry {
             returned: 4_000,
             returned_slot: slot,
-            beyond: 1_000,
+            fallback_used: 1_000,
             ..wants(10_000)
         };
         let grant = ask(&mut allocator, FULL, &report(0, 2, addressed_to, &[back]));
@@ -422,7 +422,7 @@
             FULL,
             2,
             ReportEntry {
-                beyond: 7_000,
+                fallback_used: 7_000,
                 ..wants(0)
             }
         ),
@@ -496,7 +496,10 @@
 #[test]
 fn what_was_used_beyond_is_taken_out_once_and_owed_up_to_a_burst() {
     let mut allocator = alone(INCARNATION);
-    let beyond = |beyond| ReportEntry { beyond, ..wants(0) };
+    let beyond = |beyond| ReportEntry {
+        fallback_used: beyond,
+        ..wants(0)
+    };
     assert_eq!(units(&mut allocator, FULL, 1, beyond(4_000)), 0);
     assert_eq!(units(&mut allocator, FULL, 2, wants(10_000)), 6_000);
     let grant = ask(
@@ -607,7 +610,7 @@
         expected: MAX_UNITS,
         returned: MAX_UNITS,
         returned_slot: u64::MAX,
-        beyond: MAX_UNITS,
+        fallback_used: MAX_UNITS,
         ..ReportEntry::new(account(), limits)
     };
     for now in [0, SECOND, Micros::MAX - 1] {
--- a/tests/quota_lease/figures.rs
+++ b/tests/quota_lease/figures.rs
@@ -21,7 +21,7 @@
     allocator.set_ownership(
         0,
         Ownership {
-            until: u64::MAX,
+            lease_ends: u64::MAX,
             ..Ownership::default()
         },
     );
@@ -99,7 +99,7 @@
     let mut holder = holder();
     for number in 0..ACCOUNTS {
         let now = START + number as u64;
-        holder.on_lost(now, 0);
+        holder.on_connection_lost(now, 0);
         holder.take(now, name(number), PLAN, 1, 1_000);
     }
     let held = resident() - before;
--- a/tests/quota_lease/holder.rs
+++ b/tests/quota_lease/holder.rs
@@ -149,7 +149,7 @@
         panic!("{answers:?}")
     };
     assert_eq!(
-        (*ticket, receipt.leased(), receipt.beyond()),
+        (*ticket, receipt.leased(), receipt.fallback()),
         (first, UNIT, 0)
     );
     // Two more without asking.
@@ -169,7 +169,7 @@
     let first = sent(&mut holder, START);
     take_one(&mut holder, START + MILLI);
     assert!(sends_nothing(&mut holder, START + MILLI));
-    let again = START + settings().repeat_after;
+    let again = START + settings().retry_report_after;
     assert_eq!(holder.next_wake(), again);
     assert_eq!(sent(&mut holder, again), first);
     holder
@@ -196,8 +196,8 @@
         .unwrap();
     take_one(&mut holder, START + 2 * MILLI);
     assert!(sends_nothing(&mut holder, START + 2 * MILLI));
-    assert_eq!(holder.next_wake(), START + settings().spacing);
-    sent(&mut holder, START + settings().spacing);
+    assert_eq!(holder.next_wake(), START + settings().min_report_spacing);
+    sent(&mut holder, START + settings().min_report_spacing);
 }
 
 #[test]
@@ -216,7 +216,7 @@
     let mut holder = holder();
     take_one(&mut holder, START);
     let report = sent(&mut holder, START);
-    let again = START + settings().repeat_after;
+    let again = START + settings().retry_report_after;
     sent(&mut holder, again);
     holder
         .on_grant(again, &answer(&report, &[granted(5 * UNIT)]))
@@ -427,10 +427,10 @@
     let sent_at = START + 50 * SECOND;
     sent(&mut holder, sent_at);
     assert!(holder
-        .poll(sent_at + settings().lost_after - 1)
+        .poll(sent_at + settings().unavailable_after - 1)
         .answers
         .is_empty());
-    let answers = holder.poll(sent_at + settings().lost_after).answers;
+    let answers = holder.poll(sent_at + settings().unavailable_after).answers;
     waiting.retain(|ticket| !answers.iter().any(|answer| answer.ticket == *ticket));
     assert!(waiting.is_empty());
     let taken = answers
@@ -445,8 +445,8 @@
         }
     );
     // It goes on without waiting.
-    let now = sent_at + settings().lost_after + SECOND / 5;
-    assert_eq!(receipt(take_one(&mut holder, now)).beyond(), UNIT);
+    let now = sent_at + settings().unavailable_after + SECOND / 5;
+    assert_eq!(receipt(take_one(&mut holder, now)).fallback(), UNIT);
     assert_eq!(
         take_one(&mut holder, now),
         Take::Denied {
@@ -459,7 +459,7 @@
 fn a_part_is_opened_with_what_is_surely_unused() {
     // A process that has just started knows nothing of what the last one used.
     let mut holder = holder();
-    holder.on_lost(START, 0);
+    holder.on_connection_lost(START, 0);
     assert_eq!(
         take_one(&mut holder, START),
         Take::Denied {
@@ -474,7 +474,7 @@
     holder
         .on_grant(START, &answer(&report, &[granted(7 * UNIT)]))
         .unwrap();
-    holder.on_lost(START, 0);
+    holder.on_connection_lost(START, 0);
     let taken = (0..10)
         .filter(|_| is_taken(&take_one(&mut holder, START)))
         .count();
@@ -485,7 +485,7 @@
 fn without_a_fallback_nothing_goes_beyond_and_a_least_part_holds_a_unit() {
     let lost = |settings| {
         let mut holder = Holder::new(0, settings);
-        holder.on_lost(START, 0);
+        holder.on_connection_lost(START, 0);
         let thin = PlanLimits {
             rate: 10,
             burst: 2 * UNIT,
@@ -494,12 +494,12 @@
     };
     assert!(!lost(HolderSettings {
         fallback_thousandths: 0,
-        fallback_least: UNIT,
+        fallback_min_burst: UNIT,
         ..settings()
     }));
     assert!(!lost(settings()));
     assert!(lost(HolderSettings {
-        fallback_least: UNIT,
+        fallback_min_burst: UNIT,
         ..settings()
     }));
 }
@@ -507,32 +507,32 @@
 #[test]
 fn use_beyond_is_reported_once_when_the_owner_is_back() {
     let mut holder = Holder::new(0, settings());
-    holder.on_lost(START, 0);
+    holder.on_connection_lost(START, 0);
     receipt(take_one(&mut holder, START));
     let undone = receipt(take(&mut holder, START, 2 * UNIT));
     receipt(take(&mut holder, START, 3 * UNIT));
     holder.put_back(START, undone);
     // It is asked whether it is back, with nothing that might be counted without an answer.
-    let retry = START + settings().retry_after;
+    let retry = START + settings().probe_after;
     assert!(sends_nothing(&mut holder, retry - 1));
     let report = sent(&mut holder, retry);
     assert!(report.accounts.is_empty());
     holder.on_grant(retry, &answer(&report, &[])).unwrap();
-    let later = retry + settings().interval;
+    let later = retry + settings().report_interval;
     let report = sent(&mut holder, later);
-    assert_eq!(only_entry(&report).beyond, 4 * UNIT);
+    assert_eq!(only_entry(&report).fallback_used, 4 * UNIT);
     // Lost on its way, perhaps after it was counted: it is not told twice.
-    holder.on_lost(later, 0);
-    let again = sent(&mut holder, later + settings().retry_after);
+    holder.on_connection_lost(later, 0);
+    let again = sent(&mut holder, later + settings().probe_after);
     holder
-        .on_grant(later + settings().retry_after, &answer(&again, &[]))
+        .on_grant(later + settings().probe_after, &answer(&again, &[]))
         .unwrap();
     for step in 0..100 {
         let poll = holder.poll(later + 5 * SECOND + step * SECOND);
         assert!(poll
             .reports
             .iter()
-            .all(|(_, report)| report.beyond.is_empty()));
+            .all(|(_, report)| report.fallback_used.is_empty()));
     }
 }
 
@@ -563,7 +563,7 @@
     };
     let moved = Grant {
         allocator: first,
-        given_away: 1 << first,
+        reassigned: 1 << first,
         ..answer(&poll.reports[0].1, &[refusal])
     };
     assert!(holder.on_grant(START, &moved).unwrap().is_empty());
@@ -571,7 +571,7 @@
     assert_eq!(poll.reports[0].0, second);
     let grant = Grant {
         allocator: second,
-        given_away: 1 << first,
+        reassigned: 1 << first,
         ..answer(&poll.reports[0].1, &[granted(UNIT)])
     };
     let answers = holder.on_grant(START, &grant).unwrap();
@@ -599,7 +599,7 @@
         assert_eq!(number, [first, second][turn % 2]);
         let grant = Grant {
             allocator: number,
-            given_away,
+            reassigned: given_away,
             ..answer(&report, &[refusal])
         };
         answers.extend(holder.on_grant(now, &grant).unwrap());
@@ -608,7 +608,7 @@
     let Outcome::Taken(receipt) = &answers[0].outcome else {
         panic!("{answers:?}")
     };
-    assert_eq!(receipt.beyond(), UNIT);
+    assert_eq!(receipt.fallback(), UNIT);
 }
 
 #[test]
@@ -624,7 +624,7 @@
     let cut_off = Grant {
         allocator: first,
         serving: false,
-        given_away: 6,
+        reassigned: 6,
         ..answer(&report, &[refusal])
     };
     let answers = holder.on_grant(START, &cut_off).unwrap();
@@ -694,7 +694,7 @@
         (1, 1, 2, 1)
     );
     assert_eq!(holder.on_grant(START, &good).unwrap().len(), 1);
-    assert!(holder.on_lost(START, u32::MAX).is_empty());
+    assert!(holder.on_connection_lost(START, u32::MAX).is_empty());
 }
 
 #[test]
@@ -753,7 +753,7 @@
     assert_eq!(
         take_one(&mut holder, START),
         Take::Denied {
-            retry_after: settings().interval
+            retry_after: settings().report_interval
         }
     );
     assert_eq!(holder.waiting(), 3);
@@ -764,28 +764,28 @@
     let mut holder = Holder::new(
         0,
         HolderSettings {
-            trust: true,
+            use_fallback_first: true,
             ..settings()
         },
     );
-    assert_eq!(receipt(take_one(&mut holder, START)).beyond(), UNIT);
+    assert_eq!(receipt(take_one(&mut holder, START)).fallback(), UNIT);
     // It is told to a process that is known alone, so that it counts once.
     let report = sent(&mut holder, START);
     assert_eq!(
         (
             report.addressed_to,
             only_entry(&report).waiting,
-            only_entry(&report).beyond
+            only_entry(&report).fallback_used
         ),
         (0, 0, 0)
     );
     holder
         .on_grant(START, &answer(&report, &[granted(0)]))
         .unwrap();
-    let later = START + settings().interval;
+    let later = START + settings().report_interval;
     let report = sent(&mut holder, later);
     assert_eq!(
-        (report.addressed_to, only_entry(&report).beyond),
+        (report.addressed_to, only_entry(&report).fallback_used),
         (INCARNATION, UNIT)
     );
     // The account owes: nothing more goes on trust.
@@ -802,7 +802,7 @@
     let mut holder = Holder::new(
         0,
         HolderSettings {
-            trust: true,
+            use_fallback_first: true,
             ..settings()
         },
     );
--- a/tests/quota_lease/messages.rs
+++ b/tests/quota_lease/messages.rs
@@ -19,7 +19,7 @@
         expected: number,
         returned: number,
         returned_slot: number,
-        beyond: number,
+        fallback_used: number,
         ..ReportEntry::new(AccountKey(number), PLAN)
     }
 }
@@ -61,7 +61,7 @@
     allocator.set_ownership(
         0,
         Ownership {
-            until: u64::MAX,
+            lease_ends: u64::MAX,
             ..Ownership::default()
         },
     );
@@ -95,7 +95,11 @@
     });
     entries.iter().for_each(|entry| report.push(entry));
     report.leave_out_zeros();
-    assert!(report.plan.is_empty() && report.returned.is_empty() && report.beyond.is_empty());
+    assert!(
+        report.plan_index.is_empty()
+            && report.returned.is_empty()
+            && report.fallback_used.is_empty()
+    );
     let report = Report::read(&report.encode_to_vec()).unwrap();
     assert!(report.entries().eq(entries));
 }
@@ -136,15 +140,15 @@
     );
     refuses_report(|report| report.format = 0, MessageError::Format(0));
     refuses_report(|report| report.waiting.truncate(2), lengths.clone());
-    refuses_report(|report| report.beyond.push(1), lengths.clone());
+    refuses_report(|report| report.fallback_used.push(1), lengths.clone());
     refuses_report(|report| report.accounts.truncate(1), lengths.clone());
     refuses_report(|report| report.returned_slot.truncate(1), lengths);
     refuses_report(
-        |report| report.plan[1] = 1,
+        |report| report.plan_index[1] = 1,
         MessageError::Entries("index of a plan"),
     );
     refuses_report(
-        |report| report.plan[1] = u32::MAX,
+        |report| report.plan_index[1] = u32::MAX,
         MessageError::Entries("index of a plan"),
     );
     refuses_report(
@@ -162,7 +166,7 @@
         refuses_report(|report| report.waiting[0] = units, reason.clone());
         refuses_report(|report| report.expected[1] = units, reason.clone());
         refuses_report(|report| report.returned[2] = units, reason.clone());
-        refuses_report(|report| report.beyond[0] = units, reason.clone());
+        refuses_report(|report| report.fallback_used[0] = units, reason.clone());
         refuses_report(|report| report.plans[0].rate = units, reason.clone());
         refuses_report(|report| report.plans[0].burst = units, reason);
     }
@@ -228,7 +232,7 @@
             expected: MAX_UNITS,
             returned: MAX_UNITS,
             returned_slot: u64::MAX,
-            beyond: MAX_UNITS,
+            fallback_used: MAX_UNITS,
             ..ReportEntry::new(AccountKey(u64::MAX), limits)
         });
     }
@@ -287,7 +291,7 @@
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
         let mut allocator = Allocator::new(0, 1, 1, AllocatorSettings::default());
-        allocator.set_ownership(0, Ownership { until: u64::MAX, ..Ownership::default() });
+        allocator.set_ownership(0, Ownership { lease_ends: u64::MAX, ..Ownership::default() });
         let _ = (Report::read(&random), Grant::read(&random));
         let (mut of_report, mut of_grant) = (report(4).encode_to_vec(), grant(4).encode_to_vec());
         for (place, byte) in &changes {
--- a/tests/quota_lease/properties.rs
+++ b/tests/quota_lease/properties.rs
@@ -84,8 +84,8 @@
         |(lease, fallback_thousandths, fallback_least, trust)| HolderSettings {
             lease,
             fallback_thousandths,
-            fallback_least,
-            trust,
+            fallback_min_burst: fallback_least,
+            use_fallback_first: trust,
             ..HolderSettings::default()
         },
     )
@@ -140,7 +140,7 @@
         let fallback = u64::from(settings.fallback_thousandths);
         let part = plan.burst * fallback / (1_000 * LIMITERS as u64);
         let least = if fallback > 0 {
-            settings.fallback_least.min(plan.burst)
+            settings.fallback_min_burst.min(plan.burst)
         } else {
             0
         };
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -304,7 +304,7 @@
         if self.now >= self.limiters[limiter].paused_until {
             let answers = self.limiters[limiter]
                 .holder
-                .on_lost(self.now, allocator as u32);
+                .on_connection_lost(self.now, allocator as u32);
             self.take_answers(limiter, answers);
         }
     }
@@ -325,7 +325,7 @@
     /// How long a request may wait for its answer, whatever happens.
     pub fn longest_wait(&self) -> Micros {
         let settings = &self.holder_settings;
-        3 * (2 * settings.lost_after + settings.spacing)
+        3 * (2 * settings.unavailable_after + settings.min_report_spacing)
     }
 
     pub fn request(&mut self, limiter: usize, account: usize, units: u64) {
@@ -374,7 +374,7 @@
     fn used(&mut self, limiter: usize, account: usize, receipt: Receipt) {
         assert_eq!(receipt.account(), key(account));
         self.taken += 1;
-        let (leased, beyond) = (receipt.leased(), receipt.beyond());
+        let (leased, beyond) = (receipt.leased(), receipt.fallback());
         let ledger = &mut self.ledgers[account];
         if beyond > 0 {
             ledger.beyond[limiter].add(self.now, beyond as i64);
@@ -400,7 +400,7 @@
             match outcome {
                 Outcome::Denied { .. } => self.denied += 1,
                 Outcome::Taken(receipt) => {
-                    assert_eq!(receipt.leased() + receipt.beyond(), waiting.units);
+                    assert_eq!(receipt.leased() + receipt.fallback(), waiting.units);
                     self.used(limiter, waiting.account, receipt);
                 }
             }
@@ -505,9 +505,9 @@
             }
             let node = &mut self.allocators[number];
             let ownership = Ownership {
-                given_away,
-                given_until: now + FLEET_LEASE,
-                until: node.held_until,
+                reassigned: given_away,
+                reassigned_until: now + FLEET_LEASE,
+                lease_ends: node.held_until,
             };
             node.allocator.set_ownership(now, ownership);
         }
@@ -577,7 +577,7 @@
                 ledger.granted.add(self.now, -(asked.returned as i64));
             }
             ledger.granted.add(self.now, given.units as i64);
-            ledger.reported += asked.beyond;
+            ledger.reported += asked.fallback_used;
         }
     }
 
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -7,7 +7,7 @@
 };
 use mossrill::decision::*;
 use mossrill::quota_lease::holder::{Holder, HolderSettings};
-use mossrill::quota_lease::link::LinkEvent;
+use mossrill::quota_lease::link::AllocatorEvent;
 use mossrill::quota_lease::message::{Grant, GrantEntry, Report, Verdict, FORMAT};
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
@@ -124,9 +124,9 @@
                 allocators: 1,
                 lease: Micros::from(LEASE_MS) * 1_000,
                 // Nothing is sent again or given up in the time of a test.
-                interval: 60_000_000,
-                repeat_after: 60_000_000,
-                lost_after: 60_000_000,
+                report_interval: 60_000_000,
+                retry_report_after: 60_000_000,
+                unavailable_after: 60_000_000,
                 fallback_thousandths,
                 ..HolderSettings::default()
             },
@@ -203,7 +203,9 @@
                 hold_off_ms,
             });
         }
-        _ = self.queue.send(Input::Allocator(LinkEvent::Answer(grant)));
+        _ = self
+            .queue
+            .send(Input::Allocator(AllocatorEvent::Answer(grant)));
     }
 }
 
@@ -280,7 +282,7 @@
     assert_eq!(report.sequence, 1);
     _ = story
         .queue
-        .send(Input::Allocator(LinkEvent::Lost { allocator: 0 }));
+        .send(Input::Allocator(AllocatorEvent::Lost { allocator: 0 }));
     assert_eq!(
         story.next(),
         Wanted::Start(AttemptId {
@@ -297,7 +299,7 @@
     story.report();
     _ = story
         .queue
-        .send(Input::Allocator(LinkEvent::Lost { allocator: 0 }));
+        .send(Input::Allocator(AllocatorEvent::Lost { allocator: 0 }));
     assert_eq!(
         story.next(),
         Wanted::Answer(
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -127,7 +127,7 @@
     // It goes on hearing them, and holds none of them for dead.
     assert!(net.processes[3]
         .as_ref()
-        .is_some_and(|p| (0..7).all(|who| p.view.state(who).lives())));
+        .is_some_and(|p| (0..7).all(|who| p.view.state(who).is_alive())));
     net.cut.clear();
     assert!(net.until(10 * SECOND, Net::settled).is_some());
     net.run(20 * SECOND);
@@ -191,7 +191,7 @@
 #[test]
 fn the_dead_are_forgotten_and_an_old_word_does_not_bring_them_back() {
     let mut net = Net::new(5, 15).with(|setup| {
-        setup.forget = 10 * SECOND;
+        setup.forget_after = 10 * SECOND;
         setup.seeds.truncate(2);
     });
     // Members that are no seeds are found through those that are.
@@ -204,10 +204,10 @@
     let row = view.member_statuses().remove(4);
     assert_eq!(row.address, None);
     let old = GossipUpdate {
-        who: 4,
+        limiter: 4,
         state: MemberState::Alive.number(),
         incarnation: row.incarnation,
-        by: 4,
+        reported_by: 4,
         ip: u32::from(*address(4).ip()),
         port: 7_946,
         version: 1_000,
@@ -222,21 +222,21 @@
     let view = &mut net.processes[0].as_mut().expect("up").view;
     for state in [MemberState::Alive, MemberState::Suspect, MemberState::Dead] {
         let mut word = caught.clone();
-        word.number += 100 + u64::from(state.number());
-        word.news = vec![GossipUpdate {
+        word.sequence += 100 + u64::from(state.number());
+        word.updates = vec![GossipUpdate {
             state: state.number(),
             ..old.clone()
         }];
-        view.heard(now, word, &mut todo).expect("taken");
+        view.receive(now, word, &mut todo).expect("taken");
         assert_eq!(view.state(4), MemberState::Unknown, "by {state:?}");
     }
     let mut word = caught;
-    word.number += 200;
-    word.news = vec![GossipUpdate {
+    word.sequence += 200;
+    word.updates = vec![GossipUpdate {
         incarnation: old.incarnation + 1,
         ..old
     }];
-    view.heard(now, word, &mut todo).expect("taken");
+    view.receive(now, word, &mut todo).expect("taken");
     assert_eq!(view.state(4), MemberState::Alive);
 }
 
@@ -245,7 +245,7 @@
     for step in 0..200 {
         view.wake(now + step * 50_000, todo);
         let to_first = todo.iter().find_map(|todo| match todo {
-            Action::Send(to, datagram) if *to == address(0) && datagram.to != 0 => {
+            Action::Send(to, datagram) if *to == address(0) && datagram.receiver_session != 0 => {
                 Some(datagram.clone())
             }
             _ => None,
@@ -270,10 +270,12 @@
     let state = |view: &View| view.member_statuses();
     let view = &mut net.processes[0].as_mut().expect("up").view;
     let mut todo = Vec::new();
-    view.heard(now, caught.clone(), &mut todo).expect("new");
+    view.receive(now, caught.clone(), &mut todo).expect("new");
     let before = state(view);
     for _ in 0..100 {
-        assert!(view.heard(now + SECOND, caught.clone(), &mut todo).is_err());
+        assert!(view
+            .receive(now + SECOND, caught.clone(), &mut todo)
+            .is_err());
     }
     assert_eq!(state(view), before);
     // An hour later, at a process that has just started and knows nobody.
@@ -282,9 +284,11 @@
     let before = state(view);
     todo.clear();
     let mut poison = caught;
-    poison.word = Some(MessageKind::Ping(true));
+    poison.message = Some(MessageKind::Ping(true));
     for _ in 0..1_000 {
-        assert!(view.heard(now + SECOND, poison.clone(), &mut todo).is_err());
+        assert!(view
+            .receive(now + SECOND, poison.clone(), &mut todo)
+            .is_err());
     }
     assert_eq!(state(view), before);
     // A few answers, so that a living one could prove itself; no more than a part of what may be sent.
@@ -335,7 +339,7 @@
 /// As a large fleet carries the set of released leases, in windows so small that a few limiters need several.
 const SMALL_PARTS: Encoding = Encoding::Parts {
     window: 8,
-    most_run_bytes: 2,
+    max_run_bytes: 2,
 };
 
 #[test]
@@ -369,15 +373,15 @@
 
 #[test]
 fn datagrams_of_another_format_or_size_or_with_bad_parts_are_dropped_and_counted() {
-    type Change = fn(&mut Datagram);
-    let changes: [(Change, Rejection); 6] = [
+    type StateChange = fn(&mut Datagram);
+    let changes: [(StateChange, Rejection); 6] = [
         (|d| d.format = FORMAT, Rejection::WrongFormat),
         (|d| d.limiters = 19, Rejection::WrongFleet),
         (|d| d.limiters = 0, Rejection::WrongFleet),
-        (|d| d.released = vec![1], Rejection::OutOfRange),
+        (|d| d.revoked = vec![1], Rejection::OutOfRange),
         (
             |d| {
-                d.released_part = Some(RevocationPart {
+                d.revoked_part = Some(RevocationPart {
                     first: 4,
                     count: 8,
                     ..RevocationPart::default()
@@ -387,7 +391,7 @@
         ),
         (
             |d| {
-                d.released_part = Some(RevocationPart {
+                d.revoked_part = Some(RevocationPart {
                     first: 24,
                     count: 8,
                     ..RevocationPart::default()
@@ -412,7 +416,7 @@
         change(&mut bad);
         let mut todo = Vec::new();
         assert_eq!(
-            view.heard(now, bad, &mut todo),
+            view.receive(now, bad, &mut todo),
             Err(fault),
             "change {index}"
         );
@@ -446,7 +450,7 @@
         ..good
     };
     assert_eq!(
-        view.heard(now, large, &mut Vec::new()),
+        view.receive(now, large, &mut Vec::new()),
         Err(Rejection::WrongFormat)
     );
 }
@@ -464,7 +468,7 @@
         now,
         &mut Vec::new(),
     );
-    assert!(caught.released_part.is_some(), "{caught:?}");
+    assert!(caught.revoked_part.is_some(), "{caught:?}");
     let key = Key::new(b"one secret of the fleet");
     let sealed = key.seal(&caught);
     let (mut garbled, mut refused) = (0, 0);
@@ -481,7 +485,7 @@
         let view = &mut net.processes[0].as_mut().expect("up").view;
         refused += u32::from(
             key.open("ferry", &key.seal(&short))
-                .map(|d| view.heard(now, d, &mut Vec::new()))
+                .map(|d| view.receive(now, d, &mut Vec::new()))
                 != Ok(Ok(())),
         );
     }
@@ -549,7 +553,7 @@
     fn all_parts_together_stay_within_the_whole(
         size in 3usize..6, seed in any::<u64>(), kept in prop::sample::select(vec![0.1, 0.5]), steps in steps(5),
     ) {
-        let net = Net::new(size as u32, seed).with(|setup| setup.kept = kept);
+        let net = Net::new(size as u32, seed).with(|setup| setup.guaranteed_share = kept);
         all_parts_stay_within_the_whole(net, steps)?;
     }
 }
@@ -562,7 +566,7 @@
     fn all_parts_together_stay_within_the_whole_where_released_leases_are_told_in_parts(
         size in 9usize..18, seed in any::<u64>(), kept in prop::sample::select(vec![0.1, 0.5]), steps in steps(17),
     ) {
-        let change = |setup: &mut ViewSettings| (setup.kept, setup.encoding) = (kept, SMALL_PARTS);
+        let change = |setup: &mut ViewSettings| (setup.guaranteed_share, setup.encoding) = (kept, SMALL_PARTS);
         let net = Net::new(size as u32, seed).with(change);
         all_parts_stay_within_the_whole(net, steps)?;
     }
