--- a/src/config/allocator.rs
+++ b/src/config/allocator.rs
@@ -4,7 +4,7 @@
 use super::ranges::{millis_within, DEFAULT_LIFETIME_MS, LIFETIME_MS, TIMEOUT_MS};
 use super::reader::Section;
 use super::ConfigError;
-use crate::membership::link::Place;
+use crate::membership::fleet::FleetSettings;
 use crate::quota_lease::frame::Timeouts;
 use crate::quota_lease::placement::MAX_ALLOCATORS;
 use crate::quota_lease::server::ServerSettings;
@@ -129,7 +129,7 @@
         })
     }
 
-    fn read_fleet(&self) -> Result<Place, ConfigError> {
+    fn read_fleet(&self) -> Result<FleetSettings, ConfigError> {
         let root = json!({"fleet": self.fleet});
         let member = Member {
             number: self.number,
--- a/src/config/common.rs
+++ b/src/config/common.rs
@@ -2,7 +2,7 @@
 
 use super::{EndpointUpdate, QuotaLeaseConfig};
 use crate::decision::Settings;
-use crate::membership::link::Place;
+use crate::membership::fleet::FleetSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     /// The folder that this process shares with its predecessor and its successor in an upgrade.
     pub common_folder: Option<PathBuf>,
     /// Configuration of the membership protocol, if limiters know each other.
-    pub fleet: Option<Place>,
+    pub fleet: Option<FleetSettings>,
     /// Configuration of quota leases, if units are leased.
     pub leases: Option<QuotaLeaseConfig>,
     /// Names of the request classes, for operators.
--- a/src/config/membership.rs
+++ b/src/config/membership.rs
@@ -3,10 +3,12 @@
 use super::reader::{parse_address, Section};
 use super::ConfigError;
 use crate::decision::Settings;
-use crate::membership::datagram::{version, Key, MOST_LIMITERS};
-use crate::membership::link::Place;
-use crate::membership::released::Encoding;
-use crate::membership::view::Setup;
+use crate::membership::datagram::MAX_LIMITERS;
+use crate::membership::fleet::FleetSettings;
+use crate::membership::format::Encoding;
+use crate::membership::key::Key;
+use crate::membership::version;
+use crate::membership::view::ViewSettings;
 use serde_json::Value;
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -56,16 +58,16 @@
 pub(super) fn read_membership(
     root: &Section<'_>,
     member: Member,
-) -> Result<Option<Place>, ConfigError> {
+) -> Result<Option<FleetSettings>, ConfigError> {
     let section = root.section("fleet");
     if section.value.is_null() {
         return Ok(None);
     }
     check_keys(root, &section)?;
-    if member.fleet_size > MOST_LIMITERS {
+    if member.fleet_size > MAX_LIMITERS {
         return Err(ConfigError::FleetTooLarge {
             limiters: member.fleet_size,
-            maximum: MOST_LIMITERS,
+            maximum: MAX_LIMITERS,
         });
     }
     let listen = section.required("listen", IPV4_ADDRESS, read_ipv4_address)?;
@@ -78,14 +80,14 @@
         });
     }
     let key = Key::new(&read_key(&section)?);
-    Ok(Some(Place {
-        setup: Setup {
+    Ok(Some(FleetSettings {
+        setup: ViewSettings {
             me: member.number,
             size: member.fleet_size,
             encoding: Encoding::of(member.fleet_size),
             fleet: section.required("name", "text of 1 to 16 bytes", read_name)?,
             address,
-            version: version(env!("CARGO_PKG_VERSION")),
+            version: version::encode(env!("CARGO_PKG_VERSION")),
             seeds,
             period: section.integer_within("period_ms", 300, 50..=10_000)? * 1_000,
             out_per_s: section.integer_within("out_per_s", 40, 10..=1_000)? as u32,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,9 +1,9 @@
 //! An upgrade under load: a new process takes over listener, client connections and learned state from the one that
 //! serves.
 //!
-//! [`stage`] decides, without input or output; [`coordinator`] and the two sides, [`predecessor`] and [`successor`],
-//! carry its steps out over a Unix socket in a folder that both processes are configured with. Without that folder or the
-//! socket a limiter serves without upgrades. The design is in `docs/upgrade.md`.
+//! [`stage`] decides, without input or output; [`UpgradeCoordinator`] carries its steps out for either side, over a Unix
+//! socket in a folder that both processes are configured with. Without that folder or the socket a limiter serves without
+//! upgrades. The design is in `docs/upgrade.md`.
 
 mod coordinator;
 pub mod knowledge;
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -121,8 +121,8 @@
         (self.stage_began.elapsed() >= limit).then_some(Event::TimedOut)
     }
 
-    /// Carries a step out. A message that can't be sent is no error here: the connection is lost, which the next attempt
-    /// to receive reports.
+    /// Carries a step out. A message that can't be sent is no error here: the connection is lost, which the next call of
+    /// [`Link::receive`] reports.
     fn carry_out(&self, step: Step) {
         match step {
             Step::Send(signal) => self.send(signal),
--- a/src/openapi/upstream_protocol.rs
+++ b/src/openapi/upstream_protocol.rs
@@ -4,7 +4,7 @@
 use super::streamed_body::{StreamEnd, StreamedBody};
 use crate::decision::Outcome;
 use crate::openapi::description::Operation;
-use crate::platform::upstream_protocol::STALLED;
+use crate::platform::upstream_protocol::STALL_TIMEOUT;
 use crate::protocol::http::{Body, Broken, Head, Headers, Reader};
 use crate::upstream::{Connection, Exchange, Source, UpstreamProtocol};
 use std::io::{self, ErrorKind, Write};
@@ -115,7 +115,8 @@
     }
 }
 
-/// Reads the head of the final response, after any interim ones. A response to HEAD has no body, whatever its headers say.
+/// Reads the head of the final response, after any interim ones. A response to HEAD has no body, whatever its headers
+/// say.
 fn read_final_head(reader: &mut Reader<Source>, method: &str) -> Result<Head, Broken> {
     let mut head = reader.response()?;
     while head.status < 200 {
@@ -158,7 +159,7 @@
     begins: &dyn Fn(HttpResponse),
 ) -> Exchange<HttpResponse> {
     let stream = &connection.stream;
-    if length > MAX_STREAMED_BODY || stream.set_read_timeout(Some(STALLED)).is_err() {
+    if length > MAX_STREAMED_BODY || stream.set_read_timeout(Some(STALL_TIMEOUT)).is_err() {
         return Exchange::broke(Outcome::Error);
     }
     let server_keeps = head.keep;
