--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn help_and_version_are_told_on_standard_output() {
+fn help_and_version_go_to_standard_output() {
     for flag in ["--help", "-h"] {
         let said = said(&mut mossrill(&[flag]));
         assert_eq!((said.code, said.err.as_str()), (NO_FAULT, ""));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn wrong_usage_is_told_and_ends_with_its_own_code() {
+fn usage_errors_have_their_own_exit_code() {
     for (arguments, told) in [
         (&["--unknown"][..], "'--unknown'"),
         (&["check", "--unknown", "file"], "'--unknown'"),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn check_takes_good_files_of_both_kinds() {
+fn check_accepts_valid_files_of_both_kinds() {
     let folder = Folder::new("good");
     let platform = folder.file("edge.json", platform_file().to_string());
     for file in [openapi_file(&folder, |_| ()), platform] {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn check_names_file_and_key_of_a_fault() {
+fn check_names_file_and_key_of_an_error() {
     let folder = Folder::new("faults");
     let mut platform = platform_file();
     platform["listen"] = "nowhere".into();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn files_that_are_no_configuration_are_told_by_each_way_to_give_one() {
+fn files_that_are_no_configuration_are_reported_for_each_way_to_name_one() {
     let folder = Folder::new("unreadable");
     fs::create_dir(folder.path("folder")).expect("a folder");
     let _socket = UnixListener::bind(folder.path("socket")).expect("a socket");
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_reader_that_has_gone_away_changes_no_exit_code() {
+fn closed_standard_output_changes_no_exit_code() {
     let folder = Folder::new("closed");
     let file = openapi_file(&folder, |_| ());
     for (arguments, code) in [(&["--help"][..], NO_FAULT), (&["check", &file], NO_FAULT)] {
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_file_starts_a_limiter_that_ends_in_order() {
+fn limiter_started_with_a_file_shuts_down_in_order() {
     let folder = Folder::new("start");
     let file = openapi_file(&folder, |file| file["listen"] = "127.0.0.1:0".into());
     let mut child = mossrill(&[&file])
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -283,12 +283,12 @@
 };
 
 #[test]
-fn all_limiters_together_stay_within_what_a_cold_server_takes() {
+fn all_limiters_together_stay_within_a_warming_server_s_capacity() {
     assert_within(QUIET);
 }
 
 #[test]
-fn so_they_do_while_limiters_restart() {
+fn warming_server_s_capacity_is_kept_while_limiters_restart() {
     assert_within(Trouble {
         limiters_restart: true,
         ..QUIET
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn so_they_do_where_one_has_three_times_the_traffic_of_the_others() {
+fn warming_server_s_capacity_is_kept_with_uneven_traffic() {
     assert_within(Trouble {
         busiest: 3.0,
         ..QUIET
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn so_they_do_where_the_list_reaches_a_third_of_them_a_second_late() {
+fn warming_server_s_capacity_is_kept_with_late_endpoint_updates() {
     assert_within(Trouble {
         late_one_in: Some(3),
         ..QUIET
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' line over loopback: calls, figures against what scripted peers saw, nodes taken out.
+//! Tests of the operators' line over loopback: calls, figures against what scripted peers saw, servers taken out.
 
 mod peers;
 
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-fn started(nodes: &[(&str, SocketAddr)]) -> Running {
-    let mut settings = settings(quiet_list(), quota_counter().0, nodes);
+fn started(servers: &[(&str, SocketAddr)]) -> Running {
+    let mut settings = settings(quiet_list(), quota_counter().0, servers);
     settings["control"] = "127.0.0.1:0".into();
     limiter(&settings)
 }
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn the_figures_add_up_to_what_agents_and_ticket_nodes_saw() {
+fn figures_match_what_clients_and_upstream_servers_observed() {
     // A look fails once before it is served, a payment is dropped and a hold given up.
     let (written, looked) = (Arc::new(AtomicUsize::new(0)), AtomicUsize::new(0));
     let count = written.clone();
-    let (node, _seen) = resp_peer(move |_, words| {
+    let (server, _seen) = resp_peer(move |_, words| {
         count.fetch_add(1, Ordering::SeqCst);
         match &*words[2] {
             "pay-1" => Act::Close,
@@ -49,21 +49,21 @@
             id => serve(id),
         }
     });
-    let limiter = started(&[("s-1", node), ("s-2", node)]);
-    let mut agent = Client::ready(&limiter);
+    let limiter = started(&[("s-1", server), ("s-2", server)]);
+    let mut client = Client::ready(&limiter);
     // Pipelined, so that one thread writes all the answers.
     let text = asking("look", "look-1", 1500)
         + &asking("pay", "pay-1", 1500)
         + &asking("pay", "pay-2", 1500);
-    agent.say(&text);
-    assert_eq!(agent.answer(), "look-1");
-    assert_eq!(agent.answer(), "-ERR failed");
-    assert_eq!(agent.answer(), "pay-2");
+    client.say(&text);
+    assert_eq!(client.answer(), "look-1");
+    assert_eq!(client.answer(), "-ERR failed");
+    assert_eq!(client.answer(), "pay-2");
     // Refused by the module, and turned away by the front itself, though it names a class.
-    agent.ask("look", "look-2", 3);
-    assert!(agent.answer().starts_with("-BUSY"));
-    agent.say(&asking("look", "look-3", 1500).replace("d=1500", "d=ever"));
-    assert_eq!(agent.answer(), "-ERR bad d");
+    client.ask("look", "look-2", 3);
+    assert!(client.answer().starts_with("-BUSY"));
+    client.say(&asking("look", "look-3", 1500).replace("d=1500", "d=ever"));
+    assert_eq!(client.answer(), "-ERR bad d");
     let mut gone = Client::ready(&limiter);
     gone.ask("hold", "hold-1", 1500);
     // Taken is not sent on yet: one that leaves before is no attempt.
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn bad_calls_and_silent_callers_are_answered_or_left_and_hold_up_nobody() {
-    let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let limiter = started(&[("s-1", node)]);
+fn malformed_and_silent_admin_connections_block_nobody() {
+    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let limiter = started(&[("s-1", server)]);
     let at = limiter.control.expect("an operators' line");
     // More than are served at a time, and none of them ever says a whole line.
     let mut silent: Vec<TcpStream> = (0..40)
@@ -112,26 +112,26 @@
     }
     let mut settings = settings(quiet_list(), quota_counter().0, &[]);
     settings["control"] = "nowhere".into();
-    let fault = mossrill::config::platform(&settings.to_string(), |_| None)
+    let error = mossrill::config::platform(&settings.to_string(), |_| None)
         .err()
         .expect("a fault")
         .to_string();
-    assert!(fault.contains("\"control\""), "{fault}");
+    assert!(error.contains("\"control\""), "{error}");
 }
 
 #[test]
-fn nothing_goes_to_a_node_from_the_yes_until_it_is_put_back() {
+fn disabled_server_gets_no_attempt_until_it_is_enabled() {
     let (a, seen) = resp_peer(|_, words| serve(&words[2]));
     let limiter = started(&[("s-1", a)]);
-    let mut agent = Client::ready(&limiter);
-    agent.ask("look", "before", 1500);
-    assert_eq!(agent.answer(), "before");
+    let mut client = Client::ready(&limiter);
+    client.ask("look", "before", 1500);
+    assert_eq!(client.answer(), "before");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
     assert_eq!(figures(&limiter)["servers_excluded"], 1);
-    // With every node out there is nothing to wait for: refused at once, with a time to come back.
-    agent.ask("pay", "while", 1500);
-    assert_eq!(agent.answer(), "-BUSY 200");
+    // With every server out there is nothing to wait for: refused at once, with a time to come back.
+    client.ask("pay", "while", 1500);
+    assert_eq!(client.answer(), "-BUSY 200");
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
@@ -139,8 +139,8 @@
     assert_eq!(call(&limiter, "enable-server s-1\n"), "YES\n");
     // It is cold, so only a part goes to it, but some does.
     let mut used = (0..200).filter(|number| {
-        agent.ask("look", &format!("after-{number}"), 1500);
-        agent.answer().starts_with("after")
+        client.ask("look", &format!("after-{number}"), 1500);
+        client.answer().starts_with("after")
     });
     assert!(used.next().is_some(), "never used again");
     assert_eq!(figures(&limiter)["servers_excluded"], 0);
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn half_of_thirty_restart_within_a_second_under_load_beside_a_cold_and_a_drained_node() {
+fn half_of_thirty_limiters_restart_within_a_second_beside_a_warming_and_a_draining_server() {
     let mut rig = Rig::up(Plan::new("thirty", 30));
     rig.cold_and_drained();
     let load = rig.load(40);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn seven_split_four_to_three_with_a_death_and_a_join_on_either_side_and_heal() {
+fn partition_of_seven_with_deaths_and_joins_on_both_sides_heals() {
     let mut rig = Rig::up(Plan::new("split", 7));
     rig.until("a lease for all", |rig| {
         (0..7).all(|who| rig.part(who) == 1.0)
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_parts_of_a_split_fleet_stay_within_the_whole_and_its_quotas_do_too() {
+fn quota_shares_of_a_partitioned_fleet_stay_within_the_quotas() {
     // The counter says nothing all the time: each limiter keeps to its part.
     let plan = Plan {
         rate: 40.0,
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn one_way_cuts_and_one_that_is_heard_by_none() {
+fn one_way_partitions_and_a_limiter_whose_datagrams_are_lost_heal() {
     let rig = Rig::up(Plan::new("one-way", 5));
     let load = rig.load(6);
     rig.cold_and_drained();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_process_stopped_for_three_seconds_and_continued_again_and_again() {
+fn repeatedly_paused_process_rejoins() {
     let rig = Rig::up(Plan::new("stopped", 3));
     let load = rig.load(4);
     rig.cold_and_drained();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_third_of_all_datagrams_lost_late_and_repeated_for_a_while() {
+fn membership_settles_after_lost_late_and_duplicated_datagrams() {
     let rig = Rig::up(Plan::new("lossy", 7));
     let load = rig.load(8);
     rig.cold_and_drained();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_upgrade_in_a_split_is_one_member_and_a_rolling_restart_with_a_crash_goes_by() {
+fn upgrade_in_a_partition_is_one_member_and_a_rolling_restart_with_a_crash_settles() {
     let mut rig = Rig::up(Plan::new("upgrade", 5));
     let load = rig.load(6);
     rig.cold_and_drained();
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn clients_ask_at_a_limiter_where_it_is_again_and_never_where_it_was() {
+fn clients_of_the_rig_reconnect_to_the_new_address_only() {
     let mut rig = Rig::up(Plan::new("address", 3));
     let load = rig.load(3);
     load.goes_on(20);
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn with_all_seeds_dead_at_a_start_a_limiter_serves_and_finds_the_others_later() {
+fn limiter_started_with_dead_seeds_serves_and_joins_later() {
     let mut rig = Rig::new(Plan {
         seeds: 2,
         ..Plan::new("seeds", 4)
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_relay_passes_nothing_on_from_another_fleet_s_limiters() {
+fn relay_drops_datagrams_of_another_fleet() {
     let (small, large) = (relay::Relay::new(5, 1), relay::Relay::new(30, 2));
     let key = relay::key();
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn bad_datagrams_and_a_flood_of_them_change_nothing() {
+fn malformed_datagrams_and_a_flood_of_them_change_nothing() {
     let rig = Rig::up(Plan::new("flood", 3));
     let load = rig.load(4);
     load.goes_on(20);
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn operators_see_the_fleet_and_who_said_what() {
+fn show_fleet_lists_states_and_who_reported_them() {
     let mut rig = Rig::up(Plan::new("seen", 3));
     rig.kill(2);
     rig.settle();
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn faults_of_the_fleet_s_configuration_name_the_key() {
+fn fleet_configuration_errors_name_the_key() {
     let file: serde_json::Value =
         serde_json::from_str(include_str!("../../deploy/fleet.json")).expect("JSON");
     let description = include_str!("../../deploy/ferry.openapi.json");
@@ -449,7 +449,7 @@
 /// A measurement, not a test: `cargo test --release --test fleet -- --ignored --nocapture used`.
 #[test]
 #[ignore = "a measurement"]
-fn processor_time_a_request_and_memory_with_and_without_a_fleet() {
+fn cpu_time_per_request_and_memory_with_and_without_a_fleet() {
     for round in 0..3 {
         for (name, fleet) in [("used-on", true), ("used-off", false)] {
             let rig = Rig::up_alone(Plan {
--- a/tests/jam.rs
+++ b/tests/jam.rs
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_jam_ends_by_itself_within_seconds_of_its_cause() {
+fn overload_ends_within_seconds_of_its_cause() {
     // Every node is four times slower for five seconds: far more is asked than they can do then.
     for (gateways, nodes) in [(3, 9), (48, 12), (300, 60)] {
         let served = World::new(gateways, nodes, 3).play(18, 0.9, (4.0, 6..11));
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn more_than_the_nodes_can_do_is_refused_and_most_of_what_they_can_is_served() {
+fn excess_load_is_rejected_and_most_of_the_capacity_is_used() {
     for (gateways, nodes) in [(3, 9), (48, 12), (300, 60)] {
         let served = World::new(gateways, nodes, 4).play(20, 1.1, (1.0, 0..0));
         assert!(
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn two_of_three_limiters_that_restart_under_full_load_cost_their_own_requests_alone() {
+fn restart_of_two_of_three_limiters_under_full_load_affects_only_their_requests() {
     let mut world = World::new(3, 11, 5);
     world.at(6_000 * MS, Happens::Restart(0));
     world.at(16_000 * MS, Happens::Restart(1));
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn a_limiter_with_three_times_the_others_share_serves_as_much_of_it() {
+fn limiter_with_three_times_the_load_serves_the_same_fraction() {
     let mut world = World::new(3, 11, 6);
     world.share = 3;
     let served = world.play(20, 0.7, (1.0, 0..0));
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn a_cold_slow_node_beside_warm_fast_ones_is_neither_pushed_over_nor_left_out() {
+fn warming_slow_server_is_neither_overloaded_nor_left_out() {
     for gateways in [3, 48] {
         let mut world = World::new(gateways, 12, 7);
         world.nodes[0].speed = 0.55;
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -10,17 +10,17 @@
 /// Longer than anything that is held whole.
 const LENGTH: usize = 1 << 20;
 
-fn started(node: SocketAddr) -> Running {
+fn started(server: SocketAddr) -> Running {
     limiter(&settings(
         quiet_list(),
         quota_counter().0,
-        &[("s-1", node), ("s-2", node)],
+        &[("s-1", server), ("s-2", server)],
     ))
 }
 
-/// A node that begins a long value for a request, and goes on as it is told: with the rest, with what else is said, or not
+/// A server that begins a long value for a request, and goes on as it is told: with the rest, with what else is said, or not
 /// at all.
-fn node() -> (
+fn server() -> (
     SocketAddr,
     mpsc::Sender<Option<Vec<u8>>>,
     mpsc::Receiver<()>,
@@ -59,39 +59,39 @@
     .into_bytes()
 }
 
-/// The first half of the value, while the second has not left the node.
-fn first_half(agent: &mut Client) {
-    assert_eq!(agent.line(), format!("${LENGTH}"));
+/// The first half of the value, while the second has not left the server.
+fn first_half(client: &mut Client) {
+    assert_eq!(client.line(), format!("${LENGTH}"));
     let mut half = vec![0; LENGTH / 2];
-    agent.0.read_exact(&mut half).expect("the first half");
+    client.0.read_exact(&mut half).expect("the first half");
     assert!(half.iter().all(|b| *b == b'a'));
 }
 
 #[test]
-fn a_long_value_comes_as_it_is_served_and_the_connection_goes_on() {
-    let (node, go_on, _ended) = node();
-    let limiter = started(node);
-    let mut agent = Client::ready(&limiter);
+fn long_value_is_streamed_and_its_connection_reused() {
+    let (server, go_on, _ended) = server();
+    let limiter = started(server);
+    let mut client = Client::ready(&limiter);
     // Short ones behind it on the same connection, of which one is served at once.
-    agent.say(&(asking("look", "long", 1500) + &asking("look", "short", 1500)));
-    first_half(&mut agent);
+    client.say(&(asking("look", "long", 1500) + &asking("look", "short", 1500)));
+    first_half(&mut client);
     go_on.send(Some(rest())).expect("a node");
     let mut half = vec![0; LENGTH / 2 + 2];
-    agent.0.read_exact(&mut half).expect("the second half");
+    client.0.read_exact(&mut half).expect("the second half");
     assert!(half.ends_with(b"b\r\n"));
-    assert_eq!(agent.answer(), "short");
-    agent.ask("look", "later", 1500);
-    assert_eq!(agent.answer(), "later");
+    assert_eq!(client.answer(), "short");
+    client.ask("look", "later", 1500);
+    assert_eq!(client.answer(), "later");
 }
 
 #[test]
-fn a_long_value_that_breaks_off_or_lies_about_its_length_is_seen_not_to_be_whole() {
+fn truncated_or_mismeasured_long_value_is_detectable() {
     for end in [None, Some([rest(), b"more".to_vec()].concat())] {
-        let (node, go_on, _ended) = node();
-        let limiter = started(node);
-        let mut agent = Client::ready(&limiter);
-        agent.ask("look", "long", 1500);
-        first_half(&mut agent);
+        let (server, go_on, _ended) = server();
+        let limiter = started(server);
+        let mut client = Client::ready(&limiter);
+        client.ask("look", "long", 1500);
+        first_half(&mut client);
         // Where the length is wrong, what stands behind the value is not the end of a line.
         let lies = end.map(|mut bytes| {
             bytes.insert(0, b'b');
@@ -99,44 +99,44 @@
         });
         go_on.send(lies).expect("a node");
         let mut rest = Vec::new();
-        _ = agent.0.read_to_end(&mut rest);
+        _ = client.0.read_to_end(&mut rest);
         assert!(
             rest.len() <= LENGTH / 2,
             "{} bytes behind the first half",
             rest.len()
         );
-        let mut agent = Client::ready(&limiter);
-        agent.ask("look", "after", 1500);
-        assert_eq!(agent.answer(), "after");
+        let mut client = Client::ready(&limiter);
+        client.ask("look", "after", 1500);
+        assert_eq!(client.answer(), "after");
     }
 }
 
 #[test]
-fn no_time_out_cuts_off_what_a_node_still_gives() {
-    let (node, go_on, _ended) = node();
-    let limiter = started(node);
-    let mut agent = Client::ready(&limiter);
+fn timeouts_do_not_cut_off_a_value_that_is_still_sent() {
+    let (server, go_on, _ended) = server();
+    let limiter = started(server);
+    let mut client = Client::ready(&limiter);
     // Its time is up long before the second half comes, and so is the time of another that is asked later.
-    agent.ask("look", "long", 100);
-    first_half(&mut agent);
+    client.ask("look", "long", 100);
+    first_half(&mut client);
     let mut other = Client::ready(&limiter);
     other.ask("look", "short", 1500);
     assert_eq!(other.answer(), "short");
     std::thread::sleep(std::time::Duration::from_millis(300));
     go_on.send(Some(rest())).expect("a node");
     let mut half = vec![0; LENGTH / 2 + 2];
-    agent.0.read_exact(&mut half).expect("the second half");
+    client.0.read_exact(&mut half).expect("the second half");
     assert!(half.ends_with(b"b\r\n"));
 }
 
 #[test]
-fn an_agent_that_leaves_half_way_takes_its_attempt_along() {
-    let (node, go_on, ended) = node();
-    let limiter = started(node);
-    let mut agent = Client::ready(&limiter);
-    agent.ask("look", "long", 1500);
-    first_half(&mut agent);
-    drop(agent);
+fn attempt_is_cancelled_if_its_client_closes_during_the_answer() {
+    let (server, go_on, ended) = server();
+    let limiter = started(server);
+    let mut client = Client::ready(&limiter);
+    client.ask("look", "long", 1500);
+    first_half(&mut client);
+    drop(client);
     go_on.send(Some(vec![b'b'; 10])).expect("a node");
     ended
         .recv_timeout(std::time::Duration::from_secs(20))
@@ -144,36 +144,36 @@
 }
 
 #[test]
-fn told_to_stop_it_waits_for_an_agent_in_the_middle_of_a_command() {
-    let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let limiter = started(node);
-    let mut agent = Client::ready(&limiter);
+fn shutdown_waits_for_a_partially_written_command() {
+    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let limiter = started(server);
+    let mut client = Client::ready(&limiter);
     let text = asking("look", "slow", 1500);
     let (first, rest) = text.split_at(20);
-    agent.say(first);
+    client.say(first);
     let stopped = std::thread::spawn(move || limiter.stop());
     // In pieces, well after connections have stopped coming.
     for piece in rest.as_bytes().chunks(10) {
         std::thread::sleep(std::time::Duration::from_millis(80));
-        agent.0.get_mut().write_all(piece).expect("written");
+        client.0.get_mut().write_all(piece).expect("written");
     }
-    assert_eq!(agent.answer(), "slow");
+    assert_eq!(client.answer(), "slow");
     stopped.join().expect("an end in order");
 }
 
 #[test]
-fn connections_that_wait_hold_no_thread_but_the_one_that_reads() {
+fn waiting_connections_hold_only_their_reader_thread() {
     // A system that gives a process a part of a processor by stopping and continuing it does so with each of its threads:
     // 280 of them took all of 0.12 of a core.
-    let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let program = Program::start(
         "threads",
-        &settings(quiet_list(), quota_counter().0, &[("s-1", node)]),
+        &settings(quiet_list(), quota_counter().0, &[("s-1", server)]),
     );
-    let mut agents: Vec<Client> = (0..100).map(|_| Client::ready_at(program.at)).collect();
-    for (number, agent) in agents.iter_mut().enumerate() {
-        agent.ask("look", &format!("look-{number}"), 1500);
-        agent.answer();
+    let mut clients: Vec<Client> = (0..100).map(|_| Client::ready_at(program.at)).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        client.ask("look", &format!("look-{number}"), 1500);
+        client.answer();
     }
     // Those without work rest for a moment.
     until(|| program.threads(), |threads| *threads < 100 + 30);
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -14,20 +14,20 @@
 const FILE: &str = include_str!("../deploy/openapi.json");
 
 /// The file in `deploy/` with ports of this test.
-fn file(nodes: &[SocketAddr], store: Value) -> Value {
+fn file(servers: &[SocketAddr], store: Value) -> Value {
     let mut file: Value = serde_json::from_str(FILE).expect("JSON");
-    let nodes = nodes
+    let servers = servers
         .iter()
         .enumerate()
         .map(|(n, at)| json!({"name": format!("node-{n}"), "address": at.to_string()}));
     file["listen"] = json!("127.0.0.1:0");
-    file["ticket_nodes"] = nodes.collect();
+    file["ticket_nodes"] = servers.collect();
     file["store"] = store;
     file
 }
 
 /// A upstream server that answers its first requests by this list and serves the rest; what it was asked.
-fn node(first: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+fn server(first: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let (script, asked) = (Mutex::new(first.to_vec()), Arc::new(Mutex::new(Vec::new())));
     let own = asked.clone();
     let at = http_peer(move |first, headers, body| {
@@ -61,9 +61,9 @@
 }
 
 /// Sends a request and reads its answer: status line, the header lines that a client acts on, body.
-fn exchange(agent: &mut Client, text: &str) -> String {
-    agent.say(text);
-    let (first, headers, body) = http(&mut agent.0, text.starts_with("HEAD")).expect("an answer");
+fn exchange(client: &mut Client, text: &str) -> String {
+    client.say(text);
+    let (first, headers, body) = http(&mut client.0, text.starts_with("HEAD")).expect("an answer");
     let told = [
         "Retry-After",
         "Allow",
@@ -90,7 +90,7 @@
 const KEY: &str = "Idempotency-Key: 77\r\n";
 
 #[test]
-fn each_operation_is_charged_its_units_and_repeated_as_its_effect_allows() {
+fn each_operation_is_charged_its_units_and_retried_by_its_idempotency() {
     let mut told = Vec::new();
     for (operation, headers, body) in [
         (LOOK, "", ""),
@@ -100,7 +100,7 @@
     ] {
         // A 500 may have run; a 503 never did, as the description states of all but the report.
         for trouble in ["none", "500 Oops", "503 Busy", "close"] {
-            let (at, asked) = node(if trouble == "none" {
+            let (at, asked) = server(if trouble == "none" {
                 &[]
             } else {
                 std::slice::from_ref(&trouble)
@@ -113,8 +113,8 @@
             );
             file["limiters"] = json!({"me": 0, "all": 2});
             let limiter = openapi_limiter(&file, DESCRIPTION);
-            let mut agent = Client::connect(&limiter);
-            let answer = exchange(&mut agent, &request(operation, headers, body));
+            let mut client = Client::connect(&limiter);
+            let answer = exchange(&mut client, &request(operation, headers, body));
             let asked = asked.lock().expect("whole").join("\n    ");
             // What is told of in passing is told within a second.
             let charged = until(
@@ -130,10 +130,10 @@
 }
 
 #[test]
-fn http_s_own_answers() {
-    let (at, asked) = node(&[]);
+fn http_errors_of_the_front() {
+    let (at, asked) = server(&[]);
     let limiter = openapi_limiter(&file(&[at], json!({})), DESCRIPTION);
-    let mut agent = Client::connect(&limiter);
+    let mut client = Client::connect(&limiter);
     let mut told = Vec::new();
     for text in [
         request("GET /v1/nowhere", "", ""),
@@ -146,9 +146,9 @@
         request(PAY, "Transfer-Encoding: chunked\r\n", "")
             .replace("\r\n\r\n", "\r\n\r\n3\r\npay\r\n2\r\n!!\r\n0\r\n\r\n"),
     ] {
-        told.push(exchange(&mut agent, &text));
+        told.push(exchange(&mut client, &text));
         if told.last().is_some_and(|t| t.contains(" 100 ")) {
-            told.push(exchange(&mut agent, ""));
+            told.push(exchange(&mut client, ""));
         }
     }
     // Each of these ends its connection.
@@ -165,11 +165,11 @@
         request(LOOK, &format!("X-Long: {}\r\n", "x".repeat(70_000)), ""),
         request(LOOK, "Connection: close\r\n", ""),
     ] {
-        let mut agent = Client::connect(&limiter);
+        let mut client = Client::connect(&limiter);
         told.push(format!(
             "{} then {:?}",
-            exchange(&mut agent, &text),
-            agent.line()
+            exchange(&mut client, &text),
+            client.line()
         ));
     }
     let asked = asked.lock().expect("whole").join("\n");
@@ -177,9 +177,9 @@
 }
 
 #[test]
-fn quota_node_failures_and_deadlines_become_statuses() {
-    let (dead, _) = node(&["500 Oops", "500 Oops", "500 Oops", "500 Oops", "500 Oops"]);
-    let (hung, _) = node(&["hang"]);
+fn rejections_server_failures_and_deadlines_become_statuses() {
+    let (dead, _) = server(&["500 Oops", "500 Oops", "500 Oops", "500 Oops", "500 Oops"]);
+    let (hung, _) = server(&["hang"]);
     let mut told = Vec::new();
     let limiter = openapi_limiter(&file(&[dead], json!({})), DESCRIPTION);
     told.push(exchange(
@@ -196,20 +196,20 @@
         &request(PAY, "", "pay"),
     ));
     // A plan whose store holds one payment, and fills far too slowly for another.
-    let (at, asked) = node(&[]);
+    let (at, asked) = server(&[]);
     let mut file = file(&[at], json!({}));
     file["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 4});
     let limiter = openapi_limiter(&file, DESCRIPTION);
-    let mut agent = Client::connect(&limiter);
+    let mut client = Client::connect(&limiter);
     for _ in 0..2 {
-        told.push(exchange(&mut agent, &request(PAY, "", "pay")));
+        told.push(exchange(&mut client, &request(PAY, "", "pay")));
     }
     told.push(format!("sent on: {}", asked.lock().expect("whole").len()));
     insta::assert_snapshot!(told.join("\n"));
 }
 
 #[test]
-fn descriptions_that_leave_something_open_are_not_taken() {
+fn incomplete_descriptions_are_rejected() {
     let mut told = Vec::new();
     for (from, to) in [
         ("\"openapi\": \"3.0.3\"", "\"openapi\": \"2.0\""),
@@ -240,9 +240,9 @@
         ("\"worth\": 5, ", ""),
     ] {
         assert!(DESCRIPTION.contains(from), "{from}");
-        let faults = Description::read(&DESCRIPTION.replacen(from, to, 1)).expect_err(to);
-        let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        told.push(format!("{from} -> {to}\n    {}", faults.join("\n    ")));
+        let errors = Description::read(&DESCRIPTION.replacen(from, to, 1)).expect_err(to);
+        let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        told.push(format!("{from} -> {to}\n    {}", errors.join("\n    ")));
     }
     let good = Description::read(DESCRIPTION).expect("a good description");
     told.push(format!("never repeated, as unmarked: {:?}", good.unmarked));
@@ -264,25 +264,25 @@
 }
 
 #[test]
-fn a_new_file_moves_ticket_nodes_and_store() {
-    let ((old, at_old), (new, at_new)) = (node(&[]), node(&[]));
+fn reload_moves_upstream_servers_and_store() {
+    let ((old, at_old), (new, at_new)) = (server(&[]), server(&[]));
     let ((before, _), (after, totals)) = (quota_counter(), quota_counter());
     let store = |at: SocketAddr| json!({"kind": "quota-counter", "address": at.to_string()});
-    let with = |node, counter| {
-        let mut file = file(&[node], store(counter));
+    let with = |server, counter| {
+        let mut file = file(&[server], store(counter));
         file["limiters"] = json!({"me": 0, "all": 2});
         file
     };
     let limiter = openapi_reloaded(&with(old, before), Some(&with(new, after)), DESCRIPTION);
-    let mut agent = Client::connect(&limiter);
-    assert!(exchange(&mut agent, &request(LOOK, "", "")).starts_with("HTTP/1.1 200 OK"));
+    let mut client = Client::connect(&limiter);
+    assert!(exchange(&mut client, &request(LOOK, "", "")).starts_with("HTTP/1.1 200 OK"));
     let asked = |at: &Mutex<Vec<String>>| at.lock().expect("whole").len();
     assert_eq!((asked(&at_old), asked(&at_new)), (0, 1));
     until(|| totals.lock().expect("whole").len(), |counts| *counts > 0);
 }
 
 #[test]
-fn a_long_body_comes_as_it_is_served_and_one_that_breaks_off_is_seen_not_to_be_whole() {
+fn long_body_is_streamed_and_a_truncated_one_is_detectable() {
     const LENGTH: usize = 1 << 20;
     let (go_on, told) = std::sync::mpsc::channel::<bool>();
     let told = Mutex::new(told);
@@ -301,16 +301,16 @@
         }
     });
     let limiter = openapi_limiter(&file(&[at], json!({})), DESCRIPTION);
-    let mut agent = Client::connect(&limiter);
+    let mut client = Client::connect(&limiter);
     // Twice on one connection, the second time to no good end.
     for goes_on in [true, false] {
-        agent.say(&request(LOOK, "", ""));
-        while !agent.line().is_empty() {}
-        // The first half, while the second has not left the node.
+        client.say(&request(LOOK, "", ""));
+        while !client.line().is_empty() {}
+        // The first half, while the second has not left the server.
         let mut half = vec![0; LENGTH / 2];
-        agent.0.read_exact(&mut half).expect("the first half");
+        client.0.read_exact(&mut half).expect("the first half");
         go_on.send(goes_on).expect("a node");
-        let read = agent.0.read_exact(&mut half);
+        let read = client.0.read_exact(&mut half);
         assert_eq!(read.is_ok(), goes_on, "{read:?}");
         assert!(!goes_on || half.iter().all(|b| *b == b'b'));
     }
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn frames_come_whole_and_in_order() {
+fn frames_arrive_complete_and_in_order() {
     let (near, far) = pair();
     let messages = [
         vec![7],
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn spoilt_frames_are_told_apart() {
+fn malformed_frames_are_distinguished() {
     assert!(matches!(read_of(&[]), Err(FrameError::Closed)));
     assert!(matches!(read_of(&[0, 0]), Err(FrameError::Cut)));
     assert!(matches!(read_of(&[0, 0, 0, 3, 1, 2]), Err(FrameError::Cut)));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn silent_and_slow_connections_are_given_up() {
+fn silent_and_slow_connections_time_out() {
     let timeouts = Timeouts {
         idle: Duration::from_millis(20),
         frame: Duration::from_millis(20),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_limiter_s_file_names_the_key_that_is_wrong() {
+fn errors_of_a_limiter_s_file_name_the_key() {
     assert_eq!(limiter_fault(|_| ()), "taken");
     let cases: [(&str, Change<'_>); 15] = [
         ("store.lifetime", &|store| store["lifetime"] = json!(1)),
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn an_allocator_s_file_names_the_key_that_is_wrong() {
+fn errors_of_an_allocator_s_file_name_the_key() {
     assert_eq!(allocator_fault(|_| ()), "taken");
     let cases: [(&str, Value); 13] = [
         ("number", json!(7)),
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_request_is_sent_once_its_units_are_leased() {
+fn request_is_forwarded_once_its_units_are_leased() {
     let mut bench = leased(0);
     let asked = bench.ask("a", 0, 0, "c");
     assert_eq!(leases(&asked), [("a".into(), 1.0)]);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_request_without_units_is_refused_at_once() {
+fn request_without_units_is_rejected_at_once() {
     let mut bench = leased(0);
     bench.ask("a", 0, 0, "c");
     bench.ask("b", 0, 0, "c");
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_cap_on_open_attempts_holds_beside_leases() {
+fn concurrency_limit_holds_beside_leases() {
     let mut bench = leased(2);
     for id in ["a", "b", "c"] {
         bench.ask(id, 0, 0, "c");
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_whole_burst_is_asked_for_whatever_this_gateway_used_before() {
+fn whole_burst_is_requested_regardless_of_earlier_use() {
     // Where the counter is called, more than a fair part is cut off before it is asked for.
     let mut bench = leased(0);
     let asked: usize = (0..40)
--- a/tests/redis.rs
+++ b/tests/redis.rs
@@ -83,21 +83,21 @@
 
 /// Two limiters of one account whose quota lets 40 units through and fills far too slowly for more.
 fn pair(store: SocketAddr) -> Vec<(Running, Client)> {
-    let node = http_peer(|_, _, _| answer("200 OK", "{}")).to_string();
+    let server = http_peer(|_, _, _| answer("200 OK", "{}")).to_string();
     let start = |me| {
         let mut file: Value = serde_json::from_str(FILE).expect("JSON");
         file["listen"] = json!("127.0.0.1:0");
         file["limiters"] = json!({"me": me, "all": 2});
         file["ticket_nodes"] = (0..4)
-            .map(|n| json!({"name": format!("node-{n}"), "address": node}))
+            .map(|n| json!({"name": format!("node-{n}"), "address": server}))
             .collect();
         file["store"] = json!({"kind": "redis", "address": store.to_string()});
         file["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 40});
         // What the quota can't reach is refused after a part of the aim: a short one keeps the test short.
         let short = DESCRIPTION.replace("\"aim-ms\": 800", "\"aim-ms\": 200");
         let limiter = openapi_limiter(&file, &short);
-        let agent = Client::connect(&limiter);
-        (limiter, agent)
+        let client = Client::connect(&limiter);
+        (limiter, client)
     };
     (0..2).map(start).collect()
 }
@@ -108,9 +108,9 @@
         "GET /v1/sailings/1/seats HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\n\r\n";
     let mut served = 0;
     for number in 0..tries {
-        let agent = &mut limiters[number % 2].1;
-        agent.say(text);
-        let (first, ..) = http(&mut agent.0, false).expect("an answer");
+        let client = &mut limiters[number % 2].1;
+        client.say(text);
+        let (first, ..) = http(&mut client.0, false).expect("an answer");
         assert!(
             first.contains(" 200 ") || first.contains(" 429 "),
             "{first}"
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_store_that_is_silent_or_broken_leaves_each_limiter_its_part_of_the_quota() {
+fn silent_or_broken_store_leaves_each_limiter_its_quota_share() {
     for mood in [Mood::Silent, Mood::Discards] {
         let (at, store) = redis(mood);
         // Half of the quota each, as neither hears of the other.
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn lost_counts_give_nobody_the_whole_quota_again() {
+fn lost_counts_do_not_reopen_the_whole_quota() {
     let (at, _) = redis(Mood::Forgets);
     let served = served(&mut pair(at), 90);
     // Each knows what it has sent on itself, so neither goes beyond the quota by more than the other's part.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_its_part_over_all_gateways() {
+fn warming_server_gets_its_part_over_all_limiters() {
     // It starts at a fifth of its capacity and is sent more than three times that at its peril: at 0.6 of a
     // warm one's load at once. A whole send for each of 300 gateways would be 1.3 of it.
     for count in [1, 3, 300] {
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn where_most_servers_are_cold_they_take_what_they_can_and_the_warm_ones_the_rest() {
+fn mostly_warming_servers_take_their_capacity_and_the_warm_ones_the_rest() {
     // 27 servers' worth is asked, and 24 are warm. The cold ones can do nearly a third of a warm one each in that
     // time; with no more than chance sending to them they got a seventh of it all.
     for seed in 0..3 {
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_thin_customer_gets_one_bucket_over_all_gateways() {
+fn account_with_little_traffic_gets_one_bucket_over_all_limiters() {
     // Windows of 20 s each admit a fresh store of 20 at most: 5 in 100 s add 100 units to 1020. A tenth of
     // the claims may be skipped for the price of a call.
     for asks in [0.5, 1.0, 3.0] {
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn a_counter_that_turns_calls_away_leaves_neither_all_nor_nothing() {
+fn counter_that_rejects_calls_leaves_neither_the_whole_quota_nor_nothing() {
     let (sent, admitted) = against_one_bucket(3.0, |t| !(40.0..60.0).contains(&t));
     assert!(
         sent > 0.7 * admitted && sent < 1.6 * admitted,
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_calm_customer_has_saved_up_no_more_than_its_store() {
+fn idle_account_saves_no_more_than_its_burst() {
     // 15 s at a fifth of the rate leave 120 units unused in the count; the store holds 20.
     let now = 1000 * SECOND;
     let mut fleet = Fleet::new(200, &settings(), &[member("s0", "z0")], now);
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_jam_is_let_drain_below_one_attempt_a_gateway() {
+fn concurrency_limit_falls_below_one_attempt_per_limiter_under_overload() {
     // Servers that held too many stay slow until they are nearly idle: one attempt out at each gateway, five a
     // server, kept them so for the whole day.
     let means = mean_out(10, |_| 450_000);
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn a_fleet_starts_within_what_its_servers_can_hold() {
+fn starting_fleet_stays_within_the_capacity_of_its_servers() {
     // Full stores and an unbounded D sent fifty requests a server out before the first answer told anything.
     for (gateways, servers, bounds) in [(300, 60, 1..=1), (3, 12, 4..=4), (1, 1, 1..=1)] {
         let mut bench = Bench::new(
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn a_customer_that_moves_while_the_counter_is_gone_has_one_quota_and_its_part_meanwhile() {
+fn account_that_moves_while_the_counter_is_unreachable_keeps_one_quota() {
     let (kept, usual) = moved_at_one_stroke(|_| true);
     assert!(usual <= 8, "{usual} beyond with the counter: {kept:?}");
     let (sent, beyond) = moved_at_one_stroke(|second| !(10..21).contains(&second));
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -40,11 +40,11 @@
 }
 
 /// What a limiter that may be upgraded is told; its accounts come through two limiters, so that units are counted.
-fn told(counter: SocketAddr, node: SocketAddr, listen: SocketAddr) -> Value {
+fn told(counter: SocketAddr, server: SocketAddr, listen: SocketAddr) -> Value {
     let mut told = settings(
         quiet_list(),
         counter,
-        &[("s-1", node), ("s-2", node), ("s-3", node)],
+        &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
     told["listen"] = listen.to_string().into();
     told["control"] = "127.0.0.1:0".into();
@@ -61,7 +61,7 @@
 /// Clients that ask one after another on kept connections until they are told to stop: what was asked and answered.
 struct Load {
     stop: Arc<AtomicBool>,
-    agents: Vec<thread::JoinHandle<usize>>,
+    clients: Vec<thread::JoinHandle<usize>>,
     asked: Arc<AtomicUsize>,
 }
 
@@ -71,19 +71,19 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let agent = |number| {
+        let client = |number| {
             let (stop, asked) = (stop.clone(), asked.clone());
             thread::spawn(move || {
-                let (mut agent, mut served) = (Client::ready_at(at), 0);
+                let (mut client, mut served) = (Client::ready_at(at), 0);
                 while !stop.load(Ordering::SeqCst) {
                     let id = format!("pay-{number}-{served}");
                     let text = asking("pay", &id, 1900).replace("spread=1", "spread=2");
                     // In two pieces: an upgrade may come between them.
                     let (first, rest) = text.split_at(text.len() / 2);
-                    agent.say(first);
-                    agent.say(rest);
+                    client.say(first);
+                    client.say(rest);
                     assert_eq!(
-                        agent.answer(),
+                        client.answer(),
                         id,
                         "one answer to each request, and on the same connection"
                     );
@@ -92,14 +92,14 @@
                 served
             })
         };
-        // Of a node that nothing is known of, one attempt is let out at first, and of six waiting clients some are
+        // Of a server that nothing is known of, one attempt is let out at first, and of six waiting clients some are
         // refused: the first one's answers make room for the others.
-        let mut agents = vec![agent(0)];
+        let mut clients = vec![client(0)];
         until(|| asked.load(Ordering::SeqCst), |asked| *asked >= 20);
-        agents.extend((1..6).map(agent));
+        clients.extend((1..6).map(client));
         Self {
             stop,
-            agents,
+            clients,
             asked,
         }
     }
@@ -115,9 +115,9 @@
 
     fn end(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
-        self.agents
+        self.clients
             .into_iter()
-            .map(|agent| agent.join().expect("every answer"))
+            .map(|client| client.join().expect("every answer"))
             .sum()
     }
 }
@@ -156,10 +156,10 @@
 }
 
 #[test]
-fn twenty_upgrades_in_a_row_lose_no_request_run_nothing_twice_and_tell_every_unit_once() {
+fn twenty_upgrades_lose_no_request_execute_nothing_twice_and_report_every_unit_once() {
     let seen: Arc<Mutex<HashMap<String, usize>>> = Arc::default();
     let count = seen.clone();
-    let (node, _seen) = resp_peer(move |_, words| {
+    let (server, _seen) = resp_peer(move |_, words| {
         *count
             .lock()
             .expect("whole")
@@ -172,7 +172,7 @@
     let mut now = start(
         &folder.0,
         "upgrades-0",
-        &told(counter, node, SocketAddr::from(([127, 0, 0, 1], 0))),
+        &told(counter, server, SocketAddr::from(([127, 0, 0, 1], 0))),
     );
     let at = now.at;
     now.call_until("ready", "YES");
@@ -199,7 +199,7 @@
             9 | 15 => drop(caller(&folder, 1)),
             11 | 17 => drop(caller(&folder, 2)),
             13 => {
-                let mut bad = told(counter, node, at);
+                let mut bad = told(counter, server, at);
                 bad["settings"]["classes"] = Value::Null;
                 Program::fails_in("upgrades-bad", &bad, &folder.0);
             }
@@ -209,7 +209,7 @@
         let next = start(
             &folder.0,
             &format!("upgrades-{number}"),
-            &told(counter, node, at),
+            &told(counter, server, at),
         );
         assert_eq!(next.at, at);
         next.call_until("ready", "YES");
@@ -226,10 +226,10 @@
 }
 
 #[test]
-fn a_node_taken_out_stays_out_over_an_upgrade_and_while_it_goes_on() {
-    let (node, seen) = resp_peer(|_, words| serve(&words[2]));
+fn banned_server_stays_banned_during_and_after_an_upgrade() {
+    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
     let folder = Folder::new("bans");
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", node)]);
+    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
     told["control"] = "127.0.0.1:0".into();
     let old = start(&folder.0, "bans-old", &told);
     old.call_until("ready", "YES");
@@ -238,9 +238,9 @@
     let new = start(&folder.0, "bans-new", &told);
     new.call_until("ready", "YES");
     old.ends();
-    let mut agent = Client::ready_at(new.at);
-    agent.ask("look", "while-out", 1500);
-    assert!(agent.answer().starts_with("-BUSY"));
+    let mut client = Client::ready_at(new.at);
+    client.ask("look", "while-out", 1500);
+    assert!(client.answer().starts_with("-BUSY"));
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
@@ -249,23 +249,23 @@
 }
 
 #[test]
-fn a_newcomer_that_hangs_and_an_old_one_that_is_killed_leave_one_that_serves() {
-    let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
+fn hanging_successor_or_killed_predecessor_leaves_one_serving_process() {
+    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let folder = Folder::new("deaths");
     // A counter that takes calls and says nothing, all the time.
     let mut told = settings(
         quiet_list(),
         http_peer(|_, _, _| Act::Hang),
-        &[("s-1", node)],
+        &[("s-1", server)],
     );
     told["control"] = "127.0.0.1:0".into();
     let mut old = start(&folder.0, "deaths-old", &told);
     old.call_until("ready", "YES");
     told["listen"] = old.at.to_string().into();
     let serves = |id: &str| {
-        let mut agent = Client::ready_at(old.at);
-        agent.ask("look", id, 1900);
-        assert_eq!(agent.answer(), id);
+        let mut client = Client::ready_at(old.at);
+        client.ask("look", id, 1900);
+        assert_eq!(client.answer(), id);
     };
     // Stopped as soon as it has joined, and killed: the old one takes everything back, also with a new file on the way.
     let stuck = start(&folder.0, "deaths-stuck", &told);
@@ -278,23 +278,23 @@
     new.call_until("ready", "YES");
     old.signal("KILL");
     old.logged_end();
-    let mut agent = Client::ready_at(new.at);
-    agent.ask("look", "after-death", 1900);
-    assert_eq!(agent.answer(), "after-death");
+    let mut client = Client::ready_at(new.at);
+    client.ask("look", "after-death", 1900);
+    assert_eq!(client.answer(), "after-death");
     // And the next upgrade finds the new one.
     let next = start(&folder.0, "deaths-next", &told);
     next.call_until("ready", "YES");
     new.ends();
-    let mut agent = Client::ready_at(next.at);
-    agent.ask("look", "after-all", 1900);
-    assert_eq!(agent.answer(), "after-all");
+    let mut client = Client::ready_at(next.at);
+    client.ask("look", "after-all", 1900);
+    assert_eq!(client.answer(), "after-all");
 }
 
 #[test]
-fn an_attempt_whose_end_overtakes_what_was_given_holds_no_place() {
-    let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
+fn attempt_that_ends_before_the_learned_state_arrives_holds_no_concurrency_slot() {
+    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let folder = Folder::new("overtaken");
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", node)]);
+    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
     told["control"] = "127.0.0.1:0".into();
     told["settings"]["tariffs"][0]["parallel"] = 1.into();
     let place = UnixListener::bind(folder.socket()).expect("a socket");
@@ -341,21 +341,21 @@
     new.call_until("ready", "YES");
     // While the old one lives: with its end, all that it had out has ended.
     let _old = old.join().expect("a hand-over");
-    let mut agent = Client::ready_at(new.at);
-    agent.ask("look", "has-a-place", 1500);
-    assert_eq!(agent.answer(), "has-a-place");
+    let mut client = Client::ready_at(new.at);
+    client.ask("look", "has-a-place", 1500);
+    assert_eq!(client.answer(), "has-a-place");
 }
 
 #[test]
-fn without_a_folder_a_socket_or_a_peer_that_answers_a_limiter_serves_all_the_same() {
-    let (node, _seen) = resp_peer(|_, words| serve(&words[2]));
+fn limiter_serves_without_a_folder_a_socket_or_an_answering_predecessor() {
+    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let serves = |program: &Program| {
         program.call_until("ready", "YES");
-        let mut agent = Client::ready_at(program.at);
-        agent.ask("look", "served", 1500);
-        assert_eq!(agent.answer(), "served");
+        let mut client = Client::ready_at(program.at);
+        client.ask("look", "served", 1500);
+        assert_eq!(client.answer(), "served");
     };
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", node)]);
+    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
     told["control"] = "127.0.0.1:0".into();
     // A file left behind by one that was killed, one that is no socket, and a folder that is not there.
     let folder = Folder::new("stale");
@@ -373,17 +373,17 @@
 }
 
 #[test]
-fn told_to_stop_in_the_middle_of_an_upgrade_that_comes_to_nothing_it_ends_in_order() {
+fn shutdown_during_an_aborted_upgrade_ends_in_order() {
     let (open, gate) = std::sync::mpsc::channel::<()>();
     let gate = Mutex::new(gate);
-    let (node, seen) = resp_peer(move |_, words| {
+    let (server, seen) = resp_peer(move |_, words| {
         _ = gate.lock().expect("whole").recv();
         serve(&words[2])
     });
     let folder = Folder::new("stop-in-upgrade");
     let mut told = told(
         quota_counter().0,
-        node,
+        server,
         SocketAddr::from(([127, 0, 0, 1], 0)),
     );
     for time in ["slo", "deadline"] {
@@ -392,8 +392,8 @@
     let mut old = start(&folder.0, "stop-in-upgrade", &told);
     old.call_until("ready", "YES");
     let (mut first, mut last) = (Client::ready_at(old.at), Client::ready_at(old.at));
-    for (agent, id) in [(&mut first, "first"), (&mut last, "last")] {
-        agent.say(&asking("pay", id, 20_000).replace("spread=1", "spread=2"));
+    for (client, id) in [(&mut first, "first"), (&mut last, "last")] {
+        client.say(&asking("pay", id, 20_000).replace("spread=1", "spread=2"));
         next(&seen);
     }
     // It is about to hand over when the word to stop comes, and then the newcomer dies.
@@ -414,8 +414,8 @@
 }
 
 #[test]
-fn a_request_whose_agent_left_while_its_connection_was_to_be_handed_over_is_not_sent_on() {
-    let (node, seen) = resp_peer(|_, words| {
+fn request_is_not_forwarded_if_its_client_closed_during_the_connection_hand_over() {
+    let (server, seen) = resp_peer(|_, words| {
         // Well over the time in which a limiter is to find out that a client has left.
         thread::sleep(Duration::from_millis(if words[2] == "first" {
             1_500
@@ -425,7 +425,7 @@
         serve(&words[2])
     });
     let folder = Folder::new("left-in-upgrade");
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", node)]);
+    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
     told["control"] = "127.0.0.1:0".into();
     for time in ["slo", "deadline"] {
         told["settings"]["classes"][0][time] = 10_000_000.into();
