--- a/tests/jam.rs
+++ b/tests/overload/world.rs
@@ -1,59 +1,26 @@
-//! Jams: many gateways before nodes that queue as upstream servers do, and clients that come again when refused.
+//! A simulated world of limiters and upstream servers, in simulated time.
 
-mod common;
-use common::*;
-use mossrill::decision::*;
+use crate::common::{class, member, settings};
+use crate::server::{Attempt, Node, CORES, MS, WORK};
+use mossrill::decision::{
+    Action, AttemptResult, Endpoint, Event, Idempotency, Limits, Micros, Outcome, Plan, Request,
+    RequestClass, Safety, Settings, UpdateScope,
+};
 use mossrill::Engine;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1};
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, VecDeque};
+use std::collections::{BTreeMap, BinaryHeap};
 
-const MS: Micros = 1_000;
-/// Mean work of a request on one core, its aim and its deadline, as the ferry division has them.
-const WORK: f64 = 100_000.0;
-const AIM: Micros = 900 * MS;
-const DEADLINE: Micros = 2_500 * MS;
-const CORES: usize = 2;
-/// When every world begins.
-const START: Micros = 100_000 * MS;
-
-/// A node: two cores, a waiting room, and slower the more it holds beyond what its cores can do.
-#[derive(Default)]
-struct Node {
-    running: Vec<(usize, usize)>,
-    waiting: VecDeque<(usize, usize)>,
-    /// Against the others, and when it started, 0 for long ago.
-    speed: f64,
-    started: Micros,
-    /// When what was sent to it came.
-    sent: Vec<Micros>,
-}
+pub const AIM: Micros = 900 * MS;
 
-impl Node {
-    /// What it can do now against a warm one of speed 1: it starts at a sixth and is warm after 18 s.
-    fn capacity(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started) as f64 / 18e6;
-        self.speed
-            * if self.started == 0 {
-                1.0
-            } else {
-                (0.16 + 0.84 * age).min(1.0)
-            }
-    }
-}
+pub const DEADLINE: Micros = 2_500 * MS;
 
-struct Try {
-    gateway: usize,
-    asked: Micros,
-    left: u32,
-    done: bool,
-    /// Where each attempt went; none once it has ended.
-    attempts: Vec<Option<(usize, Micros)>>,
-}
+/// When every world begins.
+pub const START: Micros = 100_000 * MS;
 
-enum Happens {
+pub enum Occurrence {
     Ask { asked: Micros, left: u32 },
     Timer(usize),
     Done { node: usize, of: (usize, usize) },
@@ -63,26 +30,26 @@
     Cold(usize),
 }
 
-struct World {
-    now: Micros,
-    order: u64,
-    rng: StdRng,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Happens>,
-    settings: Settings,
-    gateways: Vec<Engine>,
-    nodes: Vec<Node>,
-    tries: Vec<Try>,
-    slow: f64,
+pub struct World {
+    pub now: Micros,
+    pub order: u64,
+    pub rng: StdRng,
+    pub events: BinaryHeap<Reverse<(Micros, u64)>>,
+    pub what: BTreeMap<u64, Occurrence>,
+    pub settings: Settings,
+    pub gateways: Vec<Engine>,
+    pub nodes: Vec<Node>,
+    pub tries: Vec<Attempt>,
+    pub slow: f64,
     /// What the first gateway is asked, against each of the others.
-    share: usize,
+    pub share: usize,
     /// First tries asked and served in time, by the second in which they were asked.
-    asked: Vec<f64>,
-    served: Vec<f64>,
+    pub asked: Vec<f64>,
+    pub served: Vec<f64>,
 }
 
 impl World {
-    fn new(gateways: u32, nodes: usize, seed: u64) -> Self {
+    pub fn new(gateways: u32, nodes: usize, seed: u64) -> Self {
         let class = |effect| RequestClass {
             latency_objective: AIM,
             deadline: DEADLINE,
@@ -143,7 +110,7 @@
         world
     }
 
-    fn members(&self, nodes: std::ops::Range<usize>) -> Vec<Endpoint> {
+    pub fn members(&self, nodes: std::ops::Range<usize>) -> Vec<Endpoint> {
         nodes
             .map(|n| Endpoint {
                 started_at: self.nodes[n].started,
@@ -153,7 +120,7 @@
     }
 
     /// A gateway that knows nothing but the list.
-    fn start(&mut self, me: usize) {
+    pub fn start(&mut self, me: usize) {
         let settings = Settings {
             limiter: me as u32,
             ..self.settings.clone()
@@ -174,20 +141,25 @@
         );
     }
 
-    fn at(&mut self, after: Micros, happens: Happens) {
+    pub fn at(&mut self, after: Micros, happens: Occurrence) {
         self.order += 1;
         self.events.push(Reverse((self.now + after, self.order)));
         self.what.insert(self.order, happens);
     }
 
-    fn second(&self, at: Micros) -> usize {
+    pub fn second(&self, at: Micros) -> usize {
         ((at - START) / (1_000 * MS)) as usize
     }
 
     /// Plays `seconds` under `load` of what the nodes can do; all of them are `slow` times slower for a while.
-    fn play(&mut self, seconds: usize, load: f64, slow: (f64, std::ops::Range<usize>)) -> Vec<f64> {
+    pub fn play(
+        &mut self,
+        seconds: usize,
+        load: f64,
+        slow: (f64, std::ops::Range<usize>),
+    ) -> Vec<f64> {
         let gap = WORK / (load * (self.nodes.len() * CORES) as f64);
-        self.at(0, Happens::Ask { asked: 0, left: 3 });
+        self.at(0, Occurrence::Ask { asked: 0, left: 3 });
         while let Some(Reverse((now, order))) = self.events.pop() {
             self.now = now;
             let second = self.second(now);
@@ -200,20 +172,20 @@
                 1.0
             };
             match self.what.remove(&order) {
-                Some(Happens::Ask { asked, left }) => {
+                Some(Occurrence::Ask { asked, left }) => {
                     if asked == 0 {
                         let next = gap * self.rng.sample::<f64, _>(Exp1);
-                        self.at(next as Micros, Happens::Ask { asked: 0, left: 3 });
+                        self.at(next as Micros, Occurrence::Ask { asked: 0, left: 3 });
                         self.asked[second] += 1.0;
                     }
                     self.ask(if asked == 0 { now } else { asked }, left);
                 }
-                Some(Happens::Timer(me)) => self.give(me, Event::TimerExpired { token: 0 }),
-                Some(Happens::Done { node, of }) => self.done(node, of),
-                Some(Happens::Ends { of }) => self.over(of, Outcome::Timeout),
-                Some(Happens::Gives(number)) => self.gives_up(number),
-                Some(Happens::Restart(me)) => self.start(me),
-                Some(Happens::Cold(node)) => {
+                Some(Occurrence::Timer(me)) => self.give(me, Event::TimerExpired { token: 0 }),
+                Some(Occurrence::Done { node, of }) => self.done(node, of),
+                Some(Occurrence::Ends { of }) => self.over(of, Outcome::Timeout),
+                Some(Occurrence::Gives(number)) => self.gives_up(number),
+                Some(Occurrence::Restart(me)) => self.start(me),
+                Some(Occurrence::Cold(node)) => {
                     self.nodes[node].started = now;
                     let members = self.members(node..node + 1);
                     for me in 0..self.gateways.len() {
@@ -235,7 +207,7 @@
             .collect()
     }
 
-    fn ask(&mut self, asked: Micros, left: u32) {
+    pub fn ask(&mut self, asked: Micros, left: u32) {
         let drawn = self
             .rng
             .random_range(0..self.gateways.len() + self.share - 1);
@@ -245,7 +217,7 @@
             0
         };
         let number = self.tries.len();
-        self.tries.push(Try {
+        self.tries.push(Attempt {
             gateway,
             asked,
             left,
@@ -258,7 +230,7 @@
             .saturating_sub(self.now - asked)
             .min(DEADLINE * 3 / 4);
         let customer = name.as_str().into();
-        self.at(budget, Happens::Gives(number));
+        self.at(budget, Occurrence::Gives(number));
         let id = number.to_string().as_str().into();
         let request = Request {
             id,
@@ -273,12 +245,12 @@
         self.give(gateway, Event::Request(request));
     }
 
-    fn give(&mut self, me: usize, event: Event) {
+    pub fn give(&mut self, me: usize, event: Event) {
         let mut acts = Vec::new();
         self.gateways[me].on_event(self.now, event, &mut acts);
         for act in acts {
             match act {
-                Action::SetTimer { delay: after, .. } => self.at(after, Happens::Timer(me)),
+                Action::SetTimer { delay: after, .. } => self.at(after, Occurrence::Timer(me)),
                 Action::Send {
                     id,
                     server,
@@ -288,7 +260,7 @@
                     let (number, node) = (id.0.parse().unwrap(), server.0.parse().unwrap());
                     let of: (usize, usize) = (number, self.tries[number].attempts.len());
                     self.tries[number].attempts.push(Some((node, self.now)));
-                    self.at(timeout, Happens::Ends { of });
+                    self.at(timeout, Occurrence::Ends { of });
                     self.nodes[node].sent.push(self.now);
                     if self.nodes[node].waiting.len() >= 40 {
                         self.over(of, Outcome::Rejected);
@@ -309,7 +281,7 @@
     }
 
     /// Takes an attempt back: what waits is dropped, what runs goes on to its end.
-    fn drop(&mut self, number: usize, attempt: usize) {
+    pub fn drop(&mut self, number: usize, attempt: usize) {
         if let Some((node, _)) = self.tries[number].attempts[attempt].take() {
             self.nodes[node]
                 .waiting
@@ -317,7 +289,7 @@
         }
     }
 
-    fn work(&mut self, node: usize) {
+    pub fn work(&mut self, node: usize) {
         while self.nodes[node].running.len() < CORES {
             let Some(of) = self.nodes[node].waiting.pop_front() else {
                 return;
@@ -327,14 +299,14 @@
             let pace = self.slow / self.nodes[node].capacity(self.now);
             let took = WORK * pace * (1.0 + 0.15 * (held - 3.0).max(0.0)) * drawn;
             self.nodes[node].running.push(of);
-            self.at(took as Micros + MS, Happens::Done { node, of });
+            self.at(took as Micros + MS, Occurrence::Done { node, of });
         }
     }
 
-    fn done(&mut self, node: usize, of: (usize, usize)) {
+    pub fn done(&mut self, node: usize, of: (usize, usize)) {
         self.nodes[node].running.retain(|o| *o != of);
         self.work(node);
-        let Try { asked, done, .. } = self.tries[of.0];
+        let Attempt { asked, done, .. } = self.tries[of.0];
         if self.tries[of.0].attempts[of.1].is_some() && !done {
             let second = self.second(asked);
             self.served[second] += f64::from(u8::from(self.now - asked <= AIM));
@@ -343,7 +315,7 @@
         self.over(of, Outcome::Ok);
     }
 
-    fn over(&mut self, (number, attempt): (usize, usize), outcome: Outcome) {
+    pub fn over(&mut self, (number, attempt): (usize, usize), outcome: Outcome) {
         let Some((node, sent)) = self.tries[number].attempts[attempt] else {
             return;
         };
@@ -367,8 +339,8 @@
         self.give(self.tries[number].gateway, Event::AttemptEnded(ended));
     }
 
-    fn again(&mut self, number: usize, after: Micros) {
-        let Try {
+    pub fn again(&mut self, number: usize, after: Micros) {
+        let Attempt {
             asked, left, done, ..
         } = self.tries[number];
         self.tries[number].done = true;
@@ -380,7 +352,7 @@
         if !done && left > 0 && self.now + wait < asked + DEADLINE {
             self.at(
                 wait,
-                Happens::Ask {
+                Occurrence::Ask {
                     asked,
                     left: left - 1,
                 },
@@ -388,7 +360,7 @@
         }
     }
 
-    fn gives_up(&mut self, number: usize) {
+    pub fn gives_up(&mut self, number: usize) {
         if !self.tries[number].done {
             let id = number.to_string().as_str().into();
             self.give(self.tries[number].gateway, Event::ClientDisconnected { id });
@@ -396,95 +368,3 @@
         }
     }
 }
-
-fn mean(part: &[f64]) -> f64 {
-    part.iter().sum::<f64>() / part.len() as f64
-}
-
-#[test]
-fn overload_ends_within_seconds_of_its_cause() {
-    // Every node is four times slower for five seconds: far more is asked than they can do then.
-    for (gateways, nodes) in [(3, 9), (48, 12), (300, 60)] {
-        let served = World::new(gateways, nodes, 3).play(18, 0.9, (4.0, 6..11));
-        let (before, slow, after) = (
-            mean(&served[2..6]),
-            mean(&served[8..11]),
-            mean(&served[14..18]),
-        );
-        assert!(
-            before > 0.8 && slow < 0.3 && after > 0.75,
-            "{gateways} gateways: {served:.2?}"
-        );
-    }
-}
-
-#[test]
-fn excess_load_is_rejected_and_most_of_the_capacity_is_used() {
-    for (gateways, nodes) in [(3, 9), (48, 12), (300, 60)] {
-        let served = World::new(gateways, nodes, 4).play(20, 1.1, (1.0, 0..0));
-        assert!(
-            mean(&served[4..]) > 0.6,
-            "{gateways} gateways: {served:.2?}"
-        );
-    }
-}
-
-#[test]
-fn restart_of_two_of_three_limiters_under_full_load_affects_only_their_requests() {
-    let mut world = World::new(3, 11, 5);
-    world.at(6_000 * MS, Happens::Restart(0));
-    world.at(16_000 * MS, Happens::Restart(1));
-    let served = world.play(24, 1.0, (1.0, 0..0));
-    let (before, first, second) = (
-        mean(&served[2..6]),
-        mean(&served[7..15]),
-        mean(&served[17..24]),
-    );
-    assert!(
-        first > before - 0.2 && second > before - 0.2 && before > 0.8,
-        "{served:.2?}"
-    );
-}
-
-#[test]
-fn limiter_with_three_times_the_load_serves_the_same_fraction() {
-    let mut world = World::new(3, 11, 6);
-    world.share = 3;
-    let served = world.play(20, 0.7, (1.0, 0..0));
-    assert!(mean(&served[2..]) > 0.97, "{served:.2?}");
-}
-
-#[test]
-fn warming_slow_server_is_neither_overloaded_nor_left_out() {
-    for gateways in [3, 48] {
-        let mut world = World::new(gateways, 12, 7);
-        world.nodes[0].speed = 0.55;
-        world.at(5_000 * MS, Happens::Cold(0));
-        let served = world.play(24, 0.6, (1.0, 0..0));
-        assert!(
-            mean(&served[2..]) > 0.95,
-            "{gateways} gateways: {served:.2?}"
-        );
-        let node = &world.nodes[0];
-        // What came in any three seconds against what the node can do in them, in requests.
-        let most = (50..230).map(|tenth| {
-            let from = START + tenth * 100 * MS;
-            let came = node
-                .sent
-                .iter()
-                .filter(|t| (from..from + 3_000 * MS).contains(t))
-                .count() as f64;
-            came * WORK / (node.capacity(from) * CORES as f64 * 3e6)
-        });
-        let most = most.fold(0.0, f64::max);
-        let late = node
-            .sent
-            .iter()
-            .filter(|t| **t > START + 18_000 * MS)
-            .count();
-        assert!(
-            most < 2.5 && late > 10,
-            "{gateways} gateways: {most:.2} of it, {late} sent once warm"
-        );
-    }
-}
