--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -22,10 +22,8 @@
     started: Micros,
 }
 
-/// An attempt that has ended, with its response.
-pub(super) struct AttemptEnd<V> {
-    pub(super) id: AttemptId,
-    pub(super) running: RunningAttempt,
+/// How an attempt has ended.
+pub(super) struct AttemptResponse<V> {
     pub(super) outcome: Outcome,
     /// Load report of the server; empty if there was none.
     pub(super) load: Vec<f64>,
@@ -117,19 +115,37 @@
         }
     }
 
-    /// Handles the end of an attempt. The first good response is sent to the client at once; the engine is
-    /// notified of every end.
-    pub(super) fn attempt_ended(&mut self, now: Micros, end: AttemptEnd<T::Value>) {
-        let number = end.id.request;
+    /// Ends an attempt that was received or broken off, unless it has ended before.
+    pub(super) fn end_attempt(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        response: AttemptResponse<T::Value>,
+    ) {
+        if let Some(running) = self.remove_attempt(attempt) {
+            self.attempt_ended(now, attempt, running, response);
+        }
+    }
+
+    /// Handles the end of an attempt that was running. The first good response is sent to the client at once;
+    /// the engine is notified of every end.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        running: RunningAttempt,
+        response: AttemptResponse<T::Value>,
+    ) {
+        let number = attempt.request;
         // The latency of a streamed response is that of its first bytes: the rest is received as fast as the
         // client reads. Whether whole or broken off, the client has all of it.
         let stream = self
             .response_stream(number)
-            .filter(|stream| stream.attempt == end.id);
+            .filter(|stream| stream.attempt == attempt);
         if stream.is_some() {
             self.close(now, number);
         }
-        if let (Outcome::Ok, Some(value)) = (end.outcome, end.value) {
+        if let (Outcome::Ok, Some(value)) = (response.outcome, response.value) {
             if let Some(request) = self.close(now, number) {
                 self.answer(request.client, Answer::Served(value));
             }
@@ -137,15 +153,14 @@
         let request = self.requests.get_mut(number);
         let is_final = request.is_none();
         if let Some(request) = request {
-            request.may_have_run |= !end.outcome.never_ran();
+            request.may_have_run |= !response.outcome.never_ran();
         }
         let responded = stream.map_or(now, |stream| stream.started);
-        let result = end
-            .running
-            .result(responded, request_id(number), end.id.attempt, end.outcome);
+        let id = request_id(number);
+        let result = running.result(responded, id, attempt.attempt, response.outcome);
         let result = AttemptResult {
             is_final,
-            load: end.load,
+            load: response.load,
             ..result
         };
         self.notify_engine(now, Event::AttemptEnded(result));
@@ -183,11 +198,7 @@
             self.pending_events.push_back(Event::AttemptEnded(result));
             return;
         };
-        let ends = if timeout == 0 {
-            now + time_left
-        } else {
-            now + timeout.min(time_left)
-        };
+        let ends = now + attempt_time(timeout, time_left);
         let deadlines = AttemptDeadlines {
             answer: self.clock.moment(ends),
             write: self.clock.moment(write_before.min(ends)),
@@ -198,3 +209,12 @@
         self.timers.set(ends, Deadline::Attempt(attempt));
     }
 }
+
+/// Time that an attempt has; a timeout of 0 is no limit.
+fn attempt_time(timeout: Micros, time_left: Micros) -> Micros {
+    if timeout == 0 {
+        time_left
+    } else {
+        timeout.min(time_left)
+    }
+}
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -127,7 +127,7 @@
 
     /// Applies what an operator had the other process of an upgrade do, also to a server that is not listed
     /// here yet. Returns the endpoints that change for the engine.
-    pub fn take(&mut self, ban: &Ban) -> Vec<Endpoint> {
+    pub fn adopt(&mut self, ban: &Ban) -> Vec<Endpoint> {
         let id = ServerId::from(&*ban.id);
         self.ever_listed.insert(id.clone());
         if ban.out {
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -37,7 +37,7 @@
     /// Adopt what a predecessor knew; the reply is sent once that is done.
     AdoptState(LearnedState, Sender<()>),
     /// A message of the other process.
-    PeerNews(Body),
+    PeerMessage(Body),
     /// Everything open is answered or handed over: end.
     Finish,
 }
--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -1,6 +1,6 @@
 //! What the core does when a timer expires.
 
-use super::attempts::AttemptEnd;
+use super::attempts::AttemptResponse;
 use super::messages::{AttemptId, Transport};
 use super::{Core, Phase};
 use crate::decision::{Event, Micros, Outcome};
@@ -57,14 +57,12 @@
         } else {
             Outcome::ConnectFailed
         };
-        let end = AttemptEnd {
-            id: attempt,
-            running,
+        let response = AttemptResponse {
             outcome,
             load: Vec::new(),
             value: None,
         };
-        self.attempt_ended(now, end);
+        self.attempt_ended(now, attempt, running, response);
     }
 
     fn expire_shutdown(&mut self, now: Micros) {
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -79,7 +79,7 @@
         if ban.out {
             self.transport.block_server(&ServerId::from(&*ban.id));
         }
-        let endpoints = self.bans.take(ban);
+        let endpoints = self.bans.adopt(ban);
         self.notify_endpoints(now, UpdateScope::Delta, endpoints);
     }
 }
--- a/src/core/inputs.rs
+++ b/src/core/inputs.rs
@@ -1,6 +1,6 @@
 //! Inputs of the core's queue.
 
-use super::attempts::AttemptEnd;
+use super::attempts::AttemptResponse;
 use super::deadlines::Deadline;
 use super::messages::{Input, Transport};
 use super::{Core, Phase};
@@ -26,16 +26,12 @@
                 load,
                 value,
             } => {
-                if let Some(running) = self.remove_attempt(attempt) {
-                    let end = AttemptEnd {
-                        id: attempt,
-                        running,
-                        outcome,
-                        load,
-                        value,
-                    };
-                    self.attempt_ended(now, end);
-                }
+                let response = AttemptResponse {
+                    outcome,
+                    load,
+                    value,
+                };
+                self.end_attempt(now, attempt, response);
             }
             Input::HealthChecked {
                 server,
@@ -43,10 +39,11 @@
                 latency,
                 load,
             } => {
+                let latency = latency.as_micros() as Micros;
                 let event = Event::HealthChecked {
                     server,
                     outcome,
-                    latency: latency.as_micros() as Micros,
+                    latency,
                     load,
                 };
                 self.notify_engine(now, event);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the core: what its queue carries to it, and what it has its transport do.
+//! The messages of the core: inputs of its queue, and requests to its transport.
 
 use crate::decision::{
     AccountId, Endpoint, Outcome, QuotaShares, RequestId, ServerId, UpdateScope,
@@ -46,7 +46,7 @@
     },
 }
 
-/// What the core has done outside of it. No call may block: the core waits for its queue alone.
+/// Carries out what the core asks for. No call may block: the core waits for its queue alone.
 pub trait Transport {
     /// Takes the final answer of a request.
     type Client;
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -21,19 +21,9 @@
         }
         let arrived = self.clock.at(incoming.arrived).min(now);
         let deadline = arrived + incoming.timeout.as_micros() as Micros;
-        let id = request_id(incoming.number);
-        let request = Request {
-            id: id.clone(),
-            class: incoming.class,
-            plan: incoming.plan,
-            account: incoming.account.clone(),
-            timeout: deadline.saturating_sub(now),
-            units: incoming.units,
-            limiter_count: incoming.limiter_count,
-            first_limiter: incoming.first_limiter,
-        };
+        let request = engine_request(&incoming, deadline.saturating_sub(now));
         let open = OpenRequest {
-            id,
+            id: request.id.clone(),
             client_id: incoming.id,
             account: incoming.account,
             client: Some(incoming.client),
@@ -131,3 +121,20 @@
         }
     }
 }
+
+/// A request as the engine is notified of it.
+fn engine_request<Client, Call>(
+    incoming: &IncomingRequest<Client, Call>,
+    timeout: Micros,
+) -> Request {
+    Request {
+        id: request_id(incoming.number),
+        class: incoming.class,
+        plan: incoming.plan,
+        account: incoming.account.clone(),
+        timeout,
+        units: incoming.units,
+        limiter_count: incoming.limiter_count,
+        first_limiter: incoming.first_limiter,
+    }
+}
--- a/src/core/upgrade.rs
+++ b/src/core/upgrade.rs
@@ -45,7 +45,7 @@
                 self.adopt_state(now, state);
                 _ = reply.try_send(());
             }
-            HandOverCommand::PeerNews(message) => self.handle_peer_message(now, message),
+            HandOverCommand::PeerMessage(message) => self.handle_peer_message(now, message),
             HandOverCommand::Finish => self.upgrade.finishing = true,
         }
     }
@@ -61,7 +61,7 @@
     fn adopt_state(&mut self, now: Micros, state: LearnedState) {
         let mut endpoints = Vec::new();
         for ban in &state.bans {
-            endpoints.extend(self.bans.take(ban));
+            endpoints.extend(self.bans.adopt(ban));
         }
         self.notify_endpoints(now, UpdateScope::Delta, endpoints);
         self.upgrade.predecessor_attempts = self.engine.adopt_state(now, state);
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -119,8 +119,8 @@
         self.front.adopt(connection.into(), read);
     }
 
-    fn hear(&self, news: Body) {
-        self.command(HandOverCommand::PeerNews(news));
+    fn hear(&self, message: Body) {
+        self.command(HandOverCommand::PeerMessage(message));
     }
 
     fn share(&self, shared: bool) {
--- a/src/upstream/worker.rs
+++ b/src/upstream/worker.rs
@@ -123,6 +123,14 @@
         if let Err(outcome) = writing {
             return Exchange::broke(outcome);
         }
+        self.send_and_receive(&connection, attempt)
+    }
+
+    fn send_and_receive(
+        &self,
+        connection: &Arc<Connection>,
+        attempt: &Attempt<S::Call>,
+    ) -> Exchange<S::Value> {
         let time_left = attempt
             .deadlines
             .answer
@@ -141,7 +149,7 @@
                 value,
             });
         };
-        protocol.read(&attempt.call, &connection, &report_start)
+        protocol.read(&attempt.call, connection, &report_start)
     }
 
     /// Checks the health of the server. Nothing else ends a health check, as the core does an attempt, so
