--- a/benches/capacity/counter.rs
+++ b/benches/capacity/counter.rs
@@ -6,8 +6,8 @@
 use super::shared_counter::SharedCounter;
 use super::traffic::{Shape, Traffic, REQUESTS_PER_LIMITER};
 use super::world::{SECOND, START};
-use mossrill::counter::http::QuotaCounter;
-use mossrill::counter::redis::RedisCounter;
+use mossrill::counter::http::HttpCounterProtocol;
+use mossrill::counter::redis::RedisCounterProtocol;
 use mossrill::counter::{Addition, CounterProtocol};
 use mossrill::decision::{Action, Event, Micros};
 use rand::distr::weighted::WeightedIndex;
@@ -178,14 +178,14 @@
     fn call(&mut self, name: u64, by: f64, ttl: Micros) {
         let to = SocketAddr::from((Ipv4Addr::new(10, 1, 0, 18), 7_070));
         let addition = Addition {
-            call: 0,
-            name,
-            by,
+            call_number: 0,
+            counter: name,
+            amount: by,
             ttl: Duration::from_micros(ttl),
         };
         self.calls += 1;
-        self.http_bytes += QuotaCounter.word(&addition, to).len() as u64;
-        self.redis_bytes += RedisCounter.word(&addition, to).len() as u64;
+        self.http_bytes += HttpCounterProtocol.encode(&addition, to).len() as u64;
+        self.redis_bytes += RedisCounterProtocol.encode(&addition, to).len() as u64;
     }
 }
 
--- a/benches/capacity/server_list.rs
+++ b/benches/capacity/server_list.rs
@@ -6,7 +6,7 @@
 use super::report::{Axis, Experiment, Figure, Quantity};
 use super::traffic::{Shape, Traffic, HEADROOM};
 use super::world::{list_text, member, members};
-use mossrill::config::{endpoint_update, EndpointUpdate};
+use mossrill::config::{read_endpoint_update, EndpointUpdate};
 use mossrill::decision::{Event, Readiness, UpdateScope};
 use serde_json::Value;
 use std::hint::black_box;
@@ -29,7 +29,7 @@
 /// Reads a text as the limiter does.
 fn read(text: &str) -> EndpointUpdate {
     let value: Value = serde_json::from_str(text).expect("the text was written as JSON");
-    endpoint_update(&value).expect("the text has every key")
+    read_endpoint_update(&value).expect("the text has every key")
 }
 
 /// Reading the text of so many entries.
--- a/benches/capacity/statistics.rs
+++ b/benches/capacity/statistics.rs
@@ -3,7 +3,7 @@
 use super::arguments::Plan;
 use super::measure::Costs;
 use super::report::{Axis, Experiment, Figure, Quantity};
-use mossrill::admin::stat;
+use mossrill::admin::render_metrics;
 use mossrill::metrics::Metrics;
 
 /// One answer to `show-stat`, with a class of requests for each service.
@@ -15,12 +15,12 @@
     );
     let mut costs = Costs::default();
     for _ in 0..times {
-        costs.time(|| stat(&figures, Vec::new()));
+        costs.time(|| render_metrics(&figures, Vec::new()));
     }
     let mut measured = costs.figures();
     measured.push(Figure::new(
         Quantity::TextBytes,
-        stat(&figures, Vec::new()).len() as f64,
+        render_metrics(&figures, Vec::new()).len() as f64,
     ));
     measured
 }
--- a/lab/src/counter_mechanism.rs
+++ b/lab/src/counter_mechanism.rs
@@ -8,7 +8,7 @@
 use crate::quota_log::QuotaLog;
 use crate::quota_mechanism::QuotaMechanism;
 use crate::quota_network::{Changed, QuotaNetwork};
-use mossrill::counter::http::QuotaCounter;
+use mossrill::counter::http::HttpCounterProtocol;
 use mossrill::counter::{Addition, CounterProtocol};
 use mossrill::decision::{Micros, Outcome};
 use std::collections::HashMap;
@@ -149,12 +149,12 @@
 fn call_bytes(call: &CounterCall) -> usize {
     let at = SocketAddr::from((Ipv4Addr::new(10, 2, 0, 1), 6_400));
     let ttl = Duration::from_micros(call.ttl);
-    QuotaCounter
-        .word(
+    HttpCounterProtocol
+        .encode(
             &Addition {
-                call: 0,
-                name: call.name,
-                by: call.by,
+                call_number: 0,
+                counter: call.name,
+                amount: call.by,
                 ttl,
             },
             at,
--- a/lab/src/hollow/decisions.rs
+++ b/lab/src/hollow/decisions.rs
@@ -8,7 +8,7 @@
 use crate::population::{LocalTraffic, Population};
 use crate::stand_in;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender};
-use mossrill::counter::http::QuotaCounter;
+use mossrill::counter::http::HttpCounterProtocol;
 use mossrill::counter::{Addition, CounterProtocol};
 use mossrill::decision::Outcome;
 use rand::rngs::StdRng;
@@ -256,7 +256,7 @@
         let reading = stream.try_clone().ok()?;
         let (names, due) = unbounded();
         let read = move || {
-            QuotaCounter.read(&reading, &mut |outcome, total| {
+            HttpCounterProtocol.read(&reading, &mut |outcome, total| {
                 let name: Option<u64> = due.try_recv().ok();
                 name.is_some_and(|name| answers.send((place, name, outcome, total)).is_ok())
             });
@@ -268,15 +268,15 @@
     fn write(&self, call: &CounterCall, at: SocketAddr) -> bool {
         let ttl = Duration::from_micros(call.ttl);
         let addition = Addition {
-            call: 0,
-            name: call.name,
-            by: call.by,
+            call_number: 0,
+            counter: call.name,
+            amount: call.by,
             ttl,
         };
         // Before the call is written, or its answer could come first.
         self.names.send(call.name).is_ok()
             && (&self.stream)
-                .write_all(&QuotaCounter.word(&addition, at))
+                .write_all(&HttpCounterProtocol.encode(&addition, at))
                 .is_ok()
     }
 }
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -58,10 +58,10 @@
     }
 
     fn apply(&mut self, news: &EndpointUpdate, numbers: &[u32], at: u64) {
-        if news.full {
+        if news.is_snapshot {
             self.started.iter_mut().for_each(|started| *started = None);
         }
-        for ((member, _), number) in news.nodes.iter().zip(numbers) {
+        for ((member, _), number) in news.endpoints.iter().zip(numbers) {
             let place = *number as usize;
             if self.started.len() <= place {
                 self.started.resize(place + 1, None);
@@ -154,7 +154,7 @@
             let apply = move |news: EndpointUpdate| {
                 let numbers: Vec<u32> = {
                     let mut names = lock(&names);
-                    news.nodes
+                    news.endpoints
                         .iter()
                         .map(|(member, _)| names.number(&member.id.0))
                         .collect()
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -205,7 +205,7 @@
     Some(Answer {
         status: head.status,
         service_micros: service.unwrap_or(0),
-        keep: head.keep,
+        keep: head.keep_alive,
     })
 }
 
--- a/src/admin/line.rs
+++ b/src/admin/line.rs
@@ -19,13 +19,13 @@
 /// What calls are answered from.
 pub struct AdminContext {
     /// The metrics of this process.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
     /// The limiter's place in its fleet, if it has one.
     pub fleet: Option<Fleet>,
     /// Whether this process can serve.
-    pub ready: Box<dyn Fn() -> bool + Send + Sync>,
+    pub is_ready: Box<dyn Fn() -> bool + Send + Sync>,
     /// Passes a command to the core.
-    pub command: Box<dyn Fn(AdminCommand) + Send + Sync>,
+    pub send_command: Box<dyn Fn(AdminCommand) + Send + Sync>,
     /// Receives a line for each command.
     pub log: Logger,
 }
@@ -45,7 +45,7 @@
 
     fn show_stat(&self) -> String {
         let fleet_metrics = self.fleet.as_ref().map_or(Vec::new(), Fleet::metrics);
-        render_metrics(&self.figures, fleet_metrics)
+        render_metrics(&self.metrics, fleet_metrics)
     }
 
     fn show_fleet(&self) -> Result<String, CallError> {
@@ -55,7 +55,7 @@
     }
 
     fn ready(&self) -> Result<(), CallError> {
-        if (self.ready)() {
+        if (self.is_ready)() {
             Ok(())
         } else {
             Err(CallError::NotReady)
@@ -71,7 +71,7 @@
         let (confirm, confirmed) = bounded(1);
         let command = command(id, confirm);
         info!(self.log, "admin command"; "command" => ?command);
-        (self.command)(command);
+        (self.send_command)(command);
         match confirmed.recv_timeout(CONFIRMATION_TIMEOUT) {
             Ok(true) => Ok(acknowledgement(Ok(()))),
             Ok(false) => Err(CallError::UnknownServer),
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -12,9 +12,6 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-// Re-exported until the lead joins the folders.
-pub use self::{acknowledgement as word, render_metrics as stat};
-
 /// The longest call, in bytes: the longest command, a blank and the id of an upstream server.
 pub const LONGEST_CALL: usize = 512;
 
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -1,6 +1,6 @@
 //! Reads configuration files, with errors that name the file.
 
-use mossrill::config::{self, OpenApi, Platform};
+use mossrill::config::{self, ConfigError, OpenApiConfig, PlatformConfig};
 use std::fs;
 use std::path::Path;
 use thiserror::Error;
@@ -23,7 +23,7 @@
         /// The file.
         path: String,
         /// What is wrong, with the key.
-        error: config::Fault,
+        error: ConfigError,
     },
 }
 
@@ -36,18 +36,18 @@
 }
 
 /// Parses the configuration of a limiter with an OpenAPI front; its description is in the same folder.
-pub fn openapi(path: &Path, text: &str) -> Result<OpenApi, ConfigurationError> {
+pub fn openapi(path: &Path, text: &str) -> Result<OpenApiConfig, ConfigurationError> {
     let read_sibling =
         |name: &str| read(&path.with_file_name(name)).map_err(|error| error.to_string());
     config::openapi(text, read_sibling).map_err(|error| invalid(path, error))
 }
 
 /// Parses the configuration of a limiter on the platform; environment variables replace absent keys.
-pub fn platform(path: &Path, text: &str) -> Result<Platform, ConfigurationError> {
+pub fn platform(path: &Path, text: &str) -> Result<PlatformConfig, ConfigurationError> {
     config::platform(text, |name| std::env::var(name).ok()).map_err(|error| invalid(path, error))
 }
 
-fn invalid(path: &Path, error: config::Fault) -> ConfigurationError {
+fn invalid(path: &Path, error: ConfigError) -> ConfigurationError {
     ConfigurationError::Invalid {
         path: path.display().to_string(),
         error,
--- a/src/client/accept.rs
+++ b/src/client/accept.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{ClientConnection, ConnectionOrigin, ConnectionState};
 use super::protocol::ClientProtocol;
-use super::Front;
+use super::ClientListener;
 use crate::threads::{lock, spawn};
 use slog::warn;
 use std::io;
@@ -21,7 +21,7 @@
 /// The time that a new connection waits for another to end when all are busy.
 const ROOM_TIMEOUT: Duration = Duration::from_millis(100);
 
-impl<P: ClientProtocol> Front<P> {
+impl<P: ClientProtocol> ClientListener<P> {
     /// Accepts connections for as long as the process runs.
     pub(super) fn run_accept_loop(self: &Arc<Self>, listener: &TcpListener) {
         loop {
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -3,7 +3,7 @@
 use super::protocol::{ClientProtocol, Reply, ValueOf};
 use crate::metrics::InFlightRequest;
 use crate::threads::lock;
-use crate::upstream::Presence;
+use crate::upstream::ClientPresence;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::collections::VecDeque;
 use std::net::{Shutdown, TcpStream};
@@ -194,7 +194,7 @@
     }
 }
 
-impl<P: ClientProtocol> Presence for ClientConnection<P> {
+impl<P: ClientProtocol> ClientPresence for ClientConnection<P> {
     /// While the limiter closes the connection, a disconnect by the client can't be recognized.
     fn has_left(&self) -> bool {
         let closing = lock(&self.state).closing_when_read;
--- a/src/client/hand_over.rs
+++ b/src/client/hand_over.rs
@@ -2,7 +2,7 @@
 
 use super::connection::ClientConnection;
 use super::protocol::ClientProtocol;
-use super::Front;
+use super::ClientListener;
 use crate::threads::lock;
 use slog::warn;
 use std::net::TcpStream;
@@ -12,7 +12,7 @@
 /// Hands a connection over to another process, with the bytes read from it. Returns false if it stays.
 pub type ConnectionHandOver = Arc<dyn Fn(&TcpStream, &[u8]) -> bool + Send + Sync>;
 
-impl<P: ClientProtocol> Front<P> {
+impl<P: ClientProtocol> ClientListener<P> {
     /// Hands over each connection as soon as no reply is pending on it; `None` ends that.
     pub fn hand_over(&self, to: Option<ConnectionHandOver>) {
         let interrupts = to.is_some();
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -35,7 +35,7 @@
 use std::time::Duration;
 
 /// Serves the clients of a limiter.
-pub struct Front<P: ClientProtocol> {
+pub struct ClientListener<P: ClientProtocol> {
     protocol: P,
     max_connections: AtomicUsize,
     /// Interrupts readers for a hand-over; none if connections are never handed over.
@@ -60,7 +60,7 @@
     full_log: LogThrottle,
 }
 
-impl<P: ClientProtocol> Front<P> {
+impl<P: ClientProtocol> ClientListener<P> {
     /// A front for at most `max_connections`, which passes requests to `events` and counts them in `metrics`.
     pub fn new(
         protocol: P,
--- a/src/client/protocol.rs
+++ b/src/client/protocol.rs
@@ -3,7 +3,7 @@
 use super::session::Session;
 use crate::client::interruptible::InterruptibleReader;
 use crate::core::Answer;
-use crate::upstream::{Presence, UpstreamProtocol};
+use crate::upstream::{ClientPresence, UpstreamProtocol};
 use std::io;
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -57,12 +57,12 @@
 /// Receives the reply to a request. Dropped without one, it replies that the request failed.
 pub struct ReplySlot<V> {
     fill: Option<Box<dyn FnOnce(Reply<V>) + Send>>,
-    client: Arc<dyn Presence>,
+    client: Arc<dyn ClientPresence>,
 }
 
 impl<V> ReplySlot<V> {
     pub(super) fn new(
-        client: Arc<dyn Presence>,
+        client: Arc<dyn ClientPresence>,
         fill: impl FnOnce(Reply<V>) + Send + 'static,
     ) -> Self {
         Self {
@@ -72,7 +72,7 @@
     }
 
     /// Whether the client is still connected.
-    pub fn presence(&self) -> Arc<dyn Presence> {
+    pub fn presence(&self) -> Arc<dyn ClientPresence> {
         self.client.clone()
     }
 
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -5,7 +5,7 @@
 use super::protocol::{ClientProtocol, CloseReason};
 use super::session::Session;
 use super::watchdog::COMMAND_TIMEOUT;
-use super::Front;
+use super::ClientListener;
 use crate::client::interruptible::InterruptibleReader;
 use crate::threads::lock;
 use std::io::{self, Read};
@@ -42,7 +42,7 @@
     Other,
 }
 
-impl<P: ClientProtocol> Front<P> {
+impl<P: ClientProtocol> ClientListener<P> {
     /// Reads commands until the connection ends or is handed over, beginning with the bytes in `unread`.
     pub(super) fn run_reader(
         self: &Arc<Self>,
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -4,7 +4,7 @@
 use super::event::{ClientEvent, ClientRequest};
 use super::protocol::{ClientProtocol, CloseReason, Reply, ReplySlot, ValueOf};
 use super::watchdog::COMMAND_TIMEOUT;
-use super::Front;
+use super::ClientListener;
 use crate::threads::lock;
 use slog::info;
 use std::io::Write;
@@ -18,7 +18,7 @@
 
 /// Receives the commands that a [`ClientProtocol`] reads from one connection.
 pub struct Session<'a, P: ClientProtocol> {
-    pub(super) front: &'a Arc<Front<P>>,
+    pub(super) front: &'a Arc<ClientListener<P>>,
     pub(super) connection: &'a Arc<ClientConnection<P>>,
     pub(super) number: u64,
 }
@@ -36,7 +36,7 @@
         }
         let number = self.front.next_number.fetch_add(1, Ordering::Relaxed);
         let unanswered = self.connection.begin_command()?;
-        let in_flight = Some(self.front.metrics.taken(class));
+        let in_flight = Some(self.front.metrics.begin_request(class));
         if unanswered > MAX_PIPELINED {
             self.dismiss(CloseReason::TooMany);
             return None;
@@ -144,7 +144,7 @@
 
     /// Counts a request of this class that was never submitted as failed.
     pub fn count_failed(&self, class: usize) {
-        drop(self.front.metrics.taken(class));
+        drop(self.front.metrics.begin_request(class));
     }
 
     /// Passes a request to the core.
--- a/src/client/watchdog.rs
+++ b/src/client/watchdog.rs
@@ -3,7 +3,7 @@
 
 use super::connection::{peer_hung_up, ClientConnection, SHORT_IDLE};
 use super::protocol::ClientProtocol;
-use super::Front;
+use super::ClientListener;
 use crate::threads::lock;
 use std::collections::HashMap;
 use std::net::Shutdown;
@@ -25,7 +25,7 @@
 /// Connections on which requests were received, in fifths of all.
 const REQUESTING_FIFTHS: usize = 3;
 
-impl<P: ClientProtocol> Front<P> {
+impl<P: ClientProtocol> ClientListener<P> {
     /// Checks all connections in an interval for as long as the process runs.
     pub(super) fn run_watchdog(&self) {
         let mut connections = lock(&self.connections);
--- a/src/client/writer.rs
+++ b/src/client/writer.rs
@@ -3,7 +3,7 @@
 use super::connection::{ClientConnection, ConnectionState, PendingReply};
 use super::protocol::{ClientProtocol, Reply, ValueOf};
 use super::reader::CLOSE_LINGER;
-use super::Front;
+use super::ClientListener;
 use crate::core::Answer;
 use crate::metrics::{InFlightRequest, RequestOutcome};
 use crate::threads::{lock, spawn};
@@ -30,7 +30,7 @@
     in_flight: Option<InFlightRequest>,
 }
 
-impl<P: ClientProtocol> Front<P> {
+impl<P: ClientProtocol> ClientListener<P> {
     /// Starts a writer thread if the next reply can be written and none runs.
     ///
     /// Guards against a waiting thread for each connection or request: a system that suspends and resumes a process, as for a
--- a/src/config/accounts.rs
+++ b/src/config/accounts.rs
@@ -11,9 +11,9 @@
     /// Index of its plan.
     pub plan: usize,
     /// Number of limiters that receive its requests.
-    pub spread: u32,
+    pub limiter_count: u32,
     /// Number of the first of these limiters.
-    pub first: u32,
+    pub first_limiter: u32,
 }
 
 /// A plan and the name by which accounts refer to it.
@@ -50,8 +50,8 @@
             .ok_or_else(|| entry.wrong("plan", "the name of one of the plans"))?;
         let account = AccountConfig {
             plan,
-            spread: entry.integer_or("spread", u64::from(limiters))? as u32,
-            first: entry.integer_or("first", 0)? as u32,
+            limiter_count: entry.integer_or("spread", u64::from(limiters))? as u32,
+            first_limiter: entry.integer_or("first", 0)? as u32,
         };
         Ok((entry.text("name")?.to_owned(), account))
     };
--- a/src/config/common.rs
+++ b/src/config/common.rs
@@ -19,36 +19,36 @@
     /// Address at which clients connect.
     pub listen: SocketAddr,
     /// Address of the admin interface, if there is one.
-    pub control: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The folder that this process shares with its predecessor and its successor in an upgrade.
     pub common_folder: Option<PathBuf>,
     /// Configuration of the membership protocol, if limiters know each other.
-    pub fleet: Option<FleetSettings>,
+    pub membership: Option<FleetSettings>,
     /// Configuration of quota leases, if units are leased.
-    pub leases: Option<QuotaLeaseConfig>,
+    pub quota_leases: Option<QuotaLeaseConfig>,
     /// Names of the request classes, for operators.
     pub class_names: Vec<String>,
     /// Seed of the random numbers.
     pub seed: u64,
     /// File descriptors in all.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Requests that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// Timeouts of connections to upstream servers.
-    pub links: ConnectionSettings,
+    pub connections: ConnectionSettings,
     /// Settings of the decision module.
     pub settings: Settings,
     /// The endpoint list that is known at the start.
-    pub known: EndpointUpdate,
+    pub initial_endpoints: EndpointUpdate,
 }
 
 /// Timeouts of connections to upstream servers.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
     /// Time after which an upstream server closes an idle connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time within which a connection must be established.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
 }
 
 /// Bounds the configured number of file descriptors.
--- a/src/config/endpoints.rs
+++ b/src/config/endpoints.rs
@@ -15,9 +15,9 @@
     /// Version of the list.
     pub generation: u64,
     /// The update has all endpoints, not changed ones alone.
-    pub full: bool,
+    pub is_snapshot: bool,
     /// Endpoints, each with its address.
-    pub nodes: Vec<(Endpoint, SocketAddr)>,
+    pub endpoints: Vec<(Endpoint, SocketAddr)>,
 }
 
 /// Reads an endpoint list, or a change of it.
@@ -30,20 +30,14 @@
     let entries = update.required("instances", "a list", Value::as_array)?;
     Ok(EndpointUpdate {
         generation: update.required("generation", "a whole number", Value::as_u64)?,
-        full: update.optional("reset", false, "true or false", Value::as_bool)?,
-        nodes: entries
+        is_snapshot: update.optional("reset", false, "true or false", Value::as_bool)?,
+        endpoints: entries
             .iter()
             .map(read_endpoint)
             .collect::<Result<_, _>>()?,
     })
 }
 
-/// Reads an endpoint list as [`read_endpoint_update`] does, with the error as text.
-// Kept until the lead joins the folders: service discovery logs the text.
-pub fn endpoint_update(value: &Value) -> Result<EndpointUpdate, String> {
-    read_endpoint_update(value).map_err(|error| error.to_string())
-}
-
 fn read_endpoint(value: &Value) -> Result<(Endpoint, SocketAddr), ConfigError> {
     let entry = Section::new(value, "instances[]");
     let readiness = entry.required(
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,16 +19,9 @@
 pub use accounts::AccountConfig;
 pub use allocator::{allocator, allocator_from_file};
 pub use common::{CommonConfig, ConnectionSettings};
-pub use endpoints::{endpoint_update, read_endpoint_update, EndpointUpdate};
+pub use endpoints::{read_endpoint_update, EndpointUpdate};
 pub use error::ConfigError;
 pub use openapi::{openapi, OpenApiConfig};
 pub use platform::{platform, PlatformConfig};
 pub use quota_lease::QuotaLeaseConfig;
 pub use store::StoreConfig;
-
-// Re-exported until the lead joins the folders.
-pub use {
-    common::CommonConfig as Common, common::ConnectionSettings as Links,
-    error::ConfigError as Fault, openapi::OpenApiConfig as OpenApi,
-    platform::PlatformConfig as Platform,
-};
--- a/src/config/openapi.rs
+++ b/src/config/openapi.rs
@@ -163,26 +163,26 @@
     let limits = root.section("limits");
     let seed = root.integer_or("seed", u64::from(std::process::id()))?;
     let links = ConnectionSettings {
-        idle: Duration::from_millis(limits.integer_or("idle_ms", 30_000)?),
-        connect: Duration::from_millis(limits.integer_or("connect_ms", 250)?.max(1)),
+        idle_timeout: Duration::from_millis(limits.integer_or("idle_ms", 30_000)?),
+        connect_timeout: Duration::from_millis(limits.integer_or("connect_ms", 250)?.max(1)),
     };
     Ok(CommonConfig {
         name: root.text_or("name", "openapi")?,
         listen: root.address("listen")?,
-        control: root.optional_address("control")?,
+        admin_address: root.optional_address("control")?,
         common_folder: None,
-        fleet: read_membership(root, Member::limiter(&settings, seed))?,
-        leases,
+        membership: read_membership(root, Member::limiter(&settings, seed))?,
+        quota_leases: leases,
         class_names: description.class_names.clone(),
         seed,
-        descriptors: bounded_descriptors(limits.integer_or("sockets", MAX_DESCRIPTORS)?),
-        max_open: bounded_open_requests(limits.integer_or("max_open", MAX_OPEN_REQUESTS)?),
-        links,
+        max_descriptors: bounded_descriptors(limits.integer_or("sockets", MAX_DESCRIPTORS)?),
+        max_open_requests: bounded_open_requests(limits.integer_or("max_open", MAX_OPEN_REQUESTS)?),
+        connections: links,
         settings,
-        known: EndpointUpdate {
+        initial_endpoints: EndpointUpdate {
             generation: 0,
-            full: true,
-            nodes,
+            is_snapshot: true,
+            endpoints: nodes,
         },
     })
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -30,7 +30,7 @@
     /// What every limiter has.
     pub common: CommonConfig,
     /// Address of service discovery.
-    pub node_list: SocketAddr,
+    pub discovery: SocketAddr,
     /// Address of the quota counter, if there is one.
     pub quota_counter: Option<SocketAddr>,
     /// Names of classes and plans.
@@ -38,7 +38,7 @@
     /// Names of the figures of a load report, in the order of the decision module's settings.
     pub load_fields: Vec<String>,
     /// Most units that a request may take.
-    pub most_units: f64,
+    pub max_units: f64,
 }
 
 /// Reads the configuration of a limiter on the platform. `env` looks up the environment variables that stand in for
@@ -84,24 +84,24 @@
     let links = read_connection_settings(&section)?;
     let names = Names::from_settings(section.value);
     Ok(PlatformConfig {
-        node_list: root.address("discovery")?,
+        discovery: root.address("discovery")?,
         quota_counter,
         load_fields: read_load_fields(&section)?,
-        most_units: read_max_units(&section)?,
+        max_units: read_max_units(&section)?,
         common: CommonConfig {
             name: root.text("name")?.to_owned(),
             listen: root.address("listen")?,
-            control: root.optional_address("control")?,
+            admin_address: root.optional_address("control")?,
             common_folder: None,
-            fleet: read_membership(root, Member::limiter(&settings, seed))?,
-            leases: None,
+            membership: read_membership(root, Member::limiter(&settings, seed))?,
+            quota_leases: None,
             class_names: names.classes().to_vec(),
             seed,
-            descriptors: bounded_descriptors(sockets),
-            max_open: bounded_open_requests(max_open),
-            links,
+            max_descriptors: bounded_descriptors(sockets),
+            max_open_requests: bounded_open_requests(max_open),
+            connections: links,
             settings,
-            known,
+            initial_endpoints: known,
         },
         names,
     })
@@ -110,8 +110,8 @@
 fn read_connection_settings(settings: &Section<'_>) -> Result<ConnectionSettings, ConfigError> {
     let limits = settings.section("limits");
     Ok(ConnectionSettings {
-        idle: limits.micros_or("connIdle", DEFAULT_IDLE)?,
-        connect: limits.micros_or("connectTimeout", DEFAULT_CONNECT)?,
+        idle_timeout: limits.micros_or("connIdle", DEFAULT_IDLE)?,
+        connect_timeout: limits.micros_or("connectTimeout", DEFAULT_CONNECT)?,
     })
 }
 
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -16,7 +16,7 @@
     /// A Redis server.
     Redis(SocketAddr),
     /// The platform's quota counter.
-    QuotaCounter(SocketAddr),
+    HttpCounterProtocol(SocketAddr),
     /// Allocators of quota leases.
     Leases,
 }
@@ -24,7 +24,7 @@
 impl StoreConfig {
     /// Whether limiters add to a common counter.
     pub(super) fn has_counter(self) -> bool {
-        matches!(self, Self::Redis(_) | Self::QuotaCounter(_))
+        matches!(self, Self::Redis(_) | Self::HttpCounterProtocol(_))
     }
 }
 
@@ -43,7 +43,7 @@
     let store = match kind {
         "none" => StoreConfig::None,
         "redis" => StoreConfig::Redis(section.address("address")?),
-        "quota-counter" => StoreConfig::QuotaCounter(section.address("address")?),
+        "quota-counter" => StoreConfig::HttpCounterProtocol(section.address("address")?),
         "leases" => {
             let leases = QuotaLeaseConfig::from_store(section.value, limiter)?;
             return Ok(Store {
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -5,7 +5,7 @@
 use super::open_requests::{request_id, request_number, ResponseStream};
 use super::Core;
 use crate::decision::{AccountId, AttemptResult, Event, Micros, Outcome, RequestId, ServerId};
-use crate::handover::message::Body;
+use crate::handover::message::HandoverMessage;
 use slog::warn;
 use std::collections::{HashMap, HashSet};
 
@@ -82,7 +82,8 @@
         let running = self.attempts.by_id.remove(&attempt)?;
         if self.upgrade.state_is_handed_over() {
             let account = running.account.0.to_string();
-            self.transport.notify_peer_process(Body::Ended(account));
+            self.transport
+                .notify_peer_process(HandoverMessage::Ended(account));
         }
         Some(running)
     }
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -10,7 +10,7 @@
 
 /// The endpoint list, and the servers that operators have disabled or enabled again.
 #[derive(Debug, Default)]
-pub struct Bans {
+pub struct ServerBans {
     /// The endpoints as service discovery reports them, without removed ones.
     listed: HashMap<ServerId, Endpoint>,
     /// Ids of all servers that were ever listed.
@@ -21,7 +21,7 @@
     enabled_at: HashMap<ServerId, Micros>,
 }
 
-impl Bans {
+impl ServerBans {
     /// Applies an update of the endpoint list; returns the endpoints as the engine is to use them.
     pub fn news(&mut self, scope: UpdateScope, members: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(scope, UpdateScope::Snapshot | UpdateScope::Cached) {
@@ -110,8 +110,8 @@
     pub fn all(&self) -> Vec<Ban> {
         let disabled = self.disabled.iter().map(|id| Ban {
             id: id.0.to_string(),
-            out: true,
-            at: 0,
+            is_banned: true,
+            lifted_at: 0,
         });
         let enabled = self
             .enabled_at
@@ -119,8 +119,8 @@
             .filter(|(id, _)| !self.disabled.contains(*id))
             .map(|(id, enabled_at)| Ban {
                 id: id.0.to_string(),
-                out: false,
-                at: *enabled_at,
+                is_banned: false,
+                lifted_at: *enabled_at,
             });
         disabled.chain(enabled).collect()
     }
@@ -130,11 +130,11 @@
     pub fn adopt(&mut self, ban: &Ban) -> Vec<Endpoint> {
         let id = ServerId::from(&*ban.id);
         self.ever_listed.insert(id.clone());
-        if ban.out {
+        if ban.is_banned {
             self.disabled.insert(id.clone());
         } else {
             self.disabled.remove(&id);
-            self.enabled_at.insert(id.clone(), ban.at);
+            self.enabled_at.insert(id.clone(), ban.lifted_at);
         }
         self.current(&id)
     }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -3,7 +3,7 @@
 use super::messages::Transport;
 use super::Core;
 use crate::decision::{Micros, ServerId};
-use crate::handover::message::{Body, LearnedState};
+use crate::handover::message::{HandoverMessage, LearnedState};
 use crossbeam_channel::Sender;
 
 /// A command to the core, which reads these before anything else.
@@ -37,7 +37,7 @@
     /// Adopt what a predecessor knew; the reply is sent once that is done.
     AdoptState(LearnedState, Sender<()>),
     /// A message of the other process.
-    PeerMessage(Body),
+    PeerMessage(HandoverMessage),
     /// Everything open is answered or handed over: end.
     Finish,
 }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -3,7 +3,7 @@
 use super::messages::Transport;
 use super::Core;
 use crate::decision::{Endpoint, Event, Micros, Readiness, ServerId, UpdateScope};
-use crate::handover::message::{Ban, Body};
+use crate::handover::message::{Ban, HandoverMessage};
 
 impl<T: Transport> Core<T> {
     /// Applies an update of the endpoint list.
@@ -61,11 +61,12 @@
         };
         let is_known = changed.is_some();
         if is_known {
-            self.transport.notify_peer_process(Body::Ban(Ban {
-                id: server.0.to_string(),
-                out: is_disabled,
-                at: now,
-            }));
+            self.transport
+                .notify_peer_process(HandoverMessage::Ban(Ban {
+                    id: server.0.to_string(),
+                    is_banned: is_disabled,
+                    lifted_at: now,
+                }));
             if is_disabled {
                 self.transport.block_server(server);
             }
@@ -76,7 +77,7 @@
 
     /// Applies what an operator has had the other process of an upgrade do.
     pub(super) fn adopt_ban(&mut self, now: Micros, ban: &Ban) {
-        if ban.out {
+        if ban.is_banned {
             self.transport.block_server(&ServerId::from(&*ban.id));
         }
         let endpoints = self.bans.adopt(ban);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -3,7 +3,7 @@
 use crate::decision::{
     AccountId, Endpoint, Outcome, QuotaShares, RequestId, ServerId, UpdateScope,
 };
-use crate::handover::message::Body;
+use crate::handover::message::HandoverMessage;
 use crate::quota_lease::link::AllocatorEvent;
 use crate::quota_lease::message::Report;
 use std::sync::Arc;
@@ -77,7 +77,7 @@
     /// written yet.
     fn block_server(&mut self, server: &ServerId);
     /// Sends a message to the other process of an upgrade, if there is one.
-    fn notify_peer_process(&mut self, message: Body);
+    fn notify_peer_process(&mut self, message: HandoverMessage);
     /// Reports how many upstream servers are listed, and how many of them get no requests.
     fn report_endpoints(&mut self, known: usize, excluded: usize);
     /// Adds to a counter. [`Input::CounterReply`] with this call's number has the total.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -29,7 +29,7 @@
 use crate::quota_lease::holder::Holder;
 use crate::Engine;
 use attempts::RunningAttempts;
-use bans::Bans;
+use bans::ServerBans;
 use counter_calls::CounterCalls;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use deadlines::Deadline;
@@ -78,7 +78,7 @@
     counter_calls: CounterCalls,
     /// None where units are not leased.
     leases: Option<Leases>,
-    bans: Bans,
+    bans: ServerBans,
     upgrade: UpgradeState,
     phase: Phase,
     rules: RequestRules,
@@ -150,7 +150,7 @@
             attempts: RunningAttempts::default(),
             counter_calls: CounterCalls::new(counter_timeout),
             leases,
-            bans: Bans::default(),
+            bans: ServerBans::default(),
             upgrade: UpgradeState::default(),
             phase: Phase::Serving,
             rules,
--- a/src/core/upgrade.rs
+++ b/src/core/upgrade.rs
@@ -4,7 +4,7 @@
 use super::messages::Transport;
 use super::Core;
 use crate::decision::{AccountId, Micros, UpdateScope};
-use crate::handover::message::{Body, LearnedState};
+use crate::handover::message::{HandoverMessage, LearnedState};
 use std::collections::HashMap;
 use std::mem::take;
 
@@ -67,10 +67,10 @@
         self.upgrade.predecessor_attempts = self.engine.adopt_state(now, state);
     }
 
-    fn handle_peer_message(&mut self, now: Micros, message: Body) {
+    fn handle_peer_message(&mut self, now: Micros, message: HandoverMessage) {
         match message {
-            Body::Ban(ban) => self.adopt_ban(now, &ban),
-            Body::Ended(account) => {
+            HandoverMessage::Ban(ban) => self.adopt_ban(now, &ban),
+            HandoverMessage::Ended(account) => {
                 let account = AccountId::from(&*account);
                 let running = self.upgrade.predecessor_attempts.get_mut(&account);
                 if let Some(running) = running.filter(|running| **running > 0) {
@@ -78,7 +78,7 @@
                     self.engine.ended_before(&account);
                 }
             }
-            Body::FinalReport(report) => {
+            HandoverMessage::FinalReport(report) => {
                 // All attempts of the predecessor have ended with it.
                 for (account, running) in take(&mut self.upgrade.predecessor_attempts) {
                     for _ in 0..running {
--- a/src/counter/http.rs
+++ b/src/counter/http.rs
@@ -9,11 +9,16 @@
 const MAX_BODY_BYTES: usize = 1_024;
 
 /// The protocol of the platform's quota counter.
-pub struct QuotaCounter;
+pub struct HttpCounterProtocol;
 
-impl CounterProtocol for QuotaCounter {
-    fn word(&self, addition: &Addition, to: SocketAddr) -> Vec<u8> {
-        let Addition { name, by, ttl, .. } = addition;
+impl CounterProtocol for HttpCounterProtocol {
+    fn encode(&self, addition: &Addition, to: SocketAddr) -> Vec<u8> {
+        let Addition {
+            counter: name,
+            amount: by,
+            ttl,
+            ..
+        } = addition;
         let ttl = ttl.as_millis();
         let request_line = format!("POST /v1/count/{name}?add={by}&ttl_ms={ttl} HTTP/1.1");
         format!("{request_line}\r\nHost: {to}\r\nContent-Length: 0\r\n\r\n").into_bytes()
@@ -23,7 +28,7 @@
         let mut reader = Reader::new(from);
         while let Ok((head, body)) = reader.response_with_body(MAX_BODY_BYTES, false) {
             let reply = decode(head.status, &body);
-            if !on_reply(reply.outcome, reply.total) || !head.keep || reply.is_in_doubt() {
+            if !on_reply(reply.outcome, reply.total) || !head.keep_alive || reply.is_in_doubt() {
                 break;
             }
         }
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -25,7 +25,7 @@
 /// Encodes calls of a counter and decodes its replies.
 pub trait CounterProtocol: Send + Sync + 'static {
     /// Encodes a call for the counter at this address.
-    fn word(&self, addition: &Addition, to: SocketAddr) -> Vec<u8>;
+    fn encode(&self, addition: &Addition, to: SocketAddr) -> Vec<u8>;
 
     /// Reads replies and passes the outcome and the total of each to `on_reply`.
     ///
@@ -37,11 +37,11 @@
 /// One call: adds an amount to a counter.
 pub struct Addition {
     /// Number of the call, returned with its result.
-    pub call: u64,
+    pub call_number: u64,
     /// Name of the counter.
-    pub name: u64,
+    pub counter: u64,
     /// Amount to add, in units; negative to return units.
-    pub by: f64,
+    pub amount: f64,
     /// Lifetime of the counter, if this call creates it.
     pub ttl: Duration,
 }
@@ -91,11 +91,11 @@
 
 /// A client of one counter.
 #[derive(Clone)]
-pub struct CountLines {
+pub struct CounterClient {
     writers: Vec<Sender<Command>>,
 }
 
-impl CountLines {
+impl CounterClient {
     /// Starts one writer thread a connection.
     ///
     /// `wait` is the timeout of a call; connect and write timeouts are derived from it.
@@ -123,7 +123,7 @@
 
     /// Starts a call. Its result is passed to the callback later, perhaps after the core stopped waiting for it.
     pub fn add(&self, addition: Addition) {
-        let writer = &self.writers[addition.name as usize % CONNECTIONS];
+        let writer = &self.writers[addition.counter as usize % CONNECTIONS];
         // A writer thread runs until the process ends, so the channel is open.
         _ = writer.send(Command::Add(addition));
     }
--- a/src/counter/redis.rs
+++ b/src/counter/redis.rs
@@ -9,17 +9,17 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// The protocol of a Redis server.
-pub struct RedisCounter;
+pub struct RedisCounterProtocol;
 
 /// Replies to one call: to `MULTI`, to two queued commands and to `EXEC`.
 const REPLIES_PER_CALL: usize = 4;
 
-impl CounterProtocol for RedisCounter {
+impl CounterProtocol for RedisCounterProtocol {
     /// `SET` with `NX` creates a counter with its lifetime, which later calls leave as it is; the transaction keeps calls
     /// of other limiters from running between it and the addition.
-    fn word(&self, addition: &Addition, _: SocketAddr) -> Vec<u8> {
-        let key = format!("mossrill:count:{}", addition.name);
-        let amount = addition.by.to_string();
+    fn encode(&self, addition: &Addition, _: SocketAddr) -> Vec<u8> {
+        let key = format!("mossrill:count:{}", addition.counter);
+        let amount = addition.amount.to_string();
         let ttl = addition.ttl.as_millis().max(1).to_string();
         let commands = [
             &["MULTI"][..],
--- a/src/counter/writer.rs
+++ b/src/counter/writer.rs
@@ -91,7 +91,7 @@
                     warn!(self.log, "counter unreachable"; "error" => %error);
                 }
                 self.is_unreachable = true;
-                (self.counted)(addition.call, Outcome::ConnectFailed, 0.0);
+                (self.counted)(addition.call_number, Outcome::ConnectFailed, 0.0);
             }
         }
     }
@@ -130,16 +130,16 @@
     }
 
     fn write(&mut self, connection: &CounterConnection, addition: &Addition) {
-        let bytes = self.protocol.word(addition, self.address);
+        let bytes = self.protocol.encode(addition, self.address);
         if connection
-            .write(addition.call, self.last_call, &bytes)
+            .write(addition.call_number, self.last_call, &bytes)
             .is_ok()
         {
             return;
         }
         // An incomplete call adds nothing, unless the reader has reported it as in doubt already.
-        if connection.withdraw(addition.call) {
-            (self.counted)(addition.call, Outcome::ConnectFailed, 0.0);
+        if connection.withdraw(addition.call_number) {
+            (self.counted)(addition.call_number, Outcome::ConnectFailed, 0.0);
         }
         connection.close();
         self.connection = None;
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -269,14 +269,14 @@
         if self.address_changes.is_pending() {
             return Err(WatchError::AddressChanged);
         }
-        let mut update = match config::endpoint_update(value) {
+        let mut update = match config::read_endpoint_update(value) {
             Ok(update) => update,
             Err(error) => return Err(self.unreadable(&error.to_string())),
         };
-        update.full |= kind == UpdateKind::FullList;
+        update.is_snapshot |= kind == UpdateKind::FullList;
         let generation = update.generation;
-        let full = update.full;
-        let endpoint_count = update.nodes.len();
+        let full = update.is_snapshot;
+        let endpoint_count = update.endpoints.len();
         self.generation = Some(generation);
         self.last_result = PollResult::Succeeded;
         (self.on_update)(update);
--- a/src/handover/coordinator.rs
+++ b/src/handover/coordinator.rs
@@ -83,7 +83,7 @@
             return Ok(None);
         };
         let link = Link::new(stream)?;
-        link.say(HandoverMessage::Join(VERSION), None)?;
+        link.send(HandoverMessage::Join(VERSION), None)?;
         match link.receive(SuccessorStage::Joining.limit())? {
             (HandoverMessage::Accept(_), Some(listener)) => {
                 let listener = TcpListener::from(listener);
@@ -137,7 +137,7 @@
             }
             None => {
                 while !endpoints_known(Duration::MAX) {}
-                process.serving();
+                process.begin_serving();
                 coordinator.serve_successors(None, &*process);
             }
         })
@@ -149,7 +149,7 @@
     /// # Errors
     ///
     /// The thread can't be started.
-    pub fn teller(self: Arc<Self>) -> io::Result<Sender<HandoverMessage>> {
+    pub fn message_sender(self: Arc<Self>) -> io::Result<Sender<HandoverMessage>> {
         let (sender, messages) = unbounded();
         spawn("handover-tell", move || {
             for message in messages {
@@ -163,12 +163,12 @@
         let peer = lock(&self.peer).clone();
         if let Some(link) = peer {
             // A lost connection is noticed by the thread that receives.
-            _ = link.say(message, None);
+            _ = link.send(message, None);
         }
     }
 
     /// Sends the last message of a process that exits.
-    pub fn farewell(&self, report: FinalReport) {
+    pub fn send_final_report(&self, report: FinalReport) {
         self.send_to_peer(HandoverMessage::FinalReport(report));
     }
 
--- a/src/handover/knowledge.rs
+++ b/src/handover/knowledge.rs
@@ -20,21 +20,21 @@
     pub fn learned_state(&mut self) -> LearnedState {
         LearnedState {
             accounts: self.give_accounts(),
-            nodes: self.server_records(),
+            servers: self.server_records(),
             bans: Vec::new(),
-            paces: self.latencies.iter().map(|class| class.mean).collect(),
-            fails: self
+            mean_latencies: self.latencies.iter().map(|class| class.mean).collect(),
+            failure_rates: self
                 .latencies
                 .iter()
                 .map(|class| class.failure_rate)
                 .collect(),
             virtual_time: self.queue.virtual_time,
-            depth: self.concurrency.limit,
-            depth_cut: self.concurrency.last_cut,
+            concurrency_limit: self.concurrency.limit,
+            concurrency_limit_decreased_at: self.concurrency.last_cut,
             send_rate: self.servers.send_rate,
-            price: self.counter.price,
-            calls: self.counter.max_calls,
-            mean_worth: self.counter.mean_weight,
+            counter_call_price: self.counter.price,
+            max_counter_calls: self.counter.max_calls,
+            mean_priority_weight: self.counter.mean_weight,
         }
     }
 
@@ -55,17 +55,17 @@
             records.push(AccountRecord {
                 id: id.0.to_string(),
                 plan: account.plan as u32,
-                spread: account.limiter_count,
-                finish: account.finish_tag,
-                level: account.tokens - kept,
-                filled: account.refilled_at,
-                pending: std::mem::take(&mut account.unreported),
+                limiter_count: account.limiter_count,
+                finish_tag: account.finish_tag,
+                bucket_level: account.tokens - kept,
+                bucket_filled_at: account.refilled_at,
+                unreported_units: std::mem::take(&mut account.unreported),
                 window: account.window,
-                told: account.reported + in_call,
-                seen: account.seen_elsewhere,
-                answered: account.total_at.unwrap_or(0),
-                last_seen: account.last_request_at,
-                open: account.in_flight,
+                reported_units: account.reported + in_call,
+                units_elsewhere: account.seen_elsewhere,
+                last_counter_reply: account.total_at.unwrap_or(0),
+                last_request: account.last_request_at,
+                in_flight: account.in_flight,
             });
             account.tokens = kept;
         }
@@ -76,7 +76,7 @@
         let failures = |failures: &BTreeMap<usize, FailureRate>| {
             let record = |(class, failure): (&usize, &FailureRate)| Fails {
                 class: *class as u32,
-                part: failure.rate,
+                share: failure.rate,
                 at: failure.updated_at,
             };
             failures.iter().map(record).collect()
@@ -86,9 +86,9 @@
             .map(|(id, server)| Node {
                 id: id.0.to_string(),
                 started: server.started_at,
-                ratio: server.health.relative_latency,
-                judged: server.health.judged_at,
-                fails: failures(&server.health.failures),
+                latency_ratio: server.health.relative_latency,
+                ratio_updated_at: server.health.judged_at,
+                failures: failures(&server.health.failures),
             })
             .collect()
     }
@@ -99,8 +99,8 @@
             let id = AccountId::from(&*record.id);
             if let Some(account) = self.accounts.get_mut(&id) {
                 let burst = self.settings.plans[account.plan].burst;
-                account.tokens = (account.tokens + record.level).min(burst);
-                account.unreported += record.pending;
+                account.tokens = (account.tokens + record.bucket_level).min(burst);
+                account.unreported += record.unreported_units;
                 let synced_at = account.synced_at;
                 self.counter
                     .schedule(SyncReason::UnitsToReport, synced_at, id);
@@ -111,13 +111,13 @@
     /// Takes what a predecessor has learned. Returns the predecessor's attempts in flight by account.
     pub fn adopt_state(&mut self, now: Micros, state: LearnedState) -> HashMap<AccountId, u32> {
         self.adopt_averages(now, &state);
-        for node in state.nodes {
+        for node in state.servers {
             self.adopt_server(now, node);
         }
         let mut in_flight = HashMap::new();
         for record in state.accounts {
             let id = AccountId::from(&*record.id);
-            let attempts = record.open;
+            let attempts = record.in_flight;
             if self.adopt_account(now, &id, record) && attempts > 0 {
                 in_flight.insert(id, attempts);
             }
@@ -126,7 +126,7 @@
     }
 
     fn adopt_averages(&mut self, now: Micros, state: &LearnedState) {
-        let records = state.paces.iter().zip(&state.fails);
+        let records = state.mean_latencies.iter().zip(&state.failure_rates);
         for (class, (mean, failure_rate)) in self.latencies.iter_mut().zip(records) {
             if is_sound(*mean) && *mean > 0.0 && is_sound(*failure_rate) {
                 class.mean = *mean;
@@ -135,14 +135,14 @@
         }
         adopt(&mut self.queue.virtual_time, state.virtual_time);
         adopt(&mut self.servers.send_rate, state.send_rate);
-        adopt(&mut self.counter.price, state.price);
-        adopt(&mut self.counter.mean_weight, state.mean_worth);
-        if is_sound(state.depth) && state.depth > 0.0 {
-            self.concurrency.limit = state.depth;
-            self.concurrency.last_cut = state.depth_cut.min(now);
+        adopt(&mut self.counter.price, state.counter_call_price);
+        adopt(&mut self.counter.mean_weight, state.mean_priority_weight);
+        if is_sound(state.concurrency_limit) && state.concurrency_limit > 0.0 {
+            self.concurrency.limit = state.concurrency_limit;
+            self.concurrency.last_cut = state.concurrency_limit_decreased_at.min(now);
         }
-        if is_sound(state.calls) {
-            self.counter.max_calls = state.calls.max(1.0);
+        if is_sound(state.max_counter_calls) {
+            self.counter.max_calls = state.max_counter_calls.max(1.0);
         }
     }
 
@@ -152,18 +152,21 @@
         };
         // The predecessor has sent what a server in slow start may be sent.
         server.slow_start = SlowStart::new(now, 0.0);
-        if server.started_at != node.started || !is_sound(node.ratio) || node.ratio <= 0.0 {
+        if server.started_at != node.started
+            || !is_sound(node.latency_ratio)
+            || node.latency_ratio <= 0.0
+        {
             return;
         }
-        server.health.relative_latency = node.ratio;
-        server.health.judged_at = node.judged.min(now);
+        server.health.relative_latency = node.latency_ratio;
+        server.health.judged_at = node.ratio_updated_at.min(now);
         let sound = node
-            .fails
+            .failures
             .into_iter()
-            .filter(|record| is_sound(record.part));
+            .filter(|record| is_sound(record.share));
         let failure = |record: Fails| {
             let rate = FailureRate {
-                rate: record.part.min(1.0),
+                rate: record.share.min(1.0),
                 updated_at: record.at.min(now),
             };
             (record.class as usize, rate)
@@ -177,32 +180,32 @@
             return false;
         };
         let figures = [
-            record.finish,
-            record.level,
-            record.pending,
-            record.told,
-            record.seen,
+            record.finish_tag,
+            record.bucket_level,
+            record.unreported_units,
+            record.reported_units,
+            record.units_elsewhere,
         ];
         if !figures.iter().all(|figure| figure.is_finite()) {
             return false;
         }
-        let limiter_count = record.spread.clamp(1, self.settings.limiters.max(1));
+        let limiter_count = record.limiter_count.clamp(1, self.settings.limiters.max(1));
         let account = Account {
             plan: record.plan as usize,
             limiter_count,
             share_divisor: f64::from(limiter_count),
-            finish_tag: record.finish,
-            tokens: record.level.min(plan.burst),
-            refilled_at: record.filled.min(now),
-            unreported: record.pending,
+            finish_tag: record.finish_tag,
+            tokens: record.bucket_level.min(plan.burst),
+            refilled_at: record.bucket_filled_at.min(now),
+            unreported: record.unreported_units,
             window: record.window,
-            reported: record.told,
-            seen_elsewhere: record.seen,
-            synced_at: record.answered.min(now),
-            total_at: Some(record.answered.min(now)).filter(|at| *at > 0),
-            last_request_at: record.last_seen.min(now),
+            reported: record.reported_units,
+            seen_elsewhere: record.units_elsewhere,
+            synced_at: record.last_counter_reply.min(now),
+            total_at: Some(record.last_counter_reply.min(now)).filter(|at| *at > 0),
+            last_request_at: record.last_request.min(now),
             ceiling_refilled_at: now,
-            in_flight: record.open,
+            in_flight: record.in_flight,
             ..Account::default()
         };
         if account.unreported != 0.0 {
--- a/src/handover/limiter_process.rs
+++ b/src/handover/limiter_process.rs
@@ -18,19 +18,19 @@
     /// Adopts the state of a predecessor; returns once this is done.
     fn adopt_state(&self, state: LearnedState);
     /// Accepts connections, or stops accepting them.
-    fn accept(&self, goes_on: bool);
+    fn set_accepting(&self, goes_on: bool);
     /// Begins to serve: an endpoint list and the state of a predecessor, if there is one, are known.
-    fn serving(&self);
+    fn begin_serving(&self);
     /// Hands connections over to the other process, or with none ceases to do so.
-    fn hand_over(&self, to: Option<Arc<Link>>);
+    fn hand_over_connections(&self, to: Option<Arc<Link>>);
     /// Serves a connection that was handed over, with the bytes that were read from it and not processed.
-    fn adopt(&self, connection: OwnedFd, read: Vec<u8>);
+    fn adopt_connection(&self, connection: OwnedFd, read: Vec<u8>);
     /// Processes a ban, the end of an attempt or a final report from the other process.
-    fn hear(&self, news: HandoverMessage);
+    fn process_message(&self, news: HandoverMessage);
     /// Shares the limits with another process, or ceases to do so.
-    fn share(&self, shared: bool);
+    fn set_sharing(&self, shared: bool);
     /// Whether no connection and no open request is left.
-    fn empty(&self) -> bool;
+    fn is_drained(&self) -> bool;
     /// Exits.
-    fn depart(&self);
+    fn exit(&self);
 }
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// The message is longer than [`MAX_FRAME_BYTES`], the peer does not read, or the connection is closed.
-    pub fn say(&self, message: HandoverMessage, descriptor: Option<BorrowedFd>) -> io::Result<()> {
+    pub fn send(&self, message: HandoverMessage, descriptor: Option<BorrowedFd>) -> io::Result<()> {
         let bytes = encode(message)?;
         let _guard = lock(&self.send_lock);
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -55,9 +55,6 @@
     }
 }
 
-// Re-exported until the lead joins the folders.
-pub use HandoverMessage as Body;
-
 /// All that a limiter has learned and its successor would have to learn anew.
 #[derive(Clone, PartialEq, Message)]
 pub struct LearnedState {
@@ -66,37 +63,37 @@
     pub accounts: Vec<Account>,
     /// Upstream servers.
     #[prost(message, repeated, tag = "2")]
-    pub nodes: Vec<Node>,
+    pub servers: Vec<Node>,
     /// Bans of upstream servers, and bans that were lifted.
     #[prost(message, repeated, tag = "3")]
     pub bans: Vec<Ban>,
     /// Mean response time of each class, in microseconds.
     #[prost(double, repeated, tag = "4")]
-    pub paces: Vec<f64>,
+    pub mean_latencies: Vec<f64>,
     /// Share of the attempts of each class that fail.
     #[prost(double, repeated, tag = "5")]
-    pub fails: Vec<f64>,
+    pub failure_rates: Vec<f64>,
     /// Virtual time of the fair queue.
     #[prost(double, tag = "6")]
     pub virtual_time: f64,
     /// The concurrency limit D.
     #[prost(double, tag = "7")]
-    pub depth: f64,
+    pub concurrency_limit: f64,
     /// Time at which it was last decreased, in microseconds.
     #[prost(uint64, tag = "8")]
-    pub depth_cut: u64,
+    pub concurrency_limit_decreased_at: u64,
     /// Attempts sent a second.
     #[prost(double, tag = "9")]
     pub send_rate: f64,
     /// Price of a call of the counter.
     #[prost(double, tag = "10")]
-    pub price: f64,
+    pub counter_call_price: f64,
     /// Calls of the counter that may be in flight at once.
     #[prost(double, tag = "11")]
-    pub calls: f64,
+    pub max_counter_calls: f64,
     /// Mean priority weight of a request.
     #[prost(double, tag = "12")]
-    pub mean_worth: f64,
+    pub mean_priority_weight: f64,
 }
 
 /// The state of an account. Times are in microseconds of Unix time.
@@ -110,37 +107,37 @@
     pub plan: u32,
     /// Number of limiters that receive its requests.
     #[prost(uint32, tag = "3")]
-    pub spread: u32,
+    pub limiter_count: u32,
     /// Finish tag of its last request.
     #[prost(double, tag = "4")]
-    pub finish: f64,
+    pub finish_tag: f64,
     /// Units in the local copy of its token bucket.
     #[prost(double, tag = "5")]
-    pub level: f64,
+    pub bucket_level: f64,
     /// Time at which the bucket had this level.
     #[prost(uint64, tag = "6")]
-    pub filled: u64,
+    pub bucket_filled_at: u64,
     /// Units forwarded and not reported to the counter, which the successor alone reports.
     #[prost(double, tag = "7")]
-    pub pending: f64,
+    pub unreported_units: f64,
     /// Number of the counting window.
     #[prost(uint64, tag = "8")]
     pub window: u64,
     /// Units that this limiter reported in the window.
     #[prost(double, tag = "9")]
-    pub told: f64,
+    pub reported_units: f64,
     /// Units of other limiters that were seen in the window.
     #[prost(double, tag = "10")]
-    pub seen: f64,
+    pub units_elsewhere: f64,
     /// Time of the last reply of the counter; none if 0.
     #[prost(uint64, tag = "11")]
-    pub answered: u64,
+    pub last_counter_reply: u64,
     /// Time of the last request.
     #[prost(uint64, tag = "12")]
-    pub last_seen: u64,
+    pub last_request: u64,
     /// Attempts in flight.
     #[prost(uint32, tag = "13")]
-    pub open: u32,
+    pub in_flight: u32,
 }
 
 /// The state of an upstream server.
@@ -154,13 +151,13 @@
     pub started: u64,
     /// Its response time relative to the others.
     #[prost(double, tag = "3")]
-    pub ratio: f64,
+    pub latency_ratio: f64,
     /// Time at which the ratio was last updated, in microseconds of Unix time.
     #[prost(uint64, tag = "4")]
-    pub judged: u64,
+    pub ratio_updated_at: u64,
     /// Failures by class.
     #[prost(message, repeated, tag = "5")]
-    pub fails: Vec<Fails>,
+    pub failures: Vec<Fails>,
 }
 
 /// How often the attempts of a class fail at an upstream server.
@@ -171,7 +168,7 @@
     pub class: u32,
     /// Share of its attempts that fail.
     #[prost(double, tag = "2")]
-    pub part: f64,
+    pub share: f64,
     /// Time of the last attempt, in microseconds of Unix time.
     #[prost(uint64, tag = "3")]
     pub at: u64,
@@ -185,10 +182,10 @@
     pub id: String,
     /// Whether the server is banned.
     #[prost(bool, tag = "2")]
-    pub out: bool,
+    pub is_banned: bool,
     /// Time at which the ban was lifted, in microseconds of Unix time.
     #[prost(uint64, tag = "3")]
-    pub at: u64,
+    pub lifted_at: u64,
 }
 
 /// The last message of a process.
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -17,9 +17,6 @@
 pub use coordinator::{PredecessorConnection, UpgradeCoordinator};
 pub use limiter_process::LimiterProcess;
 
-// Re-exported until the lead joins the folders.
-pub use {coordinator::UpgradeCoordinator as Beside, limiter_process::LimiterProcess as Limiting};
-
 use message::HandoverMessage;
 use stage::Signal;
 use std::os::fd::OwnedFd;
@@ -39,16 +36,16 @@
         HandoverMessage::Serving(_) => Some(Signal::Serving),
         HandoverMessage::Connection(read) => {
             if let Some(connection) = descriptor {
-                process.adopt(connection, read);
+                process.adopt_connection(connection, read);
             }
             None
         }
         HandoverMessage::FinalReport(_) => {
-            process.hear(message);
+            process.process_message(message);
             Some(Signal::Finished)
         }
         HandoverMessage::Ban(_) | HandoverMessage::Ended(_) => {
-            process.hear(message);
+            process.process_message(message);
             None
         }
     }
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -111,7 +111,7 @@
     }
 
     fn on_silence(&self) -> Option<Event> {
-        if self.stage == PredecessorStage::Draining && self.process.empty() {
+        if self.stage == PredecessorStage::Draining && self.process.is_drained() {
             return Some(Event::Drained);
         }
         let limit = match self.stage {
@@ -127,12 +127,14 @@
         match step {
             Step::Send(signal) => self.send(signal),
             Step::CloseConnection => self.link.shutdown(),
-            Step::StopAccepting => self.process.accept(false),
-            Step::HandOverConnections => self.process.hand_over(Some(self.link.clone())),
+            Step::StopAccepting => self.process.set_accepting(false),
+            Step::HandOverConnections => {
+                self.process.hand_over_connections(Some(self.link.clone()))
+            }
             Step::ResumeServing(failure) => self.resume(failure),
             Step::ReclaimState => self.process.reclaim_state(),
-            Step::EndSharing => self.process.share(false),
-            Step::Exit => self.process.depart(),
+            Step::EndSharing => self.process.set_sharing(false),
+            Step::Exit => self.process.exit(),
             // Steps of the successor.
             Step::Serve | Step::ServeAlone(_) => {}
         }
@@ -141,16 +143,18 @@
     fn send(&self, signal: Signal) {
         match signal {
             Signal::Accept => {
-                self.process.share(true);
+                self.process.set_sharing(true);
                 *lock(&self.coordinator.peer) = Some(self.link.clone());
                 let listener = self.process.listener().as_fd();
-                _ = self.link.say(HandoverMessage::Accept(true), Some(listener));
+                _ = self
+                    .link
+                    .send(HandoverMessage::Accept(true), Some(listener));
             }
-            Signal::Reject => _ = self.link.say(HandoverMessage::Reject(true), None),
+            Signal::Reject => _ = self.link.send(HandoverMessage::Reject(true), None),
             Signal::State => {
                 // Without an answer from the core nothing is sent: the confirmation times out and the hand-over fails.
                 if let Some(state) = self.process.give_state() {
-                    _ = self.link.say(HandoverMessage::LearnedState(state), None);
+                    _ = self.link.send(HandoverMessage::LearnedState(state), None);
                 }
             }
             // The final report is sent when the process exits, with the units that the core has not reported.
@@ -162,7 +166,7 @@
 
     fn resume(&self, failure: HandoverFailure) {
         warn!(self.coordinator.log, "upgrade: aborted, serving again"; "error" => %failure);
-        self.process.hand_over(None);
-        self.process.accept(true);
+        self.process.hand_over_connections(None);
+        self.process.set_accepting(true);
     }
 }
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -115,13 +115,13 @@
         while let Some(step) = steps.pop_front() {
             match step {
                 Step::Send(Signal::RequestState) => {
-                    _ = self.link.say(HandoverMessage::RequestState(true), None);
+                    _ = self.link.send(HandoverMessage::RequestState(true), None);
                 }
                 Step::Send(Signal::Serving) => steps.extend(self.confirm()),
                 Step::Serve => self.serve(),
                 Step::ServeAlone(failure) => self.serve_alone(failure),
                 Step::EndSharing => {
-                    self.process.share(false);
+                    self.process.set_sharing(false);
                     info!(self.coordinator.log, "upgrade: predecessor has ended");
                 }
                 // Steps of the predecessor.
@@ -138,7 +138,7 @@
 
     /// Confirms that this process serves, and returns the steps that follow.
     fn confirm(&mut self) -> Vec<Step> {
-        let event = match self.link.say(HandoverMessage::Serving(true), None) {
+        let event = match self.link.send(HandoverMessage::Serving(true), None) {
             Ok(()) => Event::Sent,
             Err(_) => Event::ConnectionLost,
         };
@@ -150,12 +150,12 @@
             self.process.adopt_state(state);
         }
         for ended in self.early_ends.drain(..) {
-            self.process.hear(ended);
+            self.process.process_message(ended);
         }
         // Before readiness is reported: the next upgrade must find this process.
         self.socket = self.coordinator.bind_socket();
-        self.process.accept(true);
-        self.process.serving();
+        self.process.set_accepting(true);
+        self.process.begin_serving();
         info!(self.coordinator.log, "upgrade: state received");
     }
 
@@ -165,8 +165,8 @@
         while !self.endpoints_known {
             self.endpoints_known = (self.poll_endpoints)(Duration::MAX);
         }
-        self.process.accept(true);
-        self.process.serving();
-        self.process.share(false);
+        self.process.set_accepting(true);
+        self.process.begin_serving();
+        self.process.set_sharing(false);
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -73,7 +73,7 @@
     }
 
     /// Counts a request of the class with this index as in flight until the result is dropped.
-    pub fn taken(self: &Arc<Self>, class: usize) -> InFlightRequest {
+    pub fn begin_request(self: &Arc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.fetch_add(1, Relaxed);
         InFlightRequest {
             metrics: self.clone(),
@@ -83,7 +83,7 @@
     }
 
     /// Counts an attempt that was written whole to an upstream server.
-    pub fn attempt(&self) {
+    pub fn count_attempt(&self) {
         self.attempts.fetch_add(1, Relaxed);
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Sets the numbers of upstream servers that are listed, and that are excluded from load balancing.
-    pub fn servers(&self, known: usize, excluded: usize) {
+    pub fn set_server_counts(&self, known: usize, excluded: usize) {
         self.known_servers.store(known, Relaxed);
         self.excluded_servers.store(excluded, Relaxed);
     }
--- a/src/openapi/client_protocol.rs
+++ b/src/openapi/client_protocol.rs
@@ -8,7 +8,7 @@
 use crate::decision::AccountId;
 use crate::openapi::description::{Description, Found, Operation};
 use crate::openapi::upstream_protocol::{HttpRequest, HttpResponse, HttpUpstreamProtocol};
-use crate::protocol::http::{header, Ask, Body, Broken, Reader};
+use crate::protocol::http::{header, Body, Broken, Reader, RequestHead};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -28,7 +28,7 @@
 
 /// A request as it was received.
 struct ReceivedRequest {
-    head: Ask,
+    head: RequestHead,
     body: Vec<u8>,
     received_at: Instant,
 }
@@ -118,8 +118,8 @@
     /// Submits a request to the core, or replies with what is wrong with it.
     fn process(&self, request: ReceivedRequest, session: &Session<Self>) -> NextRequest {
         let context = ReplyContext {
-            keep_alive: request.head.keep,
-            is_http_1_1: request.head.modern,
+            keep_alive: request.head.keep_alive,
+            is_http_1_1: request.head.is_http_1_1,
             is_head: request.head.method == "HEAD",
         };
         match self.identify(&request.head) {
@@ -149,8 +149,8 @@
             plan: target.account.plan,
             account: AccountId::from(target.account_name),
             units: operation.units,
-            limiter_count: target.account.spread,
-            first_limiter: target.account.first,
+            limiter_count: target.account.limiter_count,
+            first_limiter: target.account.first_limiter,
             client,
             call: HttpRequest {
                 method: request.head.method,
@@ -206,7 +206,7 @@
     }
 
     /// Finds the operation and the account that a request names.
-    fn identify(&self, head: &Ask) -> Result<RequestTarget<'_>, Problem> {
+    fn identify(&self, head: &RequestHead) -> Result<RequestTarget<'_>, Problem> {
         let operation = self.find_operation(head)?;
         let (account_name, account) = self.find_account(head)?;
         if let Some(key) = &operation.key_header {
@@ -223,7 +223,7 @@
         })
     }
 
-    fn find_operation(&self, head: &Ask) -> Result<&Operation, Problem> {
+    fn find_operation(&self, head: &RequestHead) -> Result<&Operation, Problem> {
         let path = head.target.split(['?', '#']).next().unwrap_or("");
         match self.description.find(&head.method, path) {
             Found::Operation(operation) => Ok(operation),
@@ -235,7 +235,7 @@
         }
     }
 
-    fn find_account(&self, head: &Ask) -> Result<(&str, AccountConfig), Problem> {
+    fn find_account(&self, head: &RequestHead) -> Result<(&str, AccountConfig), Problem> {
         let name = header(&head.headers, &self.account_header)
             .and_then(|name| std::str::from_utf8(name).ok());
         match name.and_then(|name| self.accounts.get_key_value(name)) {
@@ -272,8 +272,8 @@
 }
 
 /// Checks what makes a request unreadable before its body is read.
-fn check_head(head: &Ask) -> Result<(), Problem> {
-    if head.modern && header(&head.headers, "host").is_none() {
+fn check_head(head: &RequestHead) -> Result<(), Problem> {
+    if head.is_http_1_1 && header(&head.headers, "host").is_none() {
         return Err(Problem::new(400, "no Host"));
     }
     if matches!(head.body, Body::Length(length) if length > MAX_BODY) {
@@ -287,8 +287,8 @@
 }
 
 /// Whether the client waits for an interim response before it sends the body (RFC 9110, 10.1.1).
-fn awaits_continue(head: &Ask) -> bool {
+fn awaits_continue(head: &RequestHead) -> bool {
     let expects = header(&head.headers, "expect")
         .is_some_and(|value| value.eq_ignore_ascii_case(b"100-continue"));
-    expects && head.modern && head.body != Body::Empty
+    expects && head.is_http_1_1 && head.body != Body::Empty
 }
--- a/src/openapi/mod.rs
+++ b/src/openapi/mod.rs
@@ -10,9 +10,9 @@
 pub mod upstream_protocol;
 
 use crate::config::{OpenApiConfig, StoreConfig};
-use crate::counter::http::QuotaCounter;
-use crate::counter::redis::RedisCounter;
-use crate::counter::CountLines;
+use crate::counter::http::HttpCounterProtocol;
+use crate::counter::redis::RedisCounterProtocol;
+use crate::counter::CounterClient;
 use crate::process::{Limiter, Reload};
 use client_protocol::HttpClientProtocol;
 use slog::{info, o, warn, Logger};
@@ -38,12 +38,22 @@
     let counter_log = log.new(o!("part" => "counter"));
     let start_counter = |on_reply| match store {
         StoreConfig::None | StoreConfig::Leases => Ok(None),
-        StoreConfig::Redis(address) => {
-            CountLines::start(address, timeout, RedisCounter, on_reply, &counter_log).map(Some)
-        }
-        StoreConfig::QuotaCounter(address) => {
-            CountLines::start(address, timeout, QuotaCounter, on_reply, &counter_log).map(Some)
-        }
+        StoreConfig::Redis(address) => CounterClient::start(
+            address,
+            timeout,
+            RedisCounterProtocol,
+            on_reply,
+            &counter_log,
+        )
+        .map(Some),
+        StoreConfig::HttpCounterProtocol(address) => CounterClient::start(
+            address,
+            timeout,
+            HttpCounterProtocol,
+            on_reply,
+            &counter_log,
+        )
+        .map(Some),
     };
     let clients =
         HttpClientProtocol::new(config.description, config.account_header, config.accounts);
@@ -54,11 +64,11 @@
         start_counter,
         log,
     )?;
-    let update_endpoints = limiter.news();
-    let counter = limiter.count_lines();
+    let update_endpoints = limiter.endpoint_updates();
+    let counter = limiter.counter_client();
     let log = log.clone();
     let reload = move |config: OpenApiConfig| {
-        update_endpoints(config.common.known);
+        update_endpoints(config.common.initial_endpoints);
         if !apply_store(store, config.store, counter.as_ref()) {
             warn!(log, "counter or allocator change needs a restart");
         }
@@ -69,11 +79,13 @@
 
 /// Moves the counter to the address of a new configuration. Returns whether the new store is in effect, which needs a
 /// restart where its kind has changed or units are leased.
-fn apply_store(current: StoreConfig, new: StoreConfig, counter: Option<&CountLines>) -> bool {
+fn apply_store(current: StoreConfig, new: StoreConfig, counter: Option<&CounterClient>) -> bool {
     let address = match (current, new) {
         (StoreConfig::None, StoreConfig::None) => return true,
         (StoreConfig::Redis(_), StoreConfig::Redis(address))
-        | (StoreConfig::QuotaCounter(_), StoreConfig::QuotaCounter(address)) => address,
+        | (StoreConfig::HttpCounterProtocol(_), StoreConfig::HttpCounterProtocol(address)) => {
+            address
+        }
         _ => return false,
     };
     match counter {
--- a/src/openapi/streamed_body.rs
+++ b/src/openapi/streamed_body.rs
@@ -1,7 +1,7 @@
 //! Bodies that are too long for a buffer: the thread that writes to the client reads them from the upstream server.
 
 use crate::protocol::http::Reader;
-use crate::upstream::Source;
+use crate::upstream::ConnectionReader;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
@@ -20,7 +20,7 @@
 
 /// A body of known length that is read while it is forwarded.
 pub struct StreamedBody {
-    reader: Reader<Source>,
+    reader: Reader<ConnectionReader>,
     length: usize,
     /// Receives the end; closed without one if the client did not receive all of the body.
     end: Sender<StreamEnd>,
@@ -28,7 +28,10 @@
 
 impl StreamedBody {
     /// Creates a body of `length` bytes and the channel that reports how its streaming ended.
-    pub(super) fn new(reader: Reader<Source>, length: usize) -> (Self, Receiver<StreamEnd>) {
+    pub(super) fn new(
+        reader: Reader<ConnectionReader>,
+        length: usize,
+    ) -> (Self, Receiver<StreamEnd>) {
         let (end, ended) = bounded(1);
         let body = Self {
             reader,
--- a/src/openapi/upstream_protocol.rs
+++ b/src/openapi/upstream_protocol.rs
@@ -6,7 +6,7 @@
 use crate::openapi::description::Operation;
 use crate::platform::upstream_protocol::STALL_TIMEOUT;
 use crate::protocol::http::{Body, Broken, Head, Headers, Reader};
-use crate::upstream::{Connection, Exchange, Source, UpstreamProtocol};
+use crate::upstream::{Connection, ConnectionReader, Exchange, UpstreamProtocol};
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -91,7 +91,7 @@
         connection: &Arc<Connection>,
         begins: &dyn Fn(HttpResponse),
     ) -> Exchange<HttpResponse> {
-        let mut reader = Reader::new(Source(connection.clone()));
+        let mut reader = Reader::new(ConnectionReader(connection.clone()));
         let head = match read_final_head(&mut reader, &request.method) {
             Ok(head) => head,
             Err(error) => return failed(&error),
@@ -109,15 +109,15 @@
         }
     }
 
-    fn probe(&self, _: &TcpStream) -> Exchange<HttpResponse> {
+    fn check_health(&self, _: &TcpStream) -> Exchange<HttpResponse> {
         // Never called: the settings of this front allow no health checks, as OpenAPI has no load reports.
-        Exchange::broke(Outcome::Superseded)
+        Exchange::failed(Outcome::Superseded)
     }
 }
 
 /// Reads the head of the final response, after any interim ones. A response to HEAD has no body, whatever its headers
 /// say.
-fn read_final_head(reader: &mut Reader<Source>, method: &str) -> Result<Head, Broken> {
+fn read_final_head(reader: &mut Reader<ConnectionReader>, method: &str) -> Result<Head, Broken> {
     let mut head = reader.response()?;
     while head.status < 200 {
         head = reader.response()?;
@@ -130,7 +130,7 @@
 
 /// Receives the whole body.
 fn buffer_response(
-    mut reader: Reader<Source>,
+    mut reader: Reader<ConnectionReader>,
     head: Head,
     outcome: Outcome,
 ) -> Exchange<HttpResponse> {
@@ -142,7 +142,7 @@
     Exchange {
         outcome,
         load: Vec::new(),
-        keep: head.keep && framing != Body::ToEnd && reader.drained(),
+        reusable: head.keep_alive && framing != Body::ToEnd && reader.drained(),
         value: Some(HttpResponse {
             head,
             body: HttpBody::Complete(body),
@@ -152,7 +152,7 @@
 
 /// Passes the response on before its body is received, and waits until the body has been forwarded.
 fn stream_response(
-    reader: Reader<Source>,
+    reader: Reader<ConnectionReader>,
     head: Head,
     length: usize,
     connection: &Connection,
@@ -160,9 +160,9 @@
 ) -> Exchange<HttpResponse> {
     let stream = &connection.stream;
     if length > MAX_STREAMED_BODY || stream.set_read_timeout(Some(STALL_TIMEOUT)).is_err() {
-        return Exchange::broke(Outcome::Error);
+        return Exchange::failed(Outcome::Error);
     }
-    let server_keeps = head.keep;
+    let server_keeps = head.keep_alive;
     let (body, ended) = StreamedBody::new(reader, length);
     begins(HttpResponse {
         head,
@@ -173,17 +173,17 @@
             outcome: Outcome::Ok,
             load: Vec::new(),
             value: None,
-            keep: server_keeps && drained && stream.set_read_timeout(None).is_ok(),
+            reusable: server_keeps && drained && stream.set_read_timeout(None).is_ok(),
         },
-        Ok(StreamEnd::BrokenOff) => Exchange::broke(Outcome::Reset),
+        Ok(StreamEnd::BrokenOff) => Exchange::failed(Outcome::Reset),
         // The client closed its connection, or the attempt was superseded.
-        Err(_) => Exchange::broke(Outcome::Cancelled),
+        Err(_) => Exchange::failed(Outcome::Cancelled),
     }
 }
 
 /// The result of an attempt whose response can't be read.
 fn failed(error: &Broken) -> Exchange<HttpResponse> {
-    Exchange::broke(match error {
+    Exchange::failed(match error {
         Broken::Io(error) if error.kind() == ErrorKind::WouldBlock => Outcome::Timeout,
         Broken::Closed | Broken::Io(_) => Outcome::Reset,
         Broken::Malformed(_) | Broken::TooLarge => Outcome::Error,
--- a/src/platform/client_protocol.rs
+++ b/src/platform/client_protocol.rs
@@ -18,9 +18,9 @@
     /// By class: the longest deadline of a client, and whether a request may be executed twice.
     pub classes: Vec<(Duration, Idempotency)>,
     /// The most units of one request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// The number of limiters.
-    pub limiters: u32,
+    pub limiter_count: u32,
 }
 
 impl ClientProtocol for PlatformClientProtocol {
--- a/src/platform/command.rs
+++ b/src/platform/command.rs
@@ -194,14 +194,14 @@
                 Some(("k", value)) => fields.idempotency_key = Some(value),
                 Some(("units", value)) => {
                     fields.units =
-                        parse_if(value, |units| *units > 0.0 && *units <= self.most_units);
+                        parse_if(value, |units| *units > 0.0 && *units <= self.max_units);
                 }
                 Some(("spread", value)) => {
                     fields.limiter_count =
-                        parse_if(value, |count| (1..=self.limiters).contains(count));
+                        parse_if(value, |count| (1..=self.limiter_count).contains(count));
                 }
                 Some(("first", value)) => {
-                    fields.first_limiter = parse_if(value, |first| *first < self.limiters);
+                    fields.first_limiter = parse_if(value, |first| *first < self.limiter_count);
                 }
                 _ => {}
             }
--- a/src/platform/command_reader.rs
+++ b/src/platform/command_reader.rs
@@ -188,7 +188,7 @@
             call: PlatformCall {
                 buffer,
                 words,
-                wait: command.deadline_at,
+                deadline_at: command.deadline_at,
             },
         });
         ControlFlow::Continue(())
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -6,9 +6,9 @@
 mod streamed_value;
 pub mod upstream_protocol;
 
-use crate::config::Platform;
-use crate::counter::http::QuotaCounter;
-use crate::counter::CountLines;
+use crate::config::PlatformConfig;
+use crate::counter::http::HttpCounterProtocol;
+use crate::counter::CounterClient;
 use crate::decision::Settings;
 use crate::discovery::{self, PollSettings, Watch};
 use crate::platform::client_protocol::PlatformClientProtocol;
@@ -26,26 +26,26 @@
 ///
 /// If an address can't be bound or a thread can't be started.
 pub fn start(
-    config: Platform,
+    config: PlatformConfig,
     log: &Logger,
-) -> io::Result<(Limiter<PlatformClientProtocol>, Reload<Platform>)> {
+) -> io::Result<(Limiter<PlatformClientProtocol>, Reload<PlatformConfig>)> {
     let settings = &config.common.settings;
     let drain_grace = Duration::from_micros(settings.safety.drain_grace);
     let counter_timeout = Duration::from_micros(settings.counter_timeout);
-    let generation = config.common.known.generation;
+    let generation = config.common.initial_endpoints.generation;
     let seed = config.common.seed;
     let addresses = Addresses {
-        discovery: config.node_list,
+        discovery: config.discovery,
         counter: config.quota_counter,
     };
-    let clients = client_protocol(settings, config.names, config.most_units);
+    let clients = client_protocol(settings, config.names, config.max_units);
     let upstream = PlatformUpstreamProtocol(config.load_fields);
     let counter_log = log.new(o!("part" => "counter"));
     let start_counter = |counted| match addresses.counter {
-        Some(address) => CountLines::start(
+        Some(address) => CounterClient::start(
             address,
             counter_timeout,
-            QuotaCounter,
+            HttpCounterProtocol,
             counted,
             &counter_log,
         )
@@ -54,7 +54,7 @@
     };
     let limiter = Limiter::start(config.common, clients, upstream, start_counter, log)?;
     let poll_settings = PollSettings {
-        limiter_count: limiter.limiters(),
+        limiter_count: limiter.limiter_count(),
         drain_grace,
         seed,
     };
@@ -62,10 +62,10 @@
         addresses.discovery,
         generation,
         poll_settings,
-        limiter.news(),
+        limiter.endpoint_updates(),
         log.new(o!("part" => "discovery")),
     )?;
-    let reload = reload(addresses, watch, limiter.count_lines(), log.clone());
+    let reload = reload(addresses, watch, limiter.counter_client(), log.clone());
     Ok((limiter, reload))
 }
 
@@ -84,8 +84,8 @@
     PlatformClientProtocol {
         names,
         classes,
-        most_units,
-        limiters: settings.limiters,
+        max_units: most_units,
+        limiter_count: settings.limiters,
     }
 }
 
@@ -93,12 +93,12 @@
 fn reload(
     mut current: Addresses,
     watch: Watch,
-    counter: Option<CountLines>,
+    counter: Option<CounterClient>,
     log: Logger,
-) -> Reload<Platform> {
-    Box::new(move |config: Platform| {
-        if config.node_list != current.discovery {
-            watch.move_to(config.node_list);
+) -> Reload<PlatformConfig> {
+    Box::new(move |config: PlatformConfig| {
+        if config.discovery != current.discovery {
+            watch.move_to(config.discovery);
         }
         match (&counter, config.quota_counter) {
             (Some(counter), Some(address)) if current.counter != Some(address) => {
@@ -108,7 +108,7 @@
             _ => {}
         }
         current = Addresses {
-            discovery: config.node_list,
+            discovery: config.discovery,
             counter: config.quota_counter.or(current.counter),
         };
         info!(log, "configuration reloaded"; "discovery" => %current.discovery, "counter" => ?current.counter);
--- a/src/platform/upstream_protocol.rs
+++ b/src/platform/upstream_protocol.rs
@@ -21,8 +21,6 @@
 /// An upstream server that has begun a streamed value and sends nothing for this long has failed. No deadline ends the
 /// copy sooner.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-// Re-exported until the lead joins the folders.
-pub use STALL_TIMEOUT as STALLED;
 /// Timeout of usage and load report after a streamed value that the client has received.
 const TRAILING_TIMEOUT: Duration = Duration::from_millis(500);
 /// The most bytes read at a time after a streamed value.
@@ -37,7 +35,7 @@
     /// Its words, as ranges of the buffer.
     pub words: Vec<Range<usize>>,
     /// Where the digits of the deadline are; empty if the command has none.
-    pub wait: Range<usize>,
+    pub deadline_at: Range<usize>,
 }
 
 impl PlatformCall {
@@ -47,9 +45,9 @@
         let deadline = time_left.as_millis().max(1).to_string();
         write!(to, "*{}\r\n", self.words.len())?;
         for (index, word) in self.words.iter().enumerate() {
-            if index == FIELDS && !self.wait.is_empty() {
-                let before = &self.buffer[word.start..self.wait.start];
-                let after = &self.buffer[self.wait.end..word.end];
+            if index == FIELDS && !self.deadline_at.is_empty() {
+                let before = &self.buffer[word.start..self.deadline_at.start];
+                let after = &self.buffer[self.deadline_at.end..word.end];
                 let length = before.len() + deadline.len() + after.len();
                 write!(to, "${length}\r\n")?;
                 to.write_all(before)?;
@@ -105,21 +103,21 @@
         };
         // A load report in place of a value serves no request.
         if exchange.outcome == Outcome::Ok && exchange.value.is_none() {
-            return Exchange::broke(Outcome::Error);
+            return Exchange::failed(Outcome::Error);
         }
         exchange
     }
 
-    fn probe(&self, mut stream: &TcpStream) -> Exchange<Served> {
+    fn check_health(&self, mut stream: &TcpStream) -> Exchange<Served> {
         if stream
             .write_all(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")
             .is_err()
         {
-            return Exchange::broke(Outcome::ConnectFailed);
+            return Exchange::failed(Outcome::ConnectFailed);
         }
         match self.read_answer(stream) {
             Answer::Complete(exchange) => exchange,
-            Answer::LongValue { .. } => Exchange::broke(Outcome::Error),
+            Answer::LongValue { .. } => Exchange::failed(Outcome::Error),
         }
     }
 }
@@ -138,7 +136,7 @@
 
 impl PlatformUpstreamProtocol {
     fn read_answer(&self, stream: &TcpStream) -> Answer {
-        let broken = |outcome| Answer::Complete(Exchange::broke(outcome));
+        let broken = |outcome| Answer::Complete(Exchange::failed(outcome));
         let mut buffer = Buffer::none();
         let mut end = 0;
         loop {
@@ -180,7 +178,7 @@
         begins: &dyn Fn(Served),
     ) -> Exchange<Served> {
         if from.stream.set_read_timeout(Some(STALL_TIMEOUT)).is_err() {
-            return Exchange::broke(Outcome::Reset);
+            return Exchange::failed(Outcome::Reset);
         }
         let (ended, end) = bounded(1);
         begins(Served::Streamed(StreamedValue {
@@ -191,9 +189,9 @@
         }));
         match end.recv() {
             Ok(StreamEnd::Complete(trailing)) => self.finish_stream(&from.stream, trailing),
-            Ok(StreamEnd::UpstreamFailed) => Exchange::broke(Outcome::Reset),
+            Ok(StreamEnd::UpstreamFailed) => Exchange::failed(Outcome::Reset),
             // The client disconnected, or nobody wanted the value.
-            Ok(StreamEnd::ClientFailed) | Err(_) => Exchange::broke(Outcome::Cancelled),
+            Ok(StreamEnd::ClientFailed) | Err(_) => Exchange::failed(Outcome::Cancelled),
         }
     }
 
@@ -208,7 +206,7 @@
             outcome: Outcome::Ok,
             load: report.unwrap_or_default(),
             value: None,
-            keep,
+            reusable: keep,
         }
     }
 
@@ -247,7 +245,7 @@
             outcome,
             load,
             value,
-            keep: is_alone,
+            reusable: is_alone,
         };
         match reply {
             Reply::Array(Some(parts)) => {
@@ -256,7 +254,7 @@
                     _ => Vec::new(),
                 };
                 let Some(Reply::Bulk(Some(value))) = parts.into_iter().next() else {
-                    return Exchange::broke(Outcome::Error);
+                    return Exchange::failed(Outcome::Error);
                 };
                 exchange(Outcome::Ok, load, Some(Served::Whole { buffer, value }))
             }
@@ -269,10 +267,10 @@
                 match text.split(|byte| *byte == b' ').next() {
                     Some(b"BUSY") => exchange(Outcome::Rejected, load, None),
                     Some(b"ERR") => exchange(Outcome::Error, load, None),
-                    _ => Exchange::broke(Outcome::Error),
+                    _ => Exchange::failed(Outcome::Error),
                 }
             }
-            _ => Exchange::broke(Outcome::Error),
+            _ => Exchange::failed(Outcome::Error),
         }
     }
 
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -7,14 +7,14 @@
 use super::upgrade::{UpgradeChannel, UpgradeControl};
 use super::Limiter;
 use crate::admin::line::{self, AdminContext};
-use crate::client::{ClientProtocol, Front};
+use crate::client::{ClientListener, ClientProtocol};
 use crate::clock::Clock;
-use crate::config::Common;
+use crate::config::CommonConfig;
 use crate::config::QuotaLeaseConfig;
 use crate::core::{Command, Core, CoreOptions};
-use crate::counter::{CountLines, Counted};
+use crate::counter::{Counted, CounterClient};
 use crate::decision::{QuotaShares, RequestClass, UpdateScope};
-use crate::handover::{Beside, Limiting};
+use crate::handover::{LimiterProcess, UpgradeCoordinator};
 use crate::membership::fleet::{Fleet, FleetSettings};
 use crate::metrics::Metrics;
 use crate::quota_lease::link::AllocatorLinks;
@@ -36,10 +36,10 @@
     /// # Errors
     /// A socket can't be opened or a thread can't be started.
     pub fn start(
-        mut common: Common,
+        mut common: CommonConfig,
         client_protocol: P,
         upstream_protocol: P::Upstream,
-        counter: impl FnOnce(Counted) -> io::Result<Option<CountLines>>,
+        counter: impl FnOnce(Counted) -> io::Result<Option<CounterClient>>,
         log: &Logger,
     ) -> io::Result<Self> {
         let (input_sender, inputs) = unbounded();
@@ -47,7 +47,7 @@
         let assembly = Assembly::<P> {
             queue: CoreQueue::new(input_sender, command_sender),
             metrics: Metrics::new(take(&mut common.class_names)),
-            limits: ConnectionLimits::new(common.descriptors),
+            limits: ConnectionLimits::new(common.max_descriptors),
             log,
         };
         let mut channel = assembly.open_upgrade_channel(&mut common);
@@ -77,17 +77,17 @@
             fleet: started.fleet,
             limiter_count: started.limiter_count,
             longest_deadline,
-            bound: started.bound,
-            control: started.admin,
+            client_address: started.bound,
+            admin_address: started.admin,
         })
     }
 }
 
 /// The connections of a limiter to its clients, upstream servers and counter.
 pub(super) struct Connections<P: ClientProtocol> {
-    pub(super) front: Arc<Front<P>>,
+    pub(super) front: Arc<ClientListener<P>>,
     pub(super) upstream: UpstreamPool<P::Upstream>,
-    pub(super) counter: Option<CountLines>,
+    pub(super) counter: Option<CounterClient>,
 }
 
 /// What is started round the connections of a limiter.
@@ -96,7 +96,7 @@
     clock: Clock,
     /// The core sends on it once it knows an upstream server.
     endpoints_known: Sender<()>,
-    upgrade: Option<Arc<Beside>>,
+    upgrade: Option<Arc<UpgradeCoordinator>>,
     fleet: Option<Fleet>,
     limiter_count: Arc<AtomicU32>,
     bound: SocketAddr,
@@ -118,15 +118,19 @@
 
     /// Joins a predecessor, if there is one. Operators have to be told when a new process may take over:
     /// without an admin interface, and without a folder, none may.
-    fn open_upgrade_channel(&self, common: &mut Common) -> UpgradeChannel {
+    fn open_upgrade_channel(&self, common: &mut CommonConfig) -> UpgradeChannel {
         let folder = common.common_folder.take();
-        let folder = folder.filter(|_| common.control.is_some());
+        let folder = folder.filter(|_| common.admin_address.is_some());
         UpgradeChannel::open(folder, self.log_of("handover"))
     }
 
-    fn upstream_pool(&self, common: &Common, protocol: P::Upstream) -> UpstreamPool<P::Upstream> {
+    fn upstream_pool(
+        &self,
+        common: &CommonConfig,
+        protocol: P::Upstream,
+    ) -> UpstreamPool<P::Upstream> {
         UpstreamPool::new(UpstreamPoolOptions {
-            links: common.links,
+            links: common.connections,
             max_connections: self.limits.upstream(false),
             protocol,
             events: self.queue.upstream_events(),
@@ -135,8 +139,8 @@
         })
     }
 
-    fn front(&self, protocol: P, channel: &mut UpgradeChannel) -> Arc<Front<P>> {
-        Front::new(
+    fn front(&self, protocol: P, channel: &mut UpgradeChannel) -> Arc<ClientListener<P>> {
+        ClientListener::new(
             protocol,
             self.limits.clients(false),
             channel.read_interrupt.take(),
@@ -149,31 +153,34 @@
     /// Starts what accepts connections and what runs beside them.
     fn start_services(
         &self,
-        common: &mut Common,
+        common: &mut CommonConfig,
         connections: &Connections<P>,
         channel: UpgradeChannel,
     ) -> io::Result<Services<P>> {
         let (endpoints_known, first_endpoints) = bounded(1);
-        let cached = take(&mut common.known);
+        let cached = take(&mut common.initial_endpoints);
         self.queue
             .update_endpoints(&connections.upstream, UpdateScope::Cached, cached);
         let listener = listen(common, &connections.front, &channel)?;
         let bound = listener.local_addr()?;
         let clock = Clock::start();
         let limiter_count = Arc::new(AtomicU32::new(common.settings.limiters));
-        let fleet = self.start_fleet(common.fleet.take(), clock, &limiter_count)?;
+        let fleet = self.start_fleet(common.membership.take(), clock, &limiter_count)?;
         let upgrade_control = self.upgrade_control(connections, listener, fleet.clone());
-        upgrade_control.share(channel.joined.is_some());
-        let admin = self.start_admin(common.control, &connections.front, fleet.clone())?;
+        upgrade_control.set_sharing(channel.joined.is_some());
+        let admin = self.start_admin(common.admin_address, &connections.front, fleet.clone())?;
         info!(self.log, "listening"; "address" => %bound, "limiter" => &common.name,
             "control" => admin.map(|address| address.to_string()));
         let upgrade = channel.beside.clone();
-        let peer_messages = upgrade.clone().map(Beside::teller).transpose()?;
+        let peer_messages = upgrade
+            .clone()
+            .map(UpgradeCoordinator::message_sender)
+            .transpose()?;
         start_serving(channel, first_endpoints, upgrade_control)?;
         let transport = LimiterTransport {
             upstream: connections.upstream.clone(),
             counter: connections.counter.clone(),
-            allocators: self.start_allocators(common.leases.as_ref())?,
+            allocators: self.start_allocators(common.quota_leases.as_ref())?,
             metrics: self.metrics.clone(),
             peer_messages,
             has_clients: has_clients(connections.front.clone()),
@@ -231,7 +238,7 @@
     fn start_admin(
         &self,
         address: Option<SocketAddr>,
-        front: &Arc<Front<P>>,
+        front: &Arc<ClientListener<P>>,
         fleet: Option<Fleet>,
     ) -> io::Result<Option<SocketAddr>> {
         let Some(address) = address else {
@@ -240,10 +247,10 @@
         let front = front.clone();
         let queue = self.queue.clone();
         let context = AdminContext {
-            figures: self.metrics.clone(),
+            metrics: self.metrics.clone(),
             fleet,
-            ready: Box::new(move || front.is_ready()),
-            command: Box::new(move |command| queue.command(Command::Admin(command))),
+            is_ready: Box::new(move || front.is_ready()),
+            send_command: Box::new(move |command| queue.command(Command::Admin(command))),
             log: self.log_of("admin"),
         };
         line::listen(address, context).map(Some)
@@ -267,7 +274,7 @@
 
     fn core(
         &self,
-        common: Common,
+        common: CommonConfig,
         transport: LimiterTransport<P::Upstream>,
         clock: Clock,
         endpoints_known: Sender<()>,
@@ -275,11 +282,11 @@
         Core::new(CoreOptions {
             settings: common.settings,
             seed: common.seed,
-            max_open: common.max_open,
+            max_open: common.max_open_requests,
             transport,
             clock,
             endpoints_known,
-            lease_holder: common.leases.map(|leases| leases.holder(clock.now())),
+            lease_holder: common.quota_leases.map(|leases| leases.holder(clock.now())),
             log: self.log_of("core"),
         })
     }
@@ -288,13 +295,13 @@
 /// Accepts connections on the listener of the predecessor or on a new one. A process that has joined a
 /// predecessor does not accept yet.
 fn listen<P: ClientProtocol>(
-    common: &Common,
-    front: &Arc<Front<P>>,
+    common: &CommonConfig,
+    front: &Arc<ClientListener<P>>,
     channel: &UpgradeChannel,
 ) -> io::Result<TcpListener> {
     let listener = match &channel.joined {
         Some(joined) => joined.listener.try_clone()?,
-        None => bind(common.listen, common.control.is_some())?,
+        None => bind(common.listen, common.admin_address.is_some())?,
     };
     front.set_accepting(channel.joined.is_none());
     front.listen(listener.try_clone()?)?;
@@ -313,12 +320,12 @@
         Some(beside) => beside.start(channel.joined, endpoints_known, Arc::new(control)),
         None => spawn("ready", move || {
             while !endpoints_known(Duration::MAX) {}
-            control.serving();
+            control.begin_serving();
         }),
     }
 }
 
-fn has_clients<P: ClientProtocol>(front: Arc<Front<P>>) -> Box<dyn Fn() -> bool + Send> {
+fn has_clients<P: ClientProtocol>(front: Arc<ClientListener<P>>) -> Box<dyn Fn() -> bool + Send> {
     Box::new(move || !front.is_empty())
 }
 
--- a/src/process/core_queue.rs
+++ b/src/process/core_queue.rs
@@ -63,7 +63,7 @@
     ) {
         upstream.update(&update);
         let endpoints = update
-            .nodes
+            .endpoints
             .into_iter()
             .map(|(endpoint, _)| endpoint)
             .collect();
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -14,14 +14,14 @@
 use crate::client::ClientProtocol;
 use crate::config::EndpointUpdate;
 use crate::core::{Command, Core, Input};
-use crate::counter::CountLines;
+use crate::counter::CounterClient;
 use crate::decision::UpdateScope;
-use crate::handover::Beside;
+use crate::handover::UpgradeCoordinator;
 use crate::membership::fleet::Fleet;
 use assembly::Connections;
 use core_queue::CoreQueue;
 use crossbeam_channel::Receiver;
-use shutdown::LAST_ANSWERS;
+use shutdown::REPLY_WRITE_TIME;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
 use std::sync::Arc;
@@ -38,25 +38,25 @@
     commands: Receiver<Command>,
     queue: CoreQueue<P::Upstream>,
     /// None where no other process can take over.
-    upgrade: Option<Arc<Beside>>,
+    upgrade: Option<Arc<UpgradeCoordinator>>,
     connections: Connections<P>,
     fleet: Option<Fleet>,
     limiter_count: Arc<AtomicU32>,
     /// The longest deadline that a request may have.
     longest_deadline: Duration,
     /// Address on which clients connect.
-    pub bound: SocketAddr,
+    pub client_address: SocketAddr,
     /// Address of the admin interface, if there is one.
-    pub control: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
 }
 
 impl<P: ClientProtocol> Limiter<P> {
     /// Applies updates of the endpoint list while the limiter runs.
-    pub fn news(&self) -> impl Fn(EndpointUpdate) + Send + 'static {
+    pub fn endpoint_updates(&self) -> impl Fn(EndpointUpdate) + Send + 'static {
         let queue = self.queue.clone();
         let upstream = self.connections.upstream.clone();
         move |update| {
-            let scope = if update.full {
+            let scope = if update.is_snapshot {
                 UpdateScope::Snapshot
             } else {
                 UpdateScope::Delta
@@ -67,12 +67,12 @@
 
     /// Number of limiters that share whatever serves one caller at a time: those believed alive, or the
     /// configured number without a fleet.
-    pub fn limiters(&self) -> Arc<AtomicU32> {
+    pub fn limiter_count(&self) -> Arc<AtomicU32> {
         self.limiter_count.clone()
     }
 
     /// The client of the counter, whose address a new configuration may change; none without a counter.
-    pub fn count_lines(&self) -> Option<CountLines> {
+    pub fn counter_client(&self) -> Option<CounterClient> {
         self.connections.counter.clone()
     }
 
@@ -89,9 +89,9 @@
     /// Runs the core on this thread until it is stopped; then waits until the last replies are written.
     pub fn run(self) {
         let report = self.core.run(self.inputs, self.commands);
-        self.connections.front.wait_closed(LAST_ANSWERS);
+        self.connections.front.wait_closed(REPLY_WRITE_TIME);
         if let Some(upgrade) = self.upgrade {
-            upgrade.farewell(report);
+            upgrade.send_final_report(report);
         }
     }
 }
--- a/src/process/stopper.rs
+++ b/src/process/stopper.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown of a limiter.
 
 use super::core_queue::CoreQueue;
-use super::shutdown::{last_requests, PARTIAL_COMMAND_POLL, PARTIAL_COMMAND_WAIT, STILL_COMING};
-use crate::client::{ClientProtocol, Front};
+use super::shutdown::{drain_time, ACCEPT_TIME, PARTIAL_COMMAND_POLL, PARTIAL_COMMAND_WAIT};
+use crate::client::{ClientListener, ClientProtocol};
 use crate::membership::fleet::Fleet;
 use std::sync::Arc;
 use std::thread;
@@ -26,7 +26,7 @@
 
 /// What a shutdown needs of the limiter.
 pub(super) struct GracefulShutdown<P: ClientProtocol> {
-    pub(super) front: Arc<Front<P>>,
+    pub(super) front: Arc<ClientListener<P>>,
     pub(super) queue: CoreQueue<P::Upstream>,
     pub(super) fleet: Option<Fleet>,
     pub(super) longest_deadline: Duration,
@@ -38,10 +38,10 @@
         if let Some(fleet) = &self.fleet {
             fleet.leave();
         }
-        thread::sleep(STILL_COMING);
+        thread::sleep(ACCEPT_TIME);
         self.front.close_idle();
         let started = Instant::now();
-        let drain_time = last_requests(self.longest_deadline);
+        let drain_time = drain_time(self.longest_deadline);
         self.wait_for_partial_commands(started, PARTIAL_COMMAND_WAIT.min(drain_time));
         self.queue.shut_down(started + drain_time);
     }
--- a/src/process/transport.rs
+++ b/src/process/transport.rs
@@ -2,9 +2,9 @@
 
 use crate::client::{Reply, ReplySlot};
 use crate::core::{Answer, AttemptDeadlines, AttemptId, Transport};
-use crate::counter::{Addition, CountLines};
+use crate::counter::{Addition, CounterClient};
 use crate::decision::ServerId;
-use crate::handover::message::Body;
+use crate::handover::message::HandoverMessage;
 use crate::metrics::Metrics;
 use crate::quota_lease::link::AllocatorLinks;
 use crate::quota_lease::message::Report;
@@ -16,11 +16,11 @@
 /// Carries out what the core asks for, with upstream servers that speak `S`.
 pub(super) struct LimiterTransport<S: UpstreamProtocol> {
     pub(super) upstream: UpstreamPool<S>,
-    pub(super) counter: Option<CountLines>,
+    pub(super) counter: Option<CounterClient>,
     pub(super) allocators: Option<AllocatorLinks>,
     pub(super) metrics: Arc<Metrics>,
     /// Messages to the other process of an upgrade.
-    pub(super) peer_messages: Option<Sender<Body>>,
+    pub(super) peer_messages: Option<Sender<HandoverMessage>>,
     /// Whether a client is connected.
     pub(super) has_clients: Box<dyn Fn() -> bool + Send>,
 }
@@ -62,22 +62,22 @@
         self.upstream.block_server(server);
     }
 
-    fn notify_peer_process(&mut self, message: Body) {
+    fn notify_peer_process(&mut self, message: HandoverMessage) {
         if let Some(peer_messages) = &self.peer_messages {
             _ = peer_messages.send(message);
         }
     }
 
     fn report_endpoints(&mut self, known: usize, excluded: usize) {
-        self.metrics.servers(known, excluded);
+        self.metrics.set_server_counts(known, excluded);
     }
 
     fn add_to_counter(&mut self, call: u64, key: u64, amount: f64, ttl: Duration) {
         if let Some(counter) = &self.counter {
             counter.add(Addition {
-                call,
-                name: key,
-                by: amount,
+                call_number: call,
+                counter: key,
+                amount,
                 ttl,
             });
         }
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -3,11 +3,11 @@
 use super::connection_limits::ConnectionLimits;
 use super::core_queue::CoreQueue;
 use crate::client::interruptible::ReadInterrupt;
-use crate::client::{ClientProtocol, ConnectionHandOver, Front};
+use crate::client::{ClientListener, ClientProtocol, ConnectionHandOver};
 use crate::core::{Command, HandOverCommand};
 use crate::handover::link::Link;
-use crate::handover::message::{Body, LearnedState};
-use crate::handover::{Beside, Limiting, PredecessorConnection};
+use crate::handover::message::{HandoverMessage, LearnedState};
+use crate::handover::{LimiterProcess, PredecessorConnection, UpgradeCoordinator};
 use crate::membership::fleet::Fleet;
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamPool;
@@ -28,7 +28,7 @@
     /// Interrupts the readers of connections that are to be handed over.
     pub(super) read_interrupt: Option<ReadInterrupt>,
     /// None if no other process can take over.
-    pub(super) beside: Option<Arc<Beside>>,
+    pub(super) beside: Option<Arc<UpgradeCoordinator>>,
     /// The predecessor that this process has joined.
     pub(super) joined: Option<PredecessorConnection>,
 }
@@ -46,7 +46,7 @@
                 return Self::default();
             }
         };
-        let beside = Beside::new(&folder, log);
+        let beside = UpgradeCoordinator::new(&folder, log);
         Self {
             joined: beside.join(),
             read_interrupt: Some(read_interrupt),
@@ -59,7 +59,7 @@
 pub(super) struct UpgradeControl<P: ClientProtocol> {
     pub(super) listener: TcpListener,
     pub(super) fleet: Option<Fleet>,
-    pub(super) front: Arc<Front<P>>,
+    pub(super) front: Arc<ClientListener<P>>,
     pub(super) upstream: UpstreamPool<P::Upstream>,
     pub(super) limits: ConnectionLimits,
     pub(super) metrics: Arc<Metrics>,
@@ -72,7 +72,7 @@
     }
 }
 
-impl<P: ClientProtocol> Limiting for UpgradeControl<P> {
+impl<P: ClientProtocol> LimiterProcess for UpgradeControl<P> {
     fn listener(&self) -> &TcpListener {
         &self.listener
     }
@@ -93,18 +93,18 @@
         _ = adopted.recv_timeout(COMMAND_TIMEOUT);
     }
 
-    fn accept(&self, goes_on: bool) {
+    fn set_accepting(&self, goes_on: bool) {
         self.front.set_accepting(goes_on);
     }
 
-    fn serving(&self) {
+    fn begin_serving(&self) {
         self.front.set_ready();
         if let Some(fleet) = &self.fleet {
             fleet.set_active(true);
         }
     }
 
-    fn hand_over(&self, to: Option<Arc<Link>>) {
+    fn hand_over_connections(&self, to: Option<Arc<Link>>) {
         // Two processes are one member of the fleet: the one that serves sends heartbeats.
         if let Some(fleet) = &self.fleet {
             fleet.set_active(to.is_none());
@@ -115,25 +115,25 @@
         self.front.hand_over(to.map(connection_hand_over));
     }
 
-    fn adopt(&self, connection: OwnedFd, read: Vec<u8>) {
+    fn adopt_connection(&self, connection: OwnedFd, read: Vec<u8>) {
         self.front.adopt(connection.into(), read);
     }
 
-    fn hear(&self, message: Body) {
+    fn process_message(&self, message: HandoverMessage) {
         self.command(HandOverCommand::PeerMessage(message));
     }
 
-    fn share(&self, shared: bool) {
+    fn set_sharing(&self, shared: bool) {
         self.front.set_max_connections(self.limits.clients(shared));
         self.upstream
             .set_max_connections(self.limits.upstream(shared));
     }
 
-    fn empty(&self) -> bool {
+    fn is_drained(&self) -> bool {
         self.front.is_empty() && self.metrics.in_flight() == 0
     }
 
-    fn depart(&self) {
+    fn exit(&self) {
         self.command(HandOverCommand::Finish);
     }
 }
@@ -141,7 +141,7 @@
 /// Hands connections over by a link to the other process.
 fn connection_hand_over(link: Arc<Link>) -> ConnectionHandOver {
     Arc::new(move |stream, read| {
-        let message = Body::Connection(read.to_vec());
-        link.say(message, Some(stream.as_fd())).is_ok()
+        let message = HandoverMessage::Connection(read.to_vec());
+        link.send(message, Some(stream.as_fd())).is_ok()
     })
 }
--- a/src/protocol/http/framing.rs
+++ b/src/protocol/http/framing.rs
@@ -1,6 +1,6 @@
 //! Parses heads, and finds the end of a message and of its connection from the header lines (RFC 9112, section 6).
 
-use crate::protocol::http::{Ask, Body, Broken, Head, Headers, MAX_HEADERS};
+use crate::protocol::http::{Body, Broken, Head, Headers, RequestHead, MAX_HEADERS};
 use httparse::{Header, Request, Response, Status, EMPTY_HEADER};
 
 /// What was parsed and its length in bytes; none while it is incomplete.
@@ -27,14 +27,14 @@
         status,
         reason: response.reason.unwrap_or("").to_owned(),
         body,
-        keep: framing.keep,
+        keep_alive: framing.keep,
         headers: to_owned(response.headers),
     };
     Ok(Some((length, head)))
 }
 
 /// Parses the head of a request.
-pub(super) fn parse_request(bytes: &[u8]) -> Parsed<Ask> {
+pub(super) fn parse_request(bytes: &[u8]) -> Parsed<RequestHead> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     let length = match request.parse(bytes) {
@@ -44,12 +44,12 @@
         Err(_) => return Err(Broken::Malformed("not an HTTP request")),
     };
     let framing = Framing::parse(request.headers, request.version)?;
-    let head = Ask {
+    let head = RequestHead {
         method: request.method.unwrap_or("").to_owned(),
         target: request.path.unwrap_or("").to_owned(),
-        modern: request.version == Some(1),
+        is_http_1_1: request.version == Some(1),
         body: framing.body.unwrap_or(Body::Empty),
-        keep: framing.keep,
+        keep_alive: framing.keep,
         headers: to_owned(request.headers),
     };
     Ok(Some((length, head)))
--- a/src/protocol/http/mod.rs
+++ b/src/protocol/http/mod.rs
@@ -37,24 +37,24 @@
     /// The body that follows.
     pub body: Body,
     /// Whether the connection can be used again after the body.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// The header lines.
     pub headers: Headers,
 }
 
 /// The head of a request.
 #[derive(Debug)]
-pub struct Ask {
+pub struct RequestHead {
     /// The method.
     pub method: String,
     /// The request target: path and query.
     pub target: String,
     /// Whether the version is HTTP/1.1.
-    pub modern: bool,
+    pub is_http_1_1: bool,
     /// The body that follows.
     pub body: Body,
     /// Whether the connection can be used again after the body.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// The header lines.
     pub headers: Headers,
 }
--- a/src/protocol/http/reader.rs
+++ b/src/protocol/http/reader.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::buffers::{Buffer, SIZE};
 use crate::protocol::http::framing::{parse_request, parse_response, Parsed};
-use crate::protocol::http::{Ask, Body, Broken, Head, MAX_HEADERS};
+use crate::protocol::http::{Body, Broken, Head, RequestHead, MAX_HEADERS};
 use httparse::Status;
 use std::io::{self, ErrorKind, Read};
 
@@ -41,7 +41,7 @@
     }
 
     /// Reads the head of a request.
-    pub fn request(&mut self) -> Result<Ask, Broken> {
+    pub fn request(&mut self) -> Result<RequestHead, Broken> {
         self.head(parse_request)
     }
 
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -26,9 +26,9 @@
 }
 
 /// A reader of a connection that shares its ownership.
-pub struct Source(pub Arc<Connection>);
+pub struct ConnectionReader(pub Arc<Connection>);
 
-impl Read for Source {
+impl Read for ConnectionReader {
     fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
         (&self.0.stream).read(to)
     }
@@ -94,7 +94,7 @@
     pub(super) fn reuse(self) -> Option<Arc<Connection>> {
         let usable_from = self.since + REUSE_DELAY;
         thread::sleep(usable_from.saturating_duration_since(Instant::now()));
-        stands(&self.connection.stream).then_some(self.connection)
+        is_open_and_silent(&self.connection.stream).then_some(self.connection)
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// Whether nothing was received on an idle connection: neither its end nor bytes that belong to no request.
-pub fn stands(stream: &TcpStream) -> bool {
+pub fn is_open_and_silent(stream: &TcpStream) -> bool {
     let received =
         SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], PEEK_WITHOUT_WAITING);
     received.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -11,7 +11,7 @@
 mod servers;
 mod worker;
 
-pub use connection::{stands, Connection, Source};
+pub use connection::{is_open_and_silent, Connection, ConnectionReader};
 pub use event::{UpstreamEvent, UpstreamEventSink};
 pub use pool::{UpstreamPool, UpstreamPoolOptions};
-pub use protocol::{Exchange, Presence, UpstreamProtocol};
+pub use protocol::{ClientPresence, Exchange, UpstreamProtocol};
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -2,11 +2,11 @@
 
 use super::connection::{max_idle_time, ConnectionCount};
 use super::event::{UpstreamEvent, UpstreamEventSink};
-use super::protocol::{Presence, UpstreamProtocol};
+use super::protocol::{ClientPresence, UpstreamProtocol};
 use super::running_attempt::RunningAttempt;
 use super::servers::ServerTable;
 use super::worker::{AcquiredConnection, Attempt, Job, Worker};
-use crate::config::{EndpointUpdate, Links};
+use crate::config::{ConnectionSettings, EndpointUpdate};
 use crate::core::{AttemptDeadlines, AttemptId};
 use crate::decision::{Outcome, ServerId};
 use crate::log_throttle::LogThrottle;
@@ -22,7 +22,7 @@
 /// What a pool of upstream connections is made of.
 pub struct UpstreamPoolOptions<S: UpstreamProtocol> {
     /// Time-outs of connections.
-    pub links: Links,
+    pub links: ConnectionSettings,
     /// Most connections to all servers together.
     pub max_connections: usize,
     /// The protocol of the servers.
@@ -51,7 +51,7 @@
 /// What the pool and its workers share.
 pub(super) struct Shared<S: UpstreamProtocol> {
     pub(super) table: Mutex<ServerTable>,
-    pub(super) links: Links,
+    pub(super) links: ConnectionSettings,
     max_connections: AtomicUsize,
     pub(super) connections: ConnectionCount,
     pub(super) protocol: S,
@@ -101,7 +101,7 @@
 impl<S: UpstreamProtocol> UpstreamPool<S> {
     /// A pool that knows no server yet.
     pub fn new(options: UpstreamPoolOptions<S>) -> Self {
-        let table = ServerTable::new(max_idle_time(options.links.idle));
+        let table = ServerTable::new(max_idle_time(options.links.idle_timeout));
         Self {
             shared: Arc::new(Shared {
                 table: Mutex::new(table),
@@ -146,7 +146,7 @@
         server: &ServerId,
         call: Arc<S::Call>,
         deadlines: AttemptDeadlines,
-        client: Arc<dyn Presence>,
+        client: Arc<dyn ClientPresence>,
     ) {
         let running = Arc::new(RunningAttempt::new(server.clone()));
         lock(&self.shared.table)
--- a/src/upstream/protocol.rs
+++ b/src/upstream/protocol.rs
@@ -27,7 +27,7 @@
         begins: &dyn Fn(Self::Value),
     ) -> Exchange<Self::Value>;
     /// Checks the health of the server and reads its load report.
-    fn probe(&self, stream: &TcpStream) -> Exchange<Self::Value>;
+    fn check_health(&self, stream: &TcpStream) -> Exchange<Self::Value>;
 }
 
 /// Result of an exchange on a connection. The connection is used again only after a whole response.
@@ -39,23 +39,23 @@
     /// What the server served.
     pub value: Option<V>,
     /// The connection can be used again.
-    pub keep: bool,
+    pub reusable: bool,
 }
 
 impl<V> Exchange<V> {
     /// An exchange that failed without a response, and whose connection is closed.
-    pub fn broke(outcome: Outcome) -> Self {
+    pub fn failed(outcome: Outcome) -> Self {
         Self {
             outcome,
             load: Vec::new(),
             value: None,
-            keep: false,
+            reusable: false,
         }
     }
 }
 
 /// The client that an attempt is made for.
-pub trait Presence: Send + Sync {
+pub trait ClientPresence: Send + Sync {
     /// Whether the client has closed its connection. Asks the connection itself, without waiting for the
     /// thread that reads from it.
     fn has_left(&self) -> bool;
--- a/src/upstream/servers.rs
+++ b/src/upstream/servers.rs
@@ -59,11 +59,15 @@
     /// Applies an update of the endpoint list. A server that was removed or is absent from a full list loses
     /// its idle connections.
     pub(super) fn update(&mut self, update: &EndpointUpdate) {
-        if update.full {
-            self.servers
-                .retain(|id, _| update.nodes.iter().any(|(endpoint, _)| endpoint.id == *id));
+        if update.is_snapshot {
+            self.servers.retain(|id, _| {
+                update
+                    .endpoints
+                    .iter()
+                    .any(|(endpoint, _)| endpoint.id == *id)
+            });
         }
-        for (endpoint, address) in &update.nodes {
+        for (endpoint, address) in &update.endpoints {
             if endpoint.readiness == Readiness::Removed {
                 self.servers.remove(&endpoint.id);
                 continue;
--- a/src/upstream/worker.rs
+++ b/src/upstream/worker.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, ConnectionSlot, IdleConnection};
 use super::event::UpstreamEvent;
 use super::pool::Shared;
-use super::protocol::{Exchange, Presence, UpstreamProtocol};
+use super::protocol::{ClientPresence, Exchange, UpstreamProtocol};
 use super::running_attempt::RunningAttempt;
 use super::servers::ServerTable;
 use crate::core::{AttemptDeadlines, AttemptId};
@@ -26,7 +26,7 @@
     pub(super) call: Arc<C>,
     pub(super) deadlines: AttemptDeadlines,
     pub(super) running: Arc<RunningAttempt>,
-    pub(super) client: Arc<dyn Presence>,
+    pub(super) client: Arc<dyn ClientPresence>,
 }
 
 /// The connection that a job is carried out on.
@@ -71,7 +71,7 @@
             let mut table = lock(&self.shared.table);
             // A cancelled attempt is not among the running ones, and its connection is closed.
             let was_running = table.running.remove(&attempt.id).is_some();
-            self.release_connection(&mut table, was_running && exchange.keep);
+            self.release_connection(&mut table, was_running && exchange.reusable);
         }
         (self.shared.events)(UpstreamEvent::AttemptEnded {
             attempt: attempt.id,
@@ -84,7 +84,7 @@
     fn run_health_check(mut self, acquired: AcquiredConnection) {
         let started = Instant::now();
         let exchange = self.health_check(acquired);
-        self.release_connection(&mut lock(&self.shared.table), exchange.keep);
+        self.release_connection(&mut lock(&self.shared.table), exchange.reusable);
         (self.shared.events)(UpstreamEvent::HealthChecked {
             server: self.server.clone(),
             outcome: exchange.outcome,
@@ -107,21 +107,21 @@
         attempt: &Attempt<S::Call>,
     ) -> Exchange<S::Value> {
         let Ok(connection) = self.connect(acquired) else {
-            return Exchange::broke(Outcome::ConnectFailed);
+            return Exchange::failed(Outcome::ConnectFailed);
         };
         // Guards against an attempt that begins after its client left: its reader may be paused, and the event
         // may wait in a queue. No judgement on the server; its new connection was never used.
         if attempt.client.has_left() {
             return Exchange {
-                keep: true,
-                ..Exchange::broke(Outcome::Superseded)
+                reusable: true,
+                ..Exchange::failed(Outcome::Superseded)
             };
         }
         let writing = attempt
             .running
             .begin_writing(&connection, attempt.deadlines.write);
         if let Err(outcome) = writing {
-            return Exchange::broke(outcome);
+            return Exchange::failed(outcome);
         }
         self.send_and_receive(&connection, attempt)
     }
@@ -140,9 +140,9 @@
             .write(&attempt.call, &connection.stream, time_left)
             .is_err()
         {
-            return Exchange::broke(Outcome::ConnectFailed);
+            return Exchange::failed(Outcome::ConnectFailed);
         }
-        self.shared.metrics.attempt();
+        self.shared.metrics.count_attempt();
         let report_start = |value| {
             (self.shared.events)(UpstreamEvent::ResponseStarted {
                 attempt: attempt.id,
@@ -156,15 +156,15 @@
     /// its reads and writes have a time-out.
     fn health_check(&mut self, acquired: AcquiredConnection) -> Exchange<S::Value> {
         let Ok(connection) = self.connect(acquired) else {
-            return Exchange::broke(Outcome::ConnectFailed);
+            return Exchange::failed(Outcome::ConnectFailed);
         };
         let stream = &connection.stream;
-        if set_timeouts(stream, Some(self.shared.links.connect)).is_err() {
-            return Exchange::broke(Outcome::ConnectFailed);
+        if set_timeouts(stream, Some(self.shared.links.connect_timeout)).is_err() {
+            return Exchange::failed(Outcome::ConnectFailed);
         }
-        let exchange = self.shared.protocol.probe(stream);
+        let exchange = self.shared.protocol.check_health(stream);
         Exchange {
-            keep: exchange.keep && set_timeouts(stream, None).is_ok(),
+            reusable: exchange.reusable && set_timeouts(stream, None).is_ok(),
             ..exchange
         }
     }
@@ -183,7 +183,7 @@
     }
 
     fn open(&self, slot: ConnectionSlot) -> io::Result<Arc<Connection>> {
-        let stream = TcpStream::connect_timeout(&self.address, self.shared.links.connect)?;
+        let stream = TcpStream::connect_timeout(&self.address, self.shared.links.connect_timeout)?;
         stream.set_nodelay(true)?;
         Ok(Arc::new(Connection {
             stream,
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -49,7 +49,7 @@
 
     fn block_server(&mut self, _: &ServerId) {}
 
-    fn notify_peer_process(&mut self, _: mossrill::handover::message::Body) {}
+    fn notify_peer_process(&mut self, _: mossrill::handover::message::HandoverMessage) {}
 
     fn report_endpoints(&mut self, _: usize, _: usize) {}
 
--- a/tests/golden/wire_texts.rs
+++ b/tests/golden/wire_texts.rs
@@ -4,8 +4,8 @@
 use mossrill::admin;
 use mossrill::client::{ClientProtocol, CloseReason};
 use mossrill::core::Answer;
-use mossrill::counter::http::QuotaCounter;
-use mossrill::counter::redis::RedisCounter;
+use mossrill::counter::http::HttpCounterProtocol;
+use mossrill::counter::redis::RedisCounterProtocol;
 use mossrill::counter::{Addition, CounterProtocol};
 use mossrill::decision::{Idempotency, Outcome, ServerId};
 use mossrill::discovery;
@@ -60,9 +60,9 @@
 
 fn additions() -> Vec<(&'static str, Addition)> {
     let addition = |by, ttl| Addition {
-        call: 9,
-        name: 4_611_686_018_427_387_904,
-        by,
+        call_number: 9,
+        counter: 4_611_686_018_427_387_904,
+        amount: by,
         ttl,
     };
     vec![
@@ -80,11 +80,11 @@
     for (name, addition) in additions() {
         text += &line(
             &format!("http-{name}"),
-            &QuotaCounter.word(&addition, address),
+            &HttpCounterProtocol.encode(&addition, address),
         );
         text += &line(
             &format!("redis-{name}"),
-            &RedisCounter.word(&addition, address),
+            &RedisCounterProtocol.encode(&addition, address),
         );
     }
     assert_matches("counter-calls.txt", &text);
@@ -103,7 +103,7 @@
     PlatformCall {
         buffer,
         words,
-        wait: if deadline_given { at..at + 3 } else { 0..0 },
+        deadline_at: if deadline_given { at..at + 3 } else { 0..0 },
     }
 }
 
@@ -139,7 +139,7 @@
         &written(|to| {
             to.set_read_timeout(Some(Duration::from_millis(1)))
                 .expect("a timeout");
-            assert_eq!(protocol.probe(to).outcome, Outcome::Timeout);
+            assert_eq!(protocol.check_health(to).outcome, Outcome::Timeout);
         }),
     );
     let mut words = Vec::new();
@@ -157,8 +157,8 @@
     let protocol = PlatformClientProtocol {
         names,
         classes,
-        most_units: 6.0,
-        limiters: 3,
+        max_units: 6.0,
+        limiter_count: 3,
     };
     let mut buffer = Buffer::take();
     buffer[..16].copy_from_slice(b"*3\r\n$5\r\nvalue\r\n$");
@@ -212,7 +212,7 @@
         status,
         reason: "Reason".into(),
         body: HttpForm::Length(body.len()),
-        keep: true,
+        keep_alive: true,
         headers,
     };
     HttpResponse {
@@ -353,8 +353,8 @@
 fn hand_over_frames_on_a_connection_are_those_recorded() {
     let (own, mut other) = UnixStream::pair().expect("a connection");
     let link = Link::new(own).expect("a link");
-    link.say(HandoverMessage::Join(1), None).expect("a frame");
-    link.say(HandoverMessage::Ended("account".into()), None)
+    link.send(HandoverMessage::Join(1), None).expect("a frame");
+    link.send(HandoverMessage::Ended("account".into()), None)
         .expect("a frame");
     link.shutdown();
     let mut bytes = Vec::new();
@@ -365,18 +365,18 @@
 #[test]
 fn admin_replies_are_those_recorded() {
     let figures = Metrics::new(vec!["a".into(), "b".into()]);
-    figures.taken(1).finish(RequestOutcome::Served);
-    figures.taken(1).finish(RequestOutcome::Rejected);
-    drop(figures.taken(0));
-    let _open = figures.taken(0);
-    figures.attempt();
-    figures.servers(5, 2);
+    figures.begin_request(1).finish(RequestOutcome::Served);
+    figures.begin_request(1).finish(RequestOutcome::Rejected);
+    drop(figures.begin_request(0));
+    let _open = figures.begin_request(0);
+    figures.count_attempt();
+    figures.set_server_counts(5, 2);
     let mut text = line(
         "show-stat",
-        admin::stat(&figures, vec![("fleet.alive".into(), 3)]).as_bytes(),
+        admin::render_metrics(&figures, vec![("fleet.alive".into(), 3)]).as_bytes(),
     );
-    text += &line("yes", admin::word(Ok(())).as_bytes());
-    text += &line("no", admin::word(Err("why")).as_bytes());
+    text += &line("yes", admin::acknowledgement(Ok(())).as_bytes());
+    text += &line("no", admin::acknowledgement(Err("why")).as_bytes());
     for call in [
         "ready",
         "show-stat",
--- a/tests/peers/limiter.rs
+++ b/tests/peers/limiter.rs
@@ -20,7 +20,11 @@
 
 impl Running {
     fn new<P: ClientProtocol, C>((limiter, _): (Limiter<P>, Reload<C>)) -> Self {
-        let (at, control, stopper) = (limiter.bound, limiter.control, Some(limiter.stopper()));
+        let (at, control, stopper) = (
+            limiter.client_address,
+            limiter.admin_address,
+            Some(limiter.stopper()),
+        );
         Self {
             at,
             control,
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::{asking, next, peer, resp_peer, serve, Act, Client};
 use crate::support::started_limiter;
-use mossrill::upstream::stands;
+use mossrill::upstream::is_open_and_silent;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -143,10 +143,10 @@
         drop(stream);
     });
     let stream = std::net::TcpStream::connect(server).expect("a connection");
-    assert!(stands(&stream));
+    assert!(is_open_and_silent(&stream));
     drop(tell);
     // The end takes a moment to arrive, and no moment too short to be sure of.
-    while stands(&stream) {
+    while is_open_and_silent(&stream) {
         std::thread::yield_now();
     }
 }
--- a/tests/races/counter.rs
+++ b/tests/races/counter.rs
@@ -2,8 +2,8 @@
 
 use crate::peers::{answer, counted, http_peer};
 use crate::support::Gate;
-use mossrill::counter::http::QuotaCounter;
-use mossrill::counter::{Addition, CountLines};
+use mossrill::counter::http::HttpCounterProtocol;
+use mossrill::counter::{Addition, CounterClient};
 use slog::{o, Discard, Logger};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -28,13 +28,19 @@
             .send((call, format!("{outcome:?}"), total));
     });
     let log = Logger::root(Discard, o!());
-    let lines = CountLines::start(counter, Duration::from_secs(20), QuotaCounter, ends, &log)
-        .expect("lines");
+    let lines = CounterClient::start(
+        counter,
+        Duration::from_secs(20),
+        HttpCounterProtocol,
+        ends,
+        &log,
+    )
+    .expect("lines");
     let add = |call| {
         lines.add(Addition {
-            call,
-            name: 4,
-            by: call as f64,
+            call_number: call,
+            counter: 4,
+            amount: call as f64,
             ttl: Duration::from_secs(4),
         })
     };
--- a/tests/units/admin_calls.rs
+++ b/tests/units/admin_calls.rs
@@ -38,11 +38,15 @@
 #[test]
 fn each_request_is_counted_once_at_its_end() {
     let metrics = Metrics::new(vec!["look".into(), "pay".into()]);
-    let (served, gone, open) = (metrics.taken(0), metrics.taken(1), metrics.taken(1));
+    let (served, gone, open) = (
+        metrics.begin_request(0),
+        metrics.begin_request(1),
+        metrics.begin_request(1),
+    );
     served.finish(RequestOutcome::Served);
     drop(gone);
-    metrics.attempt();
-    metrics.servers(3, 1);
+    metrics.count_attempt();
+    metrics.set_server_counts(3, 1);
     insta::assert_snapshot!(render_metrics(&metrics, Vec::new()));
     open.finish(RequestOutcome::Rejected);
     assert!(metrics.all().contains(&("requests.pay.refused".into(), 1)));
--- a/tests/units/bans.rs
+++ b/tests/units/bans.rs
@@ -1,6 +1,6 @@
 //! Upstream servers taken out by operators, over whatever service discovery says.
 
-use mossrill::core::bans::Bans;
+use mossrill::core::bans::ServerBans;
 use mossrill::decision::*;
 fn node(id: &str, readiness: Readiness) -> Endpoint {
     Endpoint {
@@ -23,7 +23,7 @@
 #[test]
 fn a_node_taken_out_stays_out_whatever_the_list_says_until_one_call_back() {
     use Readiness::{Draining, Ready, Removed};
-    let mut bans = Bans::default();
+    let mut bans = ServerBans::default();
     let (a, b) = (ServerId::from("a"), ServerId::from("b"));
     bans.news(
         UpdateScope::Snapshot,
--- a/tests/units/handover_link.rs
+++ b/tests/units/handover_link.rs
@@ -36,13 +36,14 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             use std::os::fd::AsFd;
-            one.say(given.clone(), None).expect("said");
-            one.say(
+            one.send(given.clone(), None).expect("said");
+            one.send(
                 HandoverMessage::Connection(b"half".to_vec()),
                 Some(stream.as_fd()),
             )
             .expect("said");
-            one.say(HandoverMessage::Serving(true), None).expect("said");
+            one.send(HandoverMessage::Serving(true), None)
+                .expect("said");
         });
         assert_eq!(other.receive(WAIT).expect("heard").0, given);
         let (body, descriptor) = other.receive(WAIT).expect("heard");
@@ -70,10 +71,10 @@
     let (one, other) = pair();
     let other = Link::new(other).expect("a link");
     other
-        .say(HandoverMessage::Serving(true), None)
+        .send(HandoverMessage::Serving(true), None)
         .expect("said");
     one.shutdown();
-    assert!(other.say(HandoverMessage::Serving(true), None).is_err());
+    assert!(other.send(HandoverMessage::Serving(true), None).is_err());
     assert_eq!(
         one.receive(WAIT).expect("heard").0,
         HandoverMessage::Serving(true)
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -127,7 +127,7 @@
     let link = Link::new(UnixStream::connect(folder.socket()).expect("a socket")).expect("a link");
     let wait = Some(Duration::from_secs(20));
     if steps > 0 {
-        link.say(
+        link.send(
             HandoverMessage::Join(mossrill::handover::stage::VERSION),
             None,
         )
@@ -138,7 +138,7 @@
         ));
     }
     if steps > 1 {
-        link.say(HandoverMessage::RequestState(true), None)
+        link.send(HandoverMessage::RequestState(true), None)
             .expect("said");
         // An attempt that ends meanwhile may be told of first.
         let mut heard = link.receive(wait);
@@ -190,7 +190,7 @@
             7 => {
                 let link = Link::new(UnixStream::connect(folder.socket()).expect("a socket"))
                     .expect("a link");
-                link.say(HandoverMessage::Join(99), None).expect("said");
+                link.send(HandoverMessage::Join(99), None).expect("said");
                 let answer = link
                     .receive(Some(Duration::from_secs(20)))
                     .expect("an answer");
@@ -306,7 +306,7 @@
             Ok((HandoverMessage::Join(_), None))
         ));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        link.say(HandoverMessage::Accept(true), Some(listener.as_fd()))
+        link.send(HandoverMessage::Accept(true), Some(listener.as_fd()))
             .expect("said");
         assert!(matches!(
             link.receive(wait),
@@ -314,16 +314,16 @@
         ));
         // The core has given, another thread tells of the end, and it is the first to reach the way.
         let account = "00000000b4d65521".to_owned();
-        link.say(HandoverMessage::Ended(account.clone()), None)
+        link.send(HandoverMessage::Ended(account.clone()), None)
             .expect("said");
         let account = Account {
             id: account,
-            spread: 1,
-            level: 100.0,
-            open: 1,
+            limiter_count: 1,
+            bucket_level: 100.0,
+            in_flight: 1,
             ..Account::default()
         };
-        link.say(
+        link.send(
             HandoverMessage::LearnedState(LearnedState {
                 accounts: vec![account],
                 ..LearnedState::default()
@@ -398,7 +398,7 @@
     }
     // It is about to hand over when the word to stop comes, and then the newcomer dies.
     let link = caller(&folder, 2);
-    link.say(HandoverMessage::Serving(true), None)
+    link.send(HandoverMessage::Serving(true), None)
         .expect("said");
     old.logged("Leaving");
     old.signal("TERM");
@@ -442,7 +442,7 @@
     );
     // Serving: the old one waits for what is owed on each connection, and reads from none.
     let link = caller(&folder, 2);
-    link.say(HandoverMessage::Serving(true), None)
+    link.send(HandoverMessage::Serving(true), None)
         .expect("said");
     thread::sleep(Duration::from_millis(200));
     drop(left);
