--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
 # Known to fail for a real fault, each with its cause and issue; .ci/run looks that they still do.
 RED = $(shell cut -d, -f1 KNOWN-RED.txt 2>/dev/null)
--- a/benches/capacity/page/events.rs
+++ b/benches/capacity/page/events.rs
@@ -118,7 +118,7 @@
             &[&list],
         )
         .within(IN_FORCE)
-        .by("random waits (`src/discovery/mod.rs`)"),
+        .by("random waits (`src/discovery/poll_wait.rs`)"),
         loading_memory(
             "start: all that is allocated while the list is read",
             &list_memory,
--- a/benches/capacity/page/steady.rs
+++ b/benches/capacity/page/steady.rs
@@ -166,7 +166,7 @@
             &[&list],
         )
         .within(LONGEST_NEWS)
-        .by("a limit in the program (`src/discovery/mod.rs`)"),
+        .by("a limit in the program (`src/discovery/watcher.rs`)"),
         Line::new(
             "service discovery",
             "changes by restarts of servers, one entry each",
--- a/lab/src/lease_mechanism.rs
+++ b/lab/src/lease_mechanism.rs
@@ -11,7 +11,7 @@
 use crate::scenario::Quota;
 use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
-use mossrill::quota_lease::holder::{Answer, Holder, HolderSettings, Outcome, Take, Ticket};
+use mossrill::quota_lease::holder::{Answer, Holder, HolderSettings, Outcome, TakeResult, Ticket};
 use mossrill::quota_lease::message::{AccountKey, Grant, PlanLimits, Report};
 use prost::Message;
 use std::collections::HashMap;
@@ -244,9 +244,9 @@
         let (key, limits) = (self.keys[tenant], self.limits[shape.plan]);
         let milli = (units * MILLI) as u64;
         match self.holders[limiter as usize].take(now, key, limits, shape.spread, milli) {
-            Take::Taken(_) => log.sent(now, tenant, units, None),
-            Take::Denied { .. } => log.refused(None),
-            Take::Waiting(ticket) => {
+            TakeResult::Taken(_) => log.sent(now, tenant, units, None),
+            TakeResult::Denied { .. } => log.refused(None),
+            TakeResult::Waiting(ticket) => {
                 let waiting = Waiting {
                     tenant,
                     units,
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -2,6 +2,7 @@
 //! state machines, and measurement. `README.md` says what is a stand-in and what runs in virtual time.
 
 #![forbid(unsafe_code)]
+#![warn(clippy::too_many_lines)]
 #![warn(missing_docs)]
 
 pub mod audit;
--- a/src/admin/listener.rs
+++ b/src/admin/listener.rs
@@ -30,7 +30,7 @@
         .map_err(|error| io::Error::new(error.kind(), format!("key \"control\": {at}: {error}")))?;
     let bound = listener.local_addr()?;
     let context = Arc::new(context);
-    spawn("control", move || accept(&listener, &context))?;
+    spawn("admin", move || accept(&listener, &context))?;
     Ok(bound)
 }
 
@@ -78,7 +78,7 @@
     let thread_pending = pending.clone();
     let thread_context = context.clone();
     let work = move || serve(&stream, &thread_pending, &thread_context);
-    if let Err(error) = spawn("control-call", work) {
+    if let Err(error) = spawn("admin-call", work) {
         warn!(context.log, "no thread for an admin call"; "error" => %error);
         pending.clear();
     }
--- a/src/client/accept.rs
+++ b/src/client/accept.rs
@@ -101,7 +101,7 @@
         self.connection_opened.notify_one();
         let front = self.clone();
         let reader_connection = connection.clone();
-        let started = spawn("agent-read", move || {
+        let started = spawn("client-read", move || {
             front.run_reader(number, &reader_connection, read.unwrap_or_default())
         });
         if started.is_err() {
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -98,9 +98,9 @@
     /// If a thread can't be started.
     pub fn listen(self: &Arc<Self>, listener: TcpListener) -> io::Result<()> {
         let front = self.clone();
-        spawn("agents", move || front.run_accept_loop(&listener))?;
+        spawn("clients", move || front.run_accept_loop(&listener))?;
         let front = self.clone();
-        spawn("agents-watch", move || front.run_watchdog())
+        spawn("clients-watch", move || front.run_watchdog())
     }
 
     /// Resumes or pauses accepting. Meanwhile connections wait for another process that accepts from the listener.
--- a/src/client/writer.rs
+++ b/src/client/writer.rs
@@ -51,7 +51,7 @@
         let front = self.clone();
         let writer_connection = connection.clone();
         let work = move || front.run_writer(number, &writer_connection);
-        if let Err(error) = spawn("agent-write", work) {
+        if let Err(error) = spawn("client-write", work) {
             warn!(self.log, "client connection dropped"; "error" => %error);
             self.close_connection(number, connection);
         }
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -4,7 +4,9 @@
 use super::open_requests::request_number;
 use super::Core;
 use crate::decision::{AccountId, Event, Micros, Plan, RequestId};
-use crate::quota_lease::holder::{Answer, Holder, HolderFigures, Outcome, Receipt, Take, Ticket};
+use crate::quota_lease::holder::{
+    Answer, Holder, HolderFigures, Outcome, Receipt, TakeResult, Ticket,
+};
 use crate::quota_lease::link::AllocatorEvent;
 use crate::quota_lease::message::{AccountKey, DroppedMessages, MilliUnits, PlanLimits, Report};
 use slog::info;
@@ -84,16 +86,16 @@
             .holder
             .take(now, key, limits, demand.limiter_count, units);
         match taken {
-            Take::Taken(receipt) => {
+            TakeResult::Taken(receipt) => {
                 self.requests.insert(id.clone(), Units::Taken(receipt));
                 Some(LeaseResult { id, granted: true })
             }
-            Take::Waiting(ticket) => {
+            TakeResult::Waiting(ticket) => {
                 self.waiting.insert(ticket, id.clone());
                 self.requests.insert(id, Units::Waiting(ticket));
                 None
             }
-            Take::Denied { .. } => Some(LeaseResult { id, granted: false }),
+            TakeResult::Denied { .. } => Some(LeaseResult { id, granted: false }),
         }
     }
 
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -115,7 +115,7 @@
         for _ in 0..CONNECTIONS {
             let (sender, commands) = unbounded();
             let writer = CallWriter::new(at, wait, protocol.clone(), counted.clone(), log.clone());
-            spawn("count-write", move || writer.run(&commands))?;
+            spawn("counter-write", move || writer.run(&commands))?;
             writers.push(sender);
         }
         Ok(Self { writers })
--- a/src/counter/writer.rs
+++ b/src/counter/writer.rs
@@ -124,7 +124,7 @@
         let reader = connection.clone();
         let protocol = self.protocol.clone();
         let counted = self.counted.clone();
-        spawn("count-read", move || reader.read(&*protocol, &counted))?;
+        spawn("counter-read", move || reader.read(&*protocol, &counted))?;
         self.connection = Some(connection.clone());
         Ok(connection)
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -73,7 +73,7 @@
         on_update,
         log,
     );
-    spawn("node-list", move || watcher.run())?;
+    spawn("discovery", move || watcher.run())?;
     Ok(watch)
 }
 
--- a/src/handover/coordinator.rs
+++ b/src/handover/coordinator.rs
@@ -151,7 +151,7 @@
     /// The thread can't be started.
     pub fn message_sender(self: Arc<Self>) -> io::Result<Sender<HandoverMessage>> {
         let (sender, messages) = unbounded();
-        spawn("handover-tell", move || {
+        spawn("handover-send", move || {
             for message in messages {
                 self.send_to_peer(message);
             }
--- a/src/handover/knowledge.rs
+++ b/src/handover/learned_state.rs
@@ -3,7 +3,7 @@
 //! Copies records between the engine and the messages of a hand-over, and decides nothing.
 
 use super::message::{
-    Account as AccountRecord, Fails, FinalReport, LearnedState, Node, UnreportedUnits,
+    AccountState, ClassFailures, FinalReport, LearnedState, ServerState, UnreportedUnits,
 };
 use crate::decision::account::Account;
 use crate::decision::counter_sync::SyncReason;
@@ -38,7 +38,7 @@
         }
     }
 
-    fn give_accounts(&mut self) -> Vec<AccountRecord> {
+    fn give_accounts(&mut self) -> Vec<AccountState> {
         let requests = &self.requests;
         let waiting_units = |account: &Account| -> f64 {
             let open = account.waiting.iter().filter_map(|id| requests.get(id));
@@ -52,7 +52,7 @@
                 .call
                 .as_ref()
                 .map_or(0.0, |call| call.reported + call.claimed);
-            records.push(AccountRecord {
+            records.push(AccountState {
                 id: id.0.to_string(),
                 plan: account.plan as u32,
                 limiter_count: account.limiter_count,
@@ -72,9 +72,9 @@
         records
     }
 
-    fn server_records(&self) -> Vec<Node> {
+    fn server_records(&self) -> Vec<ServerState> {
         let failures = |failures: &BTreeMap<usize, FailureRate>| {
-            let record = |(class, failure): (&usize, &FailureRate)| Fails {
+            let record = |(class, failure): (&usize, &FailureRate)| ClassFailures {
                 class: *class as u32,
                 share: failure.rate,
                 at: failure.updated_at,
@@ -83,7 +83,7 @@
         };
         let servers = self.servers.servers.iter();
         servers
-            .map(|(id, server)| Node {
+            .map(|(id, server)| ServerState {
                 id: id.0.to_string(),
                 started: server.started_at,
                 latency_ratio: server.health.relative_latency,
@@ -146,7 +146,7 @@
         }
     }
 
-    fn adopt_server(&mut self, now: Micros, node: Node) {
+    fn adopt_server(&mut self, now: Micros, node: ServerState) {
         let Some(server) = self.servers.servers.get_mut(&ServerId::from(&*node.id)) else {
             return;
         };
@@ -164,7 +164,7 @@
             .failures
             .into_iter()
             .filter(|record| is_sound(record.share));
-        let failure = |record: Fails| {
+        let failure = |record: ClassFailures| {
             let rate = FailureRate {
                 rate: record.share.min(1.0),
                 updated_at: record.at.min(now),
@@ -175,7 +175,7 @@
     }
 
     /// Returns false if the record can't be used.
-    fn adopt_account(&mut self, now: Micros, id: &AccountId, record: AccountRecord) -> bool {
+    fn adopt_account(&mut self, now: Micros, id: &AccountId, record: AccountState) -> bool {
         let Some(plan) = self.settings.plans.get(record.plan as usize) else {
             return false;
         };
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -60,10 +60,10 @@
 pub struct LearnedState {
     /// Accounts.
     #[prost(message, repeated, tag = "1")]
-    pub accounts: Vec<Account>,
+    pub accounts: Vec<AccountState>,
     /// Upstream servers.
     #[prost(message, repeated, tag = "2")]
-    pub servers: Vec<Node>,
+    pub servers: Vec<ServerState>,
     /// Bans of upstream servers, and bans that were lifted.
     #[prost(message, repeated, tag = "3")]
     pub bans: Vec<Ban>,
@@ -98,7 +98,7 @@
 
 /// The state of an account. Times are in microseconds of Unix time.
 #[derive(Clone, PartialEq, Message)]
-pub struct Account {
+pub struct AccountState {
     /// Its name.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -142,7 +142,7 @@
 
 /// The state of an upstream server.
 #[derive(Clone, PartialEq, Message)]
-pub struct Node {
+pub struct ServerState {
     /// Its id.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -157,12 +157,12 @@
     pub ratio_updated_at: u64,
     /// Failures by class.
     #[prost(message, repeated, tag = "5")]
-    pub failures: Vec<Fails>,
+    pub failures: Vec<ClassFailures>,
 }
 
 /// How often the attempts of a class fail at an upstream server.
 #[derive(Clone, PartialEq, Message)]
-pub struct Fails {
+pub struct ClassFailures {
     /// Index of the class.
     #[prost(uint32, tag = "1")]
     pub class: u32,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -6,7 +6,7 @@
 //! upgrades. The design is in `docs/upgrade.md`.
 
 mod coordinator;
-pub mod knowledge;
+mod learned_state;
 mod limiter_process;
 pub mod link;
 pub mod message;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! A quota limiter for a fleet of API gateways: keeps each account of a shared back end to its plan.
 //!
-//! [`decision`] decides, [`core`](crate::core) is the event loop round it, [`process`] assembles a
+//! [`decision`] decides, `core` is the event loop round it, [`process`] assembles a
 //! limiter and [`config`] reads what it is configured with.
 //!
 //! An [`Engine`] is a state machine without I/O or clocks: its host notifies it of events with the
@@ -52,6 +52,7 @@
 //! ```
 
 #![forbid(unsafe_code)]
+#![warn(clippy::too_many_lines)]
 #![warn(missing_docs)]
 
 pub mod admin;
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -19,7 +19,7 @@
 /// One datagram.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Datagram {
-    /// [`FORMAT`] or [`PARTS_FORMAT`].
+    /// [`FORMAT`](super::format::FORMAT) or [`PARTS_FORMAT`](super::format::PARTS_FORMAT).
     #[prost(uint32, tag = "1")]
     pub format: u32,
     /// The fleet's name.
@@ -63,13 +63,13 @@
     /// Gossip: updates about members.
     #[prost(message, repeated, tag = "13")]
     pub updates: Vec<GossipUpdate>,
-    /// One bit for each limiter whose lease the sender has revoked. [`FORMAT`] only.
+    /// One bit for each limiter whose lease the sender has revoked. [`FORMAT`](super::format::FORMAT) only.
     #[prost(bytes = "vec", tag = "14")]
     pub revoked: Vec<u8>,
-    /// A part of that set. Without it the datagram carries no revocations. [`PARTS_FORMAT`] only.
+    /// A part of that set. Without it the datagram carries no revocations. [`PARTS_FORMAT`](super::format::PARTS_FORMAT) only.
     #[prost(message, optional, tag = "15")]
     pub revoked_part: Option<RevocationPart>,
-    /// Limiters in the sender's configuration. [`PARTS_FORMAT`] only.
+    /// Limiters in the sender's configuration. [`PARTS_FORMAT`](super::format::PARTS_FORMAT) only.
     #[prost(uint32, tag = "16")]
     pub limiters: u32,
 }
--- a/src/membership/fleet.rs
+++ b/src/membership/fleet.rs
@@ -42,7 +42,7 @@
         let (commands, received) = unbounded();
         let view = Arc::new(Mutex::new(None));
         let transport = Transport::new(settings, clock, view.clone(), Box::new(on_shares), log);
-        spawn("fleet", move || transport.run(&received))?;
+        spawn("membership", move || transport.run(&received))?;
         Ok(Self {
             commands,
             view,
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -167,11 +167,11 @@
         let limiter_count = Arc::new(AtomicU32::new(common.settings.limiters));
         let fleet = self.start_fleet(common.membership.take(), clock, &limiter_count)?;
         let upgrade_control = self.upgrade_control(connections, listener, fleet.clone());
-        upgrade_control.set_sharing(channel.joined.is_some());
+        upgrade_control.set_sharing(channel.predecessor.is_some());
         let admin = self.start_admin(common.admin_address, &connections.front, fleet.clone())?;
         info!(self.log, "listening"; "address" => %bound, "limiter" => &common.name,
             "control" => admin.map(|address| address.to_string()));
-        let upgrade = channel.beside.clone();
+        let upgrade = channel.coordinator.clone();
         let peer_messages = upgrade
             .clone()
             .map(UpgradeCoordinator::message_sender)
@@ -201,11 +201,11 @@
     /// on.
     fn start_fleet(
         &self,
-        place: Option<FleetSettings>,
+        settings: Option<FleetSettings>,
         clock: Clock,
         limiter_count: &Arc<AtomicU32>,
     ) -> io::Result<Option<Fleet>> {
-        let Some(place) = place else {
+        let Some(settings) = settings else {
             return Ok(None);
         };
         let queue = self.queue.clone();
@@ -214,7 +214,7 @@
             limiter_count.store(shares.alive, Ordering::Relaxed);
             queue.update_quota_shares(shares);
         };
-        Fleet::start(place, clock, on_shares, self.log_of("membership")).map(Some)
+        Fleet::start(settings, clock, on_shares, self.log_of("membership")).map(Some)
     }
 
     fn upgrade_control(
@@ -299,11 +299,11 @@
     front: &Arc<ClientListener<P>>,
     channel: &UpgradeChannel,
 ) -> io::Result<TcpListener> {
-    let listener = match &channel.joined {
-        Some(joined) => joined.listener.try_clone()?,
+    let listener = match &channel.predecessor {
+        Some(predecessor) => predecessor.listener.try_clone()?,
         None => bind(common.listen, common.admin_address.is_some())?,
     };
-    front.set_accepting(channel.joined.is_none());
+    front.set_accepting(channel.predecessor.is_none());
     front.listen(listener.try_clone()?)?;
     Ok(listener)
 }
@@ -316,8 +316,10 @@
     control: UpgradeControl<P>,
 ) -> io::Result<()> {
     let endpoints_known = move |wait| first_endpoints.recv_timeout(wait).is_ok();
-    match channel.beside {
-        Some(beside) => beside.start(channel.joined, endpoints_known, Arc::new(control)),
+    match channel.coordinator {
+        Some(coordinator) => {
+            coordinator.start(channel.predecessor, endpoints_known, Arc::new(control))
+        }
         None => spawn("ready", move || {
             while !endpoints_known(Duration::MAX) {}
             control.begin_serving();
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -28,9 +28,9 @@
     /// Interrupts the readers of connections that are to be handed over.
     pub(super) read_interrupt: Option<ReadInterrupt>,
     /// None if no other process can take over.
-    pub(super) beside: Option<Arc<UpgradeCoordinator>>,
+    pub(super) coordinator: Option<Arc<UpgradeCoordinator>>,
     /// The predecessor that this process has joined.
-    pub(super) joined: Option<PredecessorConnection>,
+    pub(super) predecessor: Option<PredecessorConnection>,
 }
 
 impl UpgradeChannel {
@@ -46,11 +46,11 @@
                 return Self::default();
             }
         };
-        let beside = UpgradeCoordinator::new(&folder, log);
+        let coordinator = UpgradeCoordinator::new(&folder, log);
         Self {
-            joined: beside.join(),
+            predecessor: coordinator.join(),
             read_interrupt: Some(read_interrupt),
-            beside: Some(beside),
+            coordinator: Some(coordinator),
         }
     }
 }
--- a/src/quota_lease/holder/mod.rs
+++ b/src/quota_lease/holder/mod.rs
@@ -31,7 +31,7 @@
 
 pub use receipt::Receipt;
 pub use settings::HolderSettings;
-pub use types::{Answer, HolderFigures, Outcome, Poll, Take, Ticket};
+pub use types::{Answer, HolderFigures, Outcome, Poll, TakeResult, Ticket};
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
@@ -99,7 +99,7 @@
         plan: PlanLimits,
         limiter_count: u32,
         units: MilliUnits,
-    ) -> Take {
+    ) -> TakeResult {
         if units > plan.burst || plan.burst > MAX_UNITS || plan.rate > MAX_UNITS {
             return self.denied(Micros::MAX);
         }
--- a/src/quota_lease/holder/requests.rs
+++ b/src/quota_lease/holder/requests.rs
@@ -3,7 +3,7 @@
 use super::fallback::FallbackExhausted;
 use super::leased_account::ReportDue;
 use super::receipt::Receipt;
-use super::types::{Answer, Outcome, Take, Ticket};
+use super::types::{Answer, Outcome, TakeResult, Ticket};
 use super::{Holder, Waiter};
 use crate::decision::Micros;
 use crate::quota_lease::message::{AccountKey, MilliUnits};
@@ -11,13 +11,18 @@
 
 impl Holder {
     /// Counts a denied request.
-    pub(super) fn denied(&mut self, retry_after: Micros) -> Take {
+    pub(super) fn denied(&mut self, retry_after: Micros) -> TakeResult {
         self.figures.denied += 1;
-        Take::Denied { retry_after }
+        TakeResult::Denied { retry_after }
     }
 
     /// Takes the units of a request, or lets it wait for the account's owner.
-    pub(super) fn take_or_wait(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Take {
+    pub(super) fn take_or_wait(
+        &mut self,
+        now: Micros,
+        key: AccountKey,
+        units: MilliUnits,
+    ) -> TakeResult {
         let Some(account) = self.accounts.get(&key) else {
             return self.denied(self.settings.report_interval);
         };
@@ -25,7 +30,7 @@
         // Requests that wait already come first.
         if !self.waiters.contains_key(&key) {
             if let Some(receipt) = self.take_leased(now, key, units) {
-                return Take::Taken(receipt);
+                return TakeResult::Taken(receipt);
             }
         }
         if hold_off > 0 {
@@ -33,20 +38,20 @@
         }
         if self.available_owner(key).is_none() {
             return match self.take_fallback(now, key, units) {
-                Outcome::Taken(receipt) => Take::Taken(receipt),
+                Outcome::Taken(receipt) => TakeResult::Taken(receipt),
                 Outcome::Denied { retry_after } => self.denied(retry_after),
             };
         }
         if self.settings.use_fallback_first {
             if let Outcome::Taken(receipt) = self.take_fallback(now, key, units) {
                 self.mark_due(key, ReportDue::NextInterval);
-                return Take::Taken(receipt);
+                return TakeResult::Taken(receipt);
             }
         }
         self.wait(key, units)
     }
 
-    fn wait(&mut self, key: AccountKey, units: MilliUnits) -> Take {
+    fn wait(&mut self, key: AccountKey, units: MilliUnits) -> TakeResult {
         if self.waiting >= self.settings.max_waiting {
             return self.denied(self.settings.report_interval);
         }
@@ -62,7 +67,7 @@
         };
         self.waiters.entry(key).or_default().push_back(waiter);
         self.mark_due(key, ReportDue::Immediately);
-        Take::Waiting(ticket)
+        TakeResult::Waiting(ticket)
     }
 
     /// Takes the units of a request from leases; `None` if they do not hold as many.
--- a/src/quota_lease/holder/types.rs
+++ b/src/quota_lease/holder/types.rs
@@ -10,7 +10,7 @@
 
 /// Result of a request for units.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Take {
+pub enum TakeResult {
     /// The units are taken.
     Taken(Receipt),
     /// The owner is asked for units; an [`Answer`] with this ticket follows.
@@ -37,7 +37,7 @@
 /// Answer to a request that waited.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The ticket of [`Take::Waiting`].
+    /// The ticket of [`TakeResult::Waiting`].
     pub ticket: Ticket,
     /// The result.
     pub outcome: Outcome,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -229,7 +229,7 @@
         };
         drop(table);
         let worker = Worker::new(server.clone(), address, shared.clone());
-        spawn("node", move || worker.run(acquired, job)).map_err(|error| {
+        spawn("attempt", move || worker.run(acquired, job)).map_err(|error| {
             warn!(shared.log, "no thread for an attempt"; "error" => %error);
             DispatchError::NoThread(error)
         })
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -4,7 +4,8 @@
 
 use crate::golden::{assert_matches, hex, recorded};
 use mossrill::handover::message::{
-    Account, Ban, Fails, FinalReport, Frame, HandoverMessage, LearnedState, Node, UnreportedUnits,
+    AccountState, Ban, ClassFailures, FinalReport, Frame, HandoverMessage, LearnedState,
+    ServerState, UnreportedUnits,
 };
 use mossrill::membership::datagram::{Datagram, GossipUpdate, MessageKind};
 use mossrill::membership::format::{FORMAT, PARTS_FORMAT};
@@ -18,7 +19,7 @@
 
 fn learned_state() -> LearnedState {
     LearnedState {
-        accounts: vec![Account {
+        accounts: vec![AccountState {
             id: "0000000000000a1f".into(),
             plan: 2,
             limiter_count: 3,
@@ -33,12 +34,12 @@
             last_request: 1_000_003,
             in_flight: 4,
         }],
-        servers: vec![Node {
+        servers: vec![ServerState {
             id: "node-a".into(),
             started: 17,
             latency_ratio: 1.125,
             ratio_updated_at: 1_000_004,
-            failures: vec![Fails {
+            failures: vec![ClassFailures {
                 class: 1,
                 share: 0.375,
                 at: 1_000_005,
--- a/tests/quota_lease/holder.rs
+++ b/tests/quota_lease/holder.rs
@@ -2,7 +2,7 @@
 
 use mossrill::decision::Micros;
 use mossrill::quota_lease::holder::{
-    Answer, Holder, HolderSettings, Outcome, Receipt, Take, Ticket,
+    Answer, Holder, HolderSettings, Outcome, Receipt, TakeResult, Ticket,
 };
 use mossrill::quota_lease::message::{
     AccountKey, Grant, GrantEntry, MessageError, PlanLimits, Report, ReportEntry, Verdict, FORMAT,
@@ -42,28 +42,28 @@
     Holder::new(START, settings())
 }
 
-fn take(holder: &mut Holder, now: Micros, units: u64) -> Take {
+fn take(holder: &mut Holder, now: Micros, units: u64) -> TakeResult {
     holder.take(now, account(), PLAN, SPREAD, units)
 }
 
-fn take_one(holder: &mut Holder, now: Micros) -> Take {
+fn take_one(holder: &mut Holder, now: Micros) -> TakeResult {
     take(holder, now, UNIT)
 }
 
-fn is_taken(take: &Take) -> bool {
-    matches!(take, Take::Taken(_))
+fn is_taken(take: &TakeResult) -> bool {
+    matches!(take, TakeResult::Taken(_))
 }
 
-fn ticket(take: Take) -> Ticket {
+fn ticket(take: TakeResult) -> Ticket {
     match take {
-        Take::Waiting(ticket) => ticket,
+        TakeResult::Waiting(ticket) => ticket,
         other => panic!("{other:?}"),
     }
 }
 
-fn receipt(take: Take) -> Receipt {
+fn receipt(take: TakeResult) -> Receipt {
     match take {
-        Take::Taken(receipt) => receipt,
+        TakeResult::Taken(receipt) => receipt,
         other => panic!("{other:?}"),
     }
 }
@@ -158,7 +158,7 @@
     ticket_of_third(take_one(&mut holder, START + 4 * MILLI));
 }
 
-fn ticket_of_third(take: Take) {
+fn ticket_of_third(take: TakeResult) {
     assert_eq!(ticket(take), Ticket(1));
 }
 
@@ -324,7 +324,7 @@
         (true, third, true)
     );
     for passed in [0, 300 * MILLI, 699 * MILLI] {
-        let expected = Take::Denied {
+        let expected = TakeResult::Denied {
             retry_after: 700 * MILLI - passed,
         };
         assert_eq!(take_one(&mut holder, START + passed), expected);
@@ -337,7 +337,7 @@
 #[test]
 fn a_request_larger_than_the_burst_is_denied_for_good() {
     let mut holder = holder();
-    let never = Take::Denied {
+    let never = TakeResult::Denied {
         retry_after: Micros::MAX,
     };
     for units in [PLAN.burst + 1, u64::MAX] {
@@ -449,7 +449,7 @@
     assert_eq!(receipt(take_one(&mut holder, now)).fallback(), UNIT);
     assert_eq!(
         take_one(&mut holder, now),
-        Take::Denied {
+        TakeResult::Denied {
             retry_after: SECOND / 5
         }
     );
@@ -462,7 +462,7 @@
     holder.on_connection_lost(START, 0);
     assert_eq!(
         take_one(&mut holder, START),
-        Take::Denied {
+        TakeResult::Denied {
             retry_after: SECOND / 5
         }
     );
@@ -752,7 +752,7 @@
     }
     assert_eq!(
         take_one(&mut holder, START),
-        Take::Denied {
+        TakeResult::Denied {
             retry_after: settings().report_interval
         }
     );
@@ -794,7 +794,7 @@
         .unwrap();
     assert_eq!(
         take_one(&mut holder, later),
-        Take::Denied {
+        TakeResult::Denied {
             retry_after: 500 * MILLI
         }
     );
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -8,7 +8,7 @@
 use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
 use mossrill::quota_lease::holder::{
-    Answer, Holder, HolderSettings, Outcome, Receipt, Take, Ticket,
+    Answer, Holder, HolderSettings, Outcome, Receipt, TakeResult, Ticket,
 };
 use mossrill::quota_lease::message::{AccountKey, Grant, PlanLimits, Report, Verdict};
 use prost::Message;
@@ -339,9 +339,9 @@
             .holder
             .take(now, key(account), PLANS[account], LIMITERS as u32, units)
         {
-            Take::Taken(receipt) => self.used(limiter, account, receipt),
-            Take::Denied { .. } => self.denied += 1,
-            Take::Waiting(ticket) => {
+            TakeResult::Taken(receipt) => self.used(limiter, account, receipt),
+            TakeResult::Denied { .. } => self.denied += 1,
+            TakeResult::Waiting(ticket) => {
                 node.waiting.insert(
                     ticket,
                     Waiting {
--- a/tests/units/handover_link.rs
+++ b/tests/units/handover_link.rs
@@ -1,7 +1,7 @@
 //! Frames and descriptors between the two processes of an upgrade.
 
 use mossrill::handover::link::{Link, ReceiveError};
-use mossrill::handover::message::Account;
+use mossrill::handover::message::AccountState;
 use mossrill::handover::message::HandoverMessage;
 use mossrill::handover::message::LearnedState;
 use std::io::Read;
@@ -25,9 +25,9 @@
     let mut client =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
     let (stream, _) = listener.accept().expect("a connection");
-    let accounts = (0..10_000).map(|n| Account {
+    let accounts = (0..10_000).map(|n| AccountState {
         id: format!("{n:016x}"),
-        ..Account::default()
+        ..AccountState::default()
     });
     let given = HandoverMessage::LearnedState(LearnedState {
         accounts: accounts.collect(),
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,7 +3,7 @@
 mod peers;
 
 use mossrill::handover::link::Link;
-use mossrill::handover::message::{Account, HandoverMessage, LearnedState};
+use mossrill::handover::message::{AccountState, HandoverMessage, LearnedState};
 use peers::*;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -316,12 +316,12 @@
         let account = "00000000b4d65521".to_owned();
         link.send(HandoverMessage::Ended(account.clone()), None)
             .expect("said");
-        let account = Account {
+        let account = AccountState {
             id: account,
             limiter_count: 1,
             bucket_level: 100.0,
             in_flight: 1,
-            ..Account::default()
+            ..AccountState::default()
         };
         link.send(
             HandoverMessage::LearnedState(LearnedState {
