--- a/src/membership/fleet.rs
+++ b/src/membership/fleet.rs
@@ -26,7 +26,7 @@
 }
 
 impl Fleet {
-    /// Starts the thread, which neither sends nor receives before [`speak`](Self::speak).
+    /// Starts the thread, which neither sends nor receives before [`set_active`](Self::set_active).
     ///
     /// It calls `on_shares` with the quota shares that the core may use, a few times a second at most.
     ///
