--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::account::{Account, MARGIN};
 use super::concurrency::TARGET_LATENCY;
-use super::counter_sync::SyncReason;
+use super::counter_sync::{CounterSync, SyncReason};
 use super::outlier::JUDGEMENT_LIFETIME;
 use super::request::OpenRequest;
 use super::settings::{Plan, SECOND};
@@ -100,49 +100,7 @@
         if self.counter.is_enabled() && (claims_slots || claims_units) {
             return self.check_claim(id, callable);
         }
-        self.check_bucket(id, usable, age)
-    }
-
-    /// Checks the copy of the token bucket of an account whose share is more than a unit.
-    fn check_bucket(&mut self, id: &RequestId, counter_usable: bool, age: f64) -> QuotaDecision {
-        let Some(open) = self.requests.get(id) else {
-            return QuotaDecision::Wait;
-        };
-        let request = &open.request;
-        let plan = &self.settings.plans[request.plan];
-        let Some(account) = self.accounts.get_mut(&request.account) else {
-            return QuotaDecision::Wait;
-        };
-        if plan.rate <= 0.0 || account.granted >= request.units {
-            return QuotaDecision::Send;
-        }
-        let is_new = account.total_at.is_none();
-        let is_alone = !counter_usable || account.limiter_count < 2;
-        let margin = if is_new || is_alone { 0.0 } else { MARGIN };
-        let has_enough = account.tokens >= request.units + margin;
-        // Without the counter the copy holds the own share alone, which needs no total.
-        if is_alone || (has_enough && (is_new || std::mem::take(&mut account.skip_call))) {
-            return if has_enough {
-                QuotaDecision::Send
-            } else {
-                QuotaDecision::Wait
-            };
-        }
-        let others = 1.0 - 1.0 / f64::from(account.limiter_count);
-        let unseen = UNSEEN_RATE * plan.rate * others * age / SECOND;
-        if !is_new && account.tokens - unseen >= SAFE_REQUESTS * request.units {
-            return QuotaDecision::Send;
-        }
-        // Near the end of a bucket all limiters see the same units come: with a total alone each of
-        // them would send. Whether the bucket holds the first request of a new account, the total tells.
-        if (is_new || has_enough) && account.call.is_none() {
-            account.needs_total = true;
-            account.to_claim = (request.units - account.granted - account.unconfirmed).max(0.0);
-            let synced_at = account.synced_at;
-            self.counter
-                .schedule(SyncReason::RequestWaits, synced_at, request.account.clone());
-        }
-        QuotaDecision::Wait
+        check_bucket(open, plan, account, &mut self.counter, age)
     }
 
     /// Checks a request whose units are claimed on the counter, in the call that reads the total: where
@@ -201,6 +159,47 @@
     }
 }
 
+/// Checks the copy of the token bucket of an account whose share is more than a unit. `age` is the
+/// time since its last call of the counter in microseconds.
+fn check_bucket(
+    open: &OpenRequest,
+    plan: &Plan,
+    account: &mut Account,
+    counter: &mut CounterSync,
+    age: f64,
+) -> QuotaDecision {
+    let request = &open.request;
+    if plan.rate <= 0.0 || account.granted >= request.units {
+        return QuotaDecision::Send;
+    }
+    let is_new = account.total_at.is_none();
+    let is_alone = !counter.is_usable() || account.limiter_count < 2;
+    let margin = if is_new || is_alone { 0.0 } else { MARGIN };
+    let has_enough = account.tokens >= request.units + margin;
+    // Without the counter the copy holds the own share alone, which needs no total.
+    if is_alone || (has_enough && (is_new || std::mem::take(&mut account.skip_call))) {
+        return if has_enough {
+            QuotaDecision::Send
+        } else {
+            QuotaDecision::Wait
+        };
+    }
+    let others = 1.0 - 1.0 / f64::from(account.limiter_count);
+    let unseen = UNSEEN_RATE * plan.rate * others * age / SECOND;
+    if !is_new && account.tokens - unseen >= SAFE_REQUESTS * request.units {
+        return QuotaDecision::Send;
+    }
+    // Near the end of a bucket all limiters see the same units come: with a total alone each of
+    // them would send. Whether the bucket holds the first request of a new account, the total tells.
+    if (is_new || has_enough) && account.call.is_none() {
+        account.needs_total = true;
+        account.to_claim = (request.units - account.granted - account.unconfirmed).max(0.0);
+        let synced_at = account.synced_at;
+        counter.schedule(SyncReason::RequestWaits, synced_at, request.account.clone());
+    }
+    QuotaDecision::Wait
+}
+
 /// Whether as many attempts are in flight as the own share of the concurrency limit allows.
 fn is_at_concurrency_limit(account: &Account, plan: &Plan) -> bool {
     let own_share = ((f64::from(plan.max_concurrent) / account.share_divisor) as u32).max(1);
