--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,42 +1,44 @@
-//! The clock of a limiter: Unix time that never goes back.
+//! The clock of a limiter: Unix time that never decreases.
 
 use crate::decision::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Unix time, read from the system once and advanced by the monotonic clock.
 ///
-/// Start times of endpoints are Unix time, so the engine needs it; a step of the system's clock must not
-/// expire every attempt at once.
+/// The engine uses Unix time because service discovery reports start times of endpoints in it. The
+/// monotonic clock keeps a step of the system clock from expiring all attempts at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    unix: Micros,
+    /// Unix time at `origin`, in microseconds.
+    unix_origin: Micros,
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Starts a clock at the current time of the system clock.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Self {
             origin: Instant::now(),
-            unix: unix.as_micros() as Micros,
+            unix_origin: unix.as_micros() as Micros,
         }
     }
 
-    /// The current time.
+    /// Returns the current Unix time, in microseconds.
     pub fn now(&self) -> Micros {
-        self.at(Instant::now())
+        self.unix_time_of(Instant::now())
     }
 
-    /// Unix time of an instant.
-    pub fn at(&self, instant: Instant) -> Micros {
-        self.unix + instant.saturating_duration_since(self.origin).as_micros() as Micros
+    /// Returns the Unix time of an instant, in microseconds.
+    pub fn unix_time_of(&self, instant: Instant) -> Micros {
+        self.unix_origin + instant.saturating_duration_since(self.origin).as_micros() as Micros
     }
 
-    /// The instant of a Unix time; the start of the clock for an earlier one.
+    /// Returns the instant of a Unix time in microseconds. Times before the start of the clock are
+    /// mapped to its start.
     pub fn moment(&self, at: Micros) -> Instant {
-        self.origin + Duration::from_micros(at.saturating_sub(self.unix))
+        self.origin + Duration::from_micros(at.saturating_sub(self.unix_origin))
     }
 }
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Events for the decision engine, and the actions that it returns.
+//! Passes events to the decision engine and carries out the actions that it returns.
 
 use super::deadlines::Deadline;
 use super::leases::LeaseDemand;
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl<T: Transport> Core<T> {
-    /// Notifies the engine of an event and carries out its actions, and then what follows from these.
+    /// Notifies the engine of an event and carries out the resulting actions, then does the same for the
+    /// events that these actions cause, until none is pending.
     pub(super) fn notify_engine(&mut self, now: Micros, event: Event) {
         self.pending_events.push_back(event);
         while let Some(event) = self.pending_events.pop_front() {
@@ -57,7 +58,8 @@
                 };
                 self.request_lease(now, id, &demand);
             }
-            // Limiters share nothing but the counter, and the endpoint list is watched from the start.
+            // Limiters exchange no engine messages, they only share the counter; and the endpoint list is
+            // watched from the start.
             Action::SendToPeer { .. } | Action::WatchEndpoints => {}
         }
     }
@@ -67,7 +69,8 @@
             return;
         };
         let timed_out = request.is_out_of_time(now);
-        // A rejection promises that a retry is harmless: what may have run is failed instead.
+        // A rejection tells the client that a retry is harmless. A request that is not idempotent and may have
+        // run is failed instead.
         let answer = if request.is_idempotent || !request.may_have_run {
             Answer::Rejected {
                 retry_after,
@@ -87,7 +90,7 @@
         self.answer(request.client, Answer::Failed { timed_out });
     }
 
-    /// Cancels an attempt. The engine is notified with the next pending events.
+    /// Cancels an attempt and queues the notification of the engine as a pending event.
     pub(super) fn cancel_attempt(&mut self, now: Micros, id: RequestId, attempt: usize) {
         let attempt = AttemptId {
             request: request_number(&id),
@@ -115,7 +118,7 @@
     }
 
     fn add_to_counter(&mut self, now: Micros, key: u64, amount: f64, ttl: Duration) {
-        // The reply to a call would be received after the end of this process.
+        // This process is about to exit and would not receive the reply to a new call.
         if self.upgrade.finishing {
             self.pending_events.push_back(Event::CounterReply {
                 key,
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at upstream servers from their start to their end.
+//! Attempts at upstream servers, from start to end.
 
 use super::deadlines::Deadline;
 use super::messages::{Answer, AttemptDeadlines, AttemptId, Transport};
@@ -19,15 +19,16 @@
 pub(super) struct RunningAttempt {
     server: ServerId,
     account: AccountId,
+    /// When the attempt was started.
     started: Micros,
 }
 
-/// How an attempt has ended.
+/// Outcome of an attempt, with the load report and the value that were received.
 pub(super) struct AttemptResponse<V> {
     pub(super) outcome: Outcome,
-    /// Load report of the server; empty if there was none.
+    /// Load report of the server; empty if none was received.
     pub(super) load: Vec<f64>,
-    /// The value, with [`Outcome::Ok`].
+    /// The value, if the outcome is [`Outcome::Ok`].
     pub(super) value: Option<V>,
 }
 
@@ -37,12 +38,12 @@
         self.by_id.contains_key(&attempt)
     }
 
-    /// Numbers of the requests that have an attempt running.
+    /// Returns the numbers of the requests that have a running attempt.
     pub(super) fn requests(&self) -> HashSet<u64> {
         self.by_id.keys().map(|attempt| attempt.request).collect()
     }
 
-    /// The other attempts of the request that this one is for.
+    /// Returns the other running attempts of the same request.
     fn others(&self, attempt: AttemptId) -> Vec<AttemptId> {
         self.by_id
             .keys()
@@ -53,8 +54,8 @@
 }
 
 impl RunningAttempt {
-    /// The result of this attempt as the engine is notified of it, where it ends now without a load report
-    /// and its request stays open.
+    /// Returns the result of this attempt for the engine, assuming that the attempt ends now without a load
+    /// report and that its request stays open.
     pub(super) fn result(
         self,
         now: Micros,
@@ -76,8 +77,8 @@
 }
 
 impl<T: Transport> Core<T> {
-    /// Removes an attempt from the running ones; none if it has ended before. A successor counts the
-    /// attempts that were running when it took over, and is notified.
+    /// Removes an attempt from the running ones; returns `None` if it has ended before. A successor is notified,
+    /// as it counts the attempts that were running when it took over.
     pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> Option<RunningAttempt> {
         let running = self.attempts.by_id.remove(&attempt)?;
         if self.upgrade.state_is_handed_over() {
@@ -88,8 +89,8 @@
         Some(running)
     }
 
-    /// Forwards a response from its first bytes on. The first one wins: all other attempts of the request are
-    /// cancelled.
+    /// Starts to forward a response, of which the first bytes were received. The first response wins: all other
+    /// attempts of the request are cancelled.
     pub(super) fn response_started(&mut self, now: Micros, attempt: AttemptId, value: T::Value) {
         if !self.attempts.contains(attempt) {
             return;
@@ -110,13 +111,13 @@
         for other in self.attempts.others(attempt) {
             self.cancel_attempt(now, id.clone(), other.attempt);
         }
-        // The ends of the cancelled attempts.
+        // Notifies the engine of the cancelled attempts.
         while let Some(event) = self.pending_events.pop_front() {
             self.notify_engine(now, event);
         }
     }
 
-    /// Ends an attempt that was received or broken off, unless it has ended before.
+    /// Ends an attempt whose response is complete or broken off, unless the attempt has ended before.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Handles the end of an attempt that was running. The first good response is sent to the client at once;
-    /// the engine is notified of every end.
+    /// Handles the end of an attempt that was running. The first successful response is sent to the client
+    /// immediately; the engine is notified of the end of every attempt.
     pub(super) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -138,8 +139,9 @@
         response: AttemptResponse<T::Value>,
     ) {
         let number = attempt.request;
-        // The latency of a streamed response is that of its first bytes: the rest is received as fast as the
-        // client reads. Whether whole or broken off, the client has all of it.
+        // The latency of a streamed response is measured up to its first bytes, as the rest is received only as
+        // fast as the client reads. Whether the response is complete or broken off, all that was received has
+        // been forwarded, so the request is closed without another answer.
         let stream = self
             .response_stream(number)
             .filter(|stream| stream.attempt == attempt);
@@ -156,9 +158,9 @@
         if let Some(request) = request {
             request.may_have_run |= !response.outcome.never_ran();
         }
-        let responded = stream.map_or(now, |stream| stream.started);
+        let responded_at = stream.map_or(now, |stream| stream.started);
         let id = request_id(number);
-        let result = running.result(responded, id, attempt.attempt, response.outcome);
+        let result = running.result(responded_at, id, attempt.attempt, response.outcome);
         let result = AttemptResult {
             is_final,
             load: response.load,
@@ -167,8 +169,8 @@
         self.notify_engine(now, Event::AttemptEnded(result));
     }
 
-    /// Starts an attempt of an open request. `timeout` is 0 for an attempt that may last until the deadline
-    /// of the request; nothing is written from `write_before` on.
+    /// Starts an attempt of an open request. A `timeout` of 0 allows the attempt to last until the deadline of
+    /// the request. Nothing of the attempt is written from `write_before` on.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -199,19 +201,19 @@
             self.pending_events.push_back(Event::AttemptEnded(result));
             return;
         };
-        let ends = now + attempt_time(timeout, time_left);
+        let ends_at = now + attempt_time(timeout, time_left);
         let deadlines = AttemptDeadlines {
-            answer: self.clock.moment(ends),
-            write: self.clock.moment(write_before.min(ends)),
+            answer: self.clock.moment(ends_at),
+            write: self.clock.moment(write_before.min(ends_at)),
         };
         self.transport
             .start_attempt(attempt, &server, &request.call, deadlines, client);
         self.attempts.by_id.insert(attempt, running);
-        self.timers.set(ends, Deadline::Attempt(attempt));
+        self.timers.set(ends_at, Deadline::Attempt(attempt));
     }
 }
 
-/// Time that an attempt has; a timeout of 0 is no limit.
+/// Returns the time available to an attempt, in microseconds. A `timeout` of 0 sets no limit of its own.
 fn attempt_time(timeout: Micros, time_left: Micros) -> Micros {
     if timeout == 0 {
         time_left
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -1,28 +1,29 @@
-//! Upstream servers that operators have taken out, over whatever service discovery reports of them.
+//! Upstream servers that operators have disabled. This takes precedence over the readiness that service
+//! discovery reports.
 
 use crate::decision::{Endpoint, Micros, Readiness, ServerId, UpdateScope};
 use crate::handover::message::Ban;
 use std::collections::{HashMap, HashSet};
 
-/// Most remembered ids of servers that were ever listed; above this number, ids that are neither listed nor
-/// disabled are forgotten.
+/// Number of remembered ids of ever listed servers above which the ids that are neither listed nor disabled
+/// are forgotten.
 const MAX_REMEMBERED_IDS: usize = 8_192;
 
 /// The endpoint list, and the servers that operators have disabled or enabled again.
 #[derive(Debug, Default)]
 pub struct ServerBans {
-    /// The endpoints as service discovery reports them, without removed ones.
+    /// The endpoints as service discovery reports them, without removed endpoints.
     listed: HashMap<ServerId, Endpoint>,
     /// Ids of all servers that were ever listed.
     ever_listed: HashSet<ServerId>,
     disabled: HashSet<ServerId>,
-    /// When servers were enabled again. They count as started then, as they were restarted meanwhile even if
-    /// service discovery has not reported that.
+    /// Times at which servers were enabled again. They are treated as started at that time: they were restarted
+    /// while disabled, even if service discovery has not reported that.
     enabled_at: HashMap<ServerId, Micros>,
 }
 
 impl ServerBans {
-    /// Applies an update of the endpoint list; returns the endpoints as the engine is to use them.
+    /// Applies an update of the endpoint list. Returns the endpoints as the engine should use them.
     pub fn news(&mut self, scope: UpdateScope, members: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             self.listed.clear();
@@ -42,6 +43,7 @@
             .collect()
     }
 
+    /// Bounds the memory for ids of servers that are no longer listed.
     fn forget_old_ids(&mut self) {
         if self.ever_listed.len() <= MAX_REMEMBERED_IDS {
             return;
@@ -53,9 +55,9 @@
         self.enabled_at.retain(|id, _| listed.contains_key(id));
     }
 
-    /// Listed servers that are absent from this full list.
-    pub fn missing(&self, whole: &[Endpoint]) -> Vec<ServerId> {
-        let present: HashSet<_> = whole.iter().map(|endpoint| &endpoint.id).collect();
+    /// Returns the listed servers that are absent from this snapshot.
+    pub fn missing(&self, snapshot: &[Endpoint]) -> Vec<ServerId> {
+        let present: HashSet<_> = snapshot.iter().map(|endpoint| &endpoint.id).collect();
         self.listed
             .keys()
             .filter(|id| !present.contains(id))
@@ -63,7 +65,8 @@
             .collect()
     }
 
-    /// An endpoint as the engine is to use it: draining while disabled, and warming up once enabled again.
+    /// Returns an endpoint as the engine should use it: draining while it is disabled, and warming up after it
+    /// was enabled again.
     fn with_overrides(&self, mut endpoint: Endpoint) -> Endpoint {
         if self.disabled.contains(&endpoint.id) && endpoint.readiness == Readiness::Ready {
             endpoint.readiness = Readiness::Draining;
@@ -74,8 +77,8 @@
         endpoint
     }
 
-    /// The endpoint of a server as the engine is to use it; empty if the server is not listed now.
-    fn current(&self, id: &ServerId) -> Vec<Endpoint> {
+    /// Returns the endpoint of a server as the engine should use it; empty if the server is not listed.
+    fn effective_endpoint(&self, id: &ServerId) -> Vec<Endpoint> {
         let endpoint = self.listed.get(id).cloned();
         endpoint
             .map(|endpoint| self.with_overrides(endpoint))
@@ -83,18 +86,18 @@
             .collect()
     }
 
-    /// Disables a server. Returns the endpoints that change for the engine, or none if the server was never
+    /// Disables a server. Returns the endpoints that change for the engine, or `None` if the server was never
     /// listed.
     pub fn disable(&mut self, id: &ServerId) -> Option<Vec<Endpoint>> {
         if !self.ever_listed.contains(id) {
             return None;
         }
         self.disabled.insert(id.clone());
-        Some(self.current(id))
+        Some(self.effective_endpoint(id))
     }
 
-    /// Enables a server, which counts as started `now` if it was disabled. Returns the endpoints that change
-    /// for the engine, or none if the server was never listed.
+    /// Enables a server, which is treated as started `now` if it was disabled. Returns the endpoints that
+    /// change for the engine, or `None` if the server was never listed.
     pub fn enable(&mut self, id: &ServerId, now: Micros) -> Option<Vec<Endpoint>> {
         if !self.ever_listed.contains(id) {
             return None;
@@ -103,10 +106,10 @@
             return Some(Vec::new());
         }
         self.enabled_at.insert(id.clone(), now);
-        Some(self.current(id))
+        Some(self.effective_endpoint(id))
     }
 
-    /// All servers that are disabled or were enabled again, for a successor.
+    /// Returns the servers that are disabled and those that were enabled again, for a successor.
     pub fn all(&self) -> Vec<Ban> {
         let disabled = self.disabled.iter().map(|id| Ban {
             id: id.0.to_string(),
@@ -125,8 +128,8 @@
         disabled.chain(enabled).collect()
     }
 
-    /// Applies what an operator had the other process of an upgrade do, also to a server that is not listed
-    /// here yet. Returns the endpoints that change for the engine.
+    /// Applies an operator's command that the other process of an upgrade received, even if this process does
+    /// not list the server yet. Returns the endpoints that change for the engine.
     pub fn adopt(&mut self, ban: &Ban) -> Vec<Endpoint> {
         let id = ServerId::from(&*ban.id);
         self.ever_listed.insert(id.clone());
@@ -136,10 +139,10 @@
             self.disabled.remove(&id);
             self.enabled_at.insert(id.clone(), ban.lifted_at);
         }
-        self.current(&id)
+        self.effective_endpoint(&id)
     }
 
-    /// Number of listed servers, and of those among them that get no new requests.
+    /// Returns the number of listed servers, and how many of them get no new requests.
     pub fn counts(&self) -> (usize, usize) {
         let excluded = self
             .listed
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -6,45 +6,46 @@
 use crate::handover::message::{HandoverMessage, LearnedState};
 use crossbeam_channel::Sender;
 
-/// A command to the core, which reads these before anything else.
+/// A command to the core. Commands are handled before any queued [`Input`](super::Input).
 #[derive(Debug)]
 pub enum Command {
-    /// From an operator.
+    /// Command of an operator.
     Admin(AdminCommand),
-    /// From the hand-over to or from another process.
+    /// Command of the hand-over to or from another process.
     HandOver(HandOverCommand),
 }
 
-/// A command of an operator. The reply is false if no such upstream server was ever listed. The debug form
-/// is part of a log line.
+/// A command of an operator. The reply is false if no such upstream server was ever listed. The `Debug`
+/// output is part of a log line.
 #[derive(Clone, Debug)]
 pub enum AdminCommand {
-    /// Take an upstream server out.
+    /// Disable an upstream server: it gets no new requests.
     Disable(ServerId, Sender<bool>),
-    /// Put it back.
+    /// Enable an upstream server again.
     Enable(ServerId, Sender<bool>),
 }
 
 /// A command of the hand-over.
 #[derive(Clone, Debug)]
 pub enum HandOverCommand {
-    /// Reply with what is known, for a successor, and notify it of each attempt that ends from now on.
+    /// Reply with the learned state for a successor, and notify the successor of each attempt that ends from
+    /// now on.
     GiveState(Sender<LearnedState>),
-    /// The successor does not serve: the state that it was given belongs to this process again.
+    /// Take back the state given to the successor, because the successor does not serve.
     ReclaimState,
-    /// There is no successor any more.
+    /// Stop notifying the successor, which no longer exists.
     SuccessorGone,
-    /// Adopt what a predecessor knew; the reply is sent once that is done.
+    /// Adopt the learned state of a predecessor; the reply is sent once that is done.
     AdoptState(LearnedState, Sender<()>),
-    /// A message of the other process.
+    /// Handle a message of the other process.
     PeerMessage(HandoverMessage),
-    /// Everything open is answered or handed over: end.
+    /// End once the open requests and counter calls have ended; a successor serves.
     Finish,
 }
 
 impl<T: Transport> Core<T> {
-    /// Handles a command. Commands have a channel of their own, which the loop reads first: an operator is
-    /// owed a reply within a second, however many requests are queued.
+    /// Handles a command. Commands have a separate channel, which the loop reads first, so that an operator
+    /// gets a reply within a second regardless of the number of queued requests.
     pub(super) fn handle_command(&mut self, now: Micros, command: Command) {
         match command {
             Command::Admin(AdminCommand::Disable(server, reply)) => {
--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -1,4 +1,4 @@
-//! What the core does when a timer expires.
+//! Handling of expired timers.
 
 use super::attempts::AttemptResponse;
 use super::messages::{AttemptId, Transport};
@@ -6,7 +6,7 @@
 use crate::decision::{Event, Micros, Outcome};
 use slog::warn;
 
-/// What a timer was set for.
+/// The purpose of a timer.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Deadline {
     /// A timer of the engine, with its token.
@@ -17,7 +17,7 @@
     Request(u64),
     /// The timeout of the counter call with this number.
     CounterCall(u64),
-    /// The end of the time in which open requests are answered.
+    /// The shutdown deadline, at which requests that are still open are failed.
     Shutdown,
 }
 
@@ -51,7 +51,7 @@
         if let Some(request) = self.requests.get_mut(attempt.request) {
             request.attempt_timed_out = true;
         }
-        // Not a byte of it was sent: its connection was not established in time.
+        // If nothing of the attempt was written, its connection was not established in time.
         let outcome = if was_written {
             Outcome::Timeout
         } else {
@@ -71,7 +71,7 @@
         if !open.is_empty() {
             warn!(self.log, "shutdown deadline reached"; "open" => open.len());
         }
-        for number in self.waiting_first(open) {
+        for number in self.unforwarded_first(open) {
             self.expire_request(now, number);
         }
     }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and upstream servers that operators have taken out.
+//! Updates of the endpoint list, and upstream servers that operators have disabled.
 
 use super::messages::Transport;
 use super::Core;
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Notifies the engine of endpoints as they are to be used. Attempts that wait for a connection to a
-    /// server that takes nothing new are not sent.
+    /// Notifies the engine of endpoints as it should use them. A server that is not ready is blocked, so that
+    /// attempts that still wait for a connection to it are not sent.
     pub(super) fn notify_endpoints(
         &mut self,
         now: Micros,
@@ -46,8 +46,8 @@
         self.transport.report_endpoints(known, excluded);
     }
 
-    /// Takes a server out or puts it back, here and in the other process of an upgrade. Returns false if no
-    /// such server was ever listed.
+    /// Disables or enables a server, both here and in the other process of an upgrade. Returns false if no such
+    /// server was ever listed.
     pub(super) fn set_disabled(
         &mut self,
         now: Micros,
@@ -75,7 +75,7 @@
         is_known
     }
 
-    /// Applies what an operator has had the other process of an upgrade do.
+    /// Applies an operator's command that the other process of an upgrade received.
     pub(super) fn adopt_ban(&mut self, now: Micros, ban: &Ban) {
         if ban.is_banned {
             self.transport.block_server(&ServerId::from(&*ban.id));
--- a/src/core/inputs.rs
+++ b/src/core/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the core's queue.
+//! Handling of the inputs in the core's queue.
 
 use super::attempts::AttemptResponse;
 use super::deadlines::Deadline;
@@ -55,7 +55,7 @@
             } => self.counter_replied(now, call, outcome, total),
             Input::Allocator(event) => self.handle_allocator_event(now, event),
             Input::QuotaShares(shares) => self.notify_engine(now, Event::QuotaShares(shares)),
-            // The loop has read the command already.
+            // The input only wakes the loop, which has handled the command already.
             Input::CommandQueued => {}
             Input::Shutdown(deadline) => self.shut_down(deadline),
         }
@@ -77,6 +77,7 @@
     fn shut_down(&mut self, deadline: Instant) {
         info!(self.log, "shutting down"; "open" => self.requests.len());
         self.phase = self.phase.max(Phase::Draining);
-        self.timers.set(self.clock.at(deadline), Deadline::Shutdown);
+        self.timers
+            .set(self.clock.unix_time_of(deadline), Deadline::Shutdown);
     }
 }
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -1,4 +1,4 @@
-//! Units of open requests that are taken from quota leases.
+//! Charges the units of open requests to quota leases.
 
 use super::messages::Transport;
 use super::open_requests::request_number;
@@ -12,36 +12,38 @@
 use slog::info;
 use std::collections::HashMap;
 
-/// Thousandths in a unit.
+/// Number of milli-units per unit.
 const MILLI_PER_UNIT: f64 = 1_000.0;
-/// Interval, in microseconds, at which metrics of leases are logged.
+/// Interval at which lease metrics are logged, in microseconds.
 const LOG_INTERVAL: Micros = 60_000_000;
-/// Thousandths of a unit that the binary representation of decimal fractions may add.
+/// Milli-units that the binary representation of a decimal fraction may add; not to be rounded up.
 const ROUNDING_ERROR: f64 = 1e-6;
 
-/// Whether the units of a request were taken from a lease.
+/// Result of the attempt to take the units of a request from a lease.
 pub(crate) struct LeaseResult {
+    /// The request.
     pub(crate) id: RequestId,
+    /// Whether the units were taken.
     pub(crate) granted: bool,
 }
 
-/// The units of an open request.
+/// State of the units of an open request.
 enum Units {
-    /// An allocator was asked for them.
+    /// The units were requested from an allocator, which has not answered.
     Waiting(Ticket),
-    /// They are taken from a lease.
+    /// The units were taken from a lease.
     Taken(Receipt),
 }
 
-/// Units that the engine wants for a request.
+/// The engine's demand for the units of a request.
 pub(super) struct LeaseDemand {
-    /// The account that the request is charged to.
+    /// Account that the request is charged to.
     pub(super) account: AccountId,
     /// Index of the account's plan.
     pub(super) plan: usize,
     /// Number of limiters that receive the account's requests.
     pub(super) limiter_count: u32,
-    /// The units.
+    /// Number of units.
     pub(super) units: f64,
 }
 
@@ -49,13 +51,15 @@
 pub(crate) struct Leases {
     holder: Holder,
     plans: Vec<PlanLimits>,
+    /// The open requests whose units are taken from a lease or requested from an allocator.
     requests: HashMap<RequestId, Units>,
+    /// The open requests that wait for an allocator.
     waiting: HashMap<Ticket, RequestId>,
     next_log: Micros,
 }
 
 impl Leases {
-    /// Units taken from leases of this holder; `plans` are those of the engine's settings.
+    /// Creates the state for the leases of this holder; `plans` are the plans of the engine's settings.
     pub(crate) fn new(now: Micros, holder: Holder, plans: &[Plan]) -> Self {
         let limits = |plan: &Plan| PlanLimits {
             rate: milli_units(plan.rate),
@@ -70,7 +74,8 @@
         }
     }
 
-    /// Takes the units of a request from a lease. None if an allocator was asked for them: the result follows.
+    /// Takes the units of a request from a lease. Returns `None` if they were requested from an allocator; the
+    /// result is then returned later by [`Self::handle_event`] or [`Self::poll`].
     pub(crate) fn take(
         &mut self,
         now: Micros,
@@ -99,8 +104,8 @@
         }
     }
 
-    /// Ends a request. If it was never forwarded its units are returned to the lease, also if they are granted
-    /// later.
+    /// Ends a request. If it was never forwarded, its units are returned to the lease, even if they are granted
+    /// only later.
     pub(crate) fn close(&mut self, now: Micros, id: &RequestId, was_forwarded: bool) {
         match self.requests.remove(id) {
             Some(Units::Taken(receipt)) if !was_forwarded => self.holder.put_back(now, receipt),
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Handles an event of a connection to an allocator; returns the results that follow from it.
+    /// Handles an event of a connection to an allocator; returns the results of requests that waited for it.
     pub(crate) fn handle_event(&mut self, now: Micros, event: AllocatorEvent) -> Vec<LeaseResult> {
         let answers = match event {
             AllocatorEvent::Answer(grant) => self.holder.on_grant(now, &grant).unwrap_or_default(),
@@ -122,14 +127,14 @@
         self.results(now, answers)
     }
 
-    /// Reports that are to be sent now, each with the number of its allocator, and results that no longer wait
-    /// for an allocator.
+    /// Returns the reports to send now, each with the number of its allocator, and the results of requests that
+    /// no longer wait for an allocator.
     pub(crate) fn poll(&mut self, now: Micros) -> (Vec<(u32, Report)>, Vec<LeaseResult>) {
         let poll = self.holder.poll(now);
         (poll.reports, self.results(now, poll.answers))
     }
 
-    /// The earliest time of a report; none if there is nothing to report.
+    /// Returns the earliest time at which [`Self::poll`] is due; `None` if there is nothing to report.
     pub(crate) fn next_wake(&self) -> Option<Micros> {
         Some(self.holder.next_wake()).filter(|at| *at < Micros::MAX)
     }
@@ -139,7 +144,7 @@
         self.holder.next_wake() <= now
     }
 
-    /// Metrics since the start, and counts of grants that were dropped, when they are to be logged.
+    /// Returns the metrics since the start and the counts of dropped grants if they are due to be logged.
     pub(crate) fn metrics_due(&mut self, now: Micros) -> Option<(HolderFigures, DroppedMessages)> {
         if now < self.next_log {
             return None;
@@ -165,7 +170,7 @@
                 self.requests.remove(&id);
                 Some(LeaseResult { id, granted: false })
             }
-            // The request has ended meanwhile.
+            // The request has ended in the meantime.
             (None, Outcome::Taken(receipt)) => {
                 self.holder.put_back(now, receipt);
                 None
@@ -176,8 +181,8 @@
 }
 
 impl<T: Transport> Core<T> {
-    /// Takes the units of an open request from a lease. The engine is notified with the next pending events if
-    /// the result is known at once.
+    /// Takes the units of an open request from a lease. If the result is known immediately, it is queued as a
+    /// pending event for the engine.
     pub(super) fn request_lease(&mut self, now: Micros, id: RequestId, demand: &LeaseDemand) {
         if !self.requests.contains(request_number(&id)) {
             return;
@@ -200,8 +205,8 @@
         self.notify_lease_results(now, results);
     }
 
-    /// Sends the lease reports that are due, and notifies the engine of the results that no longer wait for an
-    /// allocator.
+    /// Sends the lease reports that are due, and notifies the engine of the results of requests that no longer
+    /// wait for an allocator.
     pub(super) fn send_lease_reports(&mut self, now: Micros) {
         let Some(leases) = &mut self.leases else {
             return;
@@ -226,7 +231,7 @@
     }
 }
 
-/// Units as whole thousandths, rounded up; 0 for a negative number.
+/// Converts units to whole milli-units, rounded up; 0 for a negative number.
 fn milli_units(units: f64) -> MilliUnits {
     (units * MILLI_PER_UNIT - ROUNDING_ERROR).ceil().max(0.0) as MilliUnits
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the core: inputs of its queue, and requests to its transport.
+//! Messages of the core: the inputs of its queue, and its requests to the transport.
 
 use crate::decision::{
     AccountId, Endpoint, Outcome, QuotaShares, RequestId, ServerId, UpdateScope,
@@ -9,19 +9,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Identifies an attempt: the number of its request, and its place among that request's attempts.
+/// Identifies an attempt by its request and its position among the attempts of that request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// Number of the request.
     pub request: u64,
-    /// Number of the attempt, from 0.
+    /// Index of the attempt among those of its request, from 0.
     pub attempt: usize,
 }
 
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// The answer is waited for up to this time.
+    /// The attempt times out if it has not ended by this time.
     pub answer: Instant,
     /// Nothing of the attempt is written from this time on.
     pub write: Instant,
@@ -32,31 +32,32 @@
 pub enum Answer<V> {
     /// Served with the value of an upstream server.
     Served(V),
-    /// Rejected, and harmless to retry.
+    /// Rejected; a retry is harmless.
     Rejected {
-        /// When the client should retry; no advice if zero.
+        /// Time after which the client should retry; zero if none is suggested.
         retry_after: Duration,
-        /// An attempt timed out.
+        /// Whether the cause is a lack of time, for example because an attempt timed out.
         timed_out: bool,
     },
     /// Failed. The request may have run.
     Failed {
-        /// An attempt, or the request itself, timed out.
+        /// Whether an attempt, or the request itself, timed out.
         timed_out: bool,
     },
 }
 
-/// Carries out what the core asks for. No call may block: the core waits for its queue alone.
+/// Connects the core to clients, upstream servers, the counter and allocators. No method may block, as the
+/// core must only ever wait for its queue.
 pub trait Transport {
-    /// Takes the final answer of a request.
+    /// Receives the final answer of a request.
     type Client;
-    /// A request as it is sent to an upstream server.
+    /// A request in the form in which it is sent to an upstream server.
     type Call;
-    /// What an upstream server serves.
+    /// The content of a successful response of an upstream server.
     type Value;
-    /// Gives a request its final answer.
+    /// Sends the final answer of a request to its client.
     fn answer(&mut self, client: Self::Client, answer: Answer<Self::Value>);
-    /// Starts an attempt for this client. Nothing of it is written once the client has closed its
+    /// Starts an attempt for this client. Nothing of the attempt is written once the client has closed its
     /// connection.
     fn start_attempt(
         &mut self,
@@ -66,109 +67,110 @@
         deadlines: AttemptDeadlines,
         client: &Self::Client,
     );
-    /// Cancels an attempt; whatever is still received of it is dropped. Returns false if nothing of it
-    /// was written: it never ran and never will.
+    /// Cancels an attempt; the rest of its response is dropped. Returns false if nothing of the attempt was
+    /// written: it did not run and will not run.
     fn cancel(&mut self, attempt: AttemptId) -> bool;
-    /// Cancels an attempt of which nothing is written yet; returns false if something is.
+    /// Cancels an attempt if nothing of it is written yet; otherwise returns false and leaves the attempt
+    /// unchanged.
     fn withdraw(&mut self, attempt: AttemptId) -> bool;
-    /// Checks the health of an upstream server and asks for its load.
+    /// Checks the health of an upstream server and requests a load report.
     fn check_health(&mut self, server: &ServerId);
-    /// Sends nothing more to an upstream server, not even attempts that were started and are not
-    /// written yet.
+    /// Stops sending attempts to an upstream server, including attempts that were started and are not written
+    /// yet.
     fn block_server(&mut self, server: &ServerId);
     /// Sends a message to the other process of an upgrade, if there is one.
     fn notify_peer_process(&mut self, message: HandoverMessage);
-    /// Reports how many upstream servers are listed, and how many of them get no requests.
+    /// Reports how many upstream servers are listed, and how many of them get no new requests.
     fn report_endpoints(&mut self, known: usize, excluded: usize);
-    /// Adds to a counter. [`Input::CounterReply`] with this call's number has the total.
+    /// Adds an amount to a counter. The total follows in [`Input::CounterReply`] with the number of this call.
     fn add_to_counter(&mut self, call: u64, key: u64, amount: f64, ttl: Duration);
-    /// Sends a report to an allocator of quota leases. Only a core with leases has any.
+    /// Sends a report to an allocator of quota leases. Called only if the core has a holder of leases.
     fn send_lease_report(&mut self, _allocator: u32, _report: Report) {}
-    /// Whether a client is connected, from which a request may be on its way.
+    /// Whether any client is connected, so that another request may still arrive.
     fn has_clients(&self) -> bool;
 }
 
-/// A client's request as it reaches the core.
+/// A request of a client, as passed to the core.
 pub struct IncomingRequest<Client, Call> {
-    /// Its number, unique in this process.
+    /// Number of the request, unique in this process.
     pub number: u64,
-    /// Its id, where clients give one; no two open requests may have the same.
+    /// Id that the client gave to the request, if any. Two open requests can't have the same id.
     pub id: Option<RequestId>,
-    /// When its last byte was received.
+    /// When the last byte of the request was received.
     pub arrived: Instant,
-    /// Time that the client waits from then on.
+    /// Time for which the client waits, counted from `arrived`.
     pub timeout: Duration,
-    /// Index of its class.
+    /// Index of the request class.
     pub class: usize,
-    /// Index of its plan.
+    /// Index of the account's plan.
     pub plan: usize,
-    /// The account that it is charged to.
+    /// Account that the request is charged to.
     pub account: AccountId,
-    /// Units that it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
     /// Number of limiters that receive the account's requests.
     pub limiter_count: u32,
     /// Number of the first of these limiters.
     pub first_limiter: u32,
-    /// Takes the final answer.
+    /// Receives the final answer.
     pub client: Client,
-    /// What is sent to an upstream server.
+    /// The request in the form in which it is sent to an upstream server.
     pub call: Call,
 }
 
-/// What the core's queue carries.
+/// An input in the core's queue.
 pub enum Input<T: Transport> {
     /// An update of the endpoint list.
     EndpointUpdate(UpdateScope, Vec<Endpoint>),
-    /// A request was received whole.
+    /// A request was completely received.
     Request(IncomingRequest<T::Client, T::Call>),
     /// The client of these requests has disconnected.
     ClientDisconnected(Vec<u64>),
-    /// The first bytes of an attempt's value were received, and are forwarded as they come. The
+    /// The first bytes of an attempt's value were received; the value is forwarded as it is received. The
     /// attempt ends later, without a value.
     ResponseStarted {
         /// The attempt.
         attempt: AttemptId,
-        /// Its value.
+        /// The value, of which more may still be received.
         value: T::Value,
     },
-    /// An attempt has ended by itself.
+    /// An attempt has ended without being cancelled.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Load report of the server, if there was one.
+        /// Load report of the server; empty if none was received.
         load: Vec<f64>,
-        /// The value, with [`Outcome::Ok`].
+        /// The value, if the outcome is [`Outcome::Ok`].
         value: Option<T::Value>,
     },
     /// A health check has ended.
     HealthChecked {
         /// The upstream server.
         server: ServerId,
-        /// How the check ended.
+        /// Outcome of the check.
         outcome: Outcome,
-        /// Time that it took.
+        /// Duration of the check.
         latency: Duration,
         /// Load report of the server.
         load: Vec<f64>,
     },
-    /// A call of the counter has ended.
+    /// A call to the counter has ended.
     CounterReply {
         /// The number given to [`Transport::add_to_counter`].
         call: u64,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// The total, with [`Outcome::Ok`].
+        /// Total of the counter, if the outcome is [`Outcome::Ok`].
         total: f64,
     },
-    /// A connection to an allocator of quota leases has an event.
+    /// An event of a connection to an allocator of quota leases.
     Allocator(AllocatorEvent),
-    /// The shares of what all limiters have together have changed.
+    /// The division of the quotas among the limiters has changed.
     QuotaShares(QuotaShares),
-    /// A [`Command`](super::Command) is queued.
+    /// A [`Command`](super::Command) was queued in the separate channel; this input wakes the core.
     CommandQueued,
-    /// Answer all open requests and end, by this time at the latest.
+    /// The core is to answer all open requests and end by this time at the latest.
     Shutdown(Instant),
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The core: the event loop that owns the decision engine, open requests and attempts.
 //!
-//! It deals in requests, attempts and outcomes. Connections to clients, upstream servers and the counter are
-//! behind [`Transport`] and reach the core through its queue of [`Input`]s alone; the one thread that runs
-//! [`Core::run`] owns the engine.
+//! The core handles requests, attempts and outcomes, but no connections. It reaches clients, upstream
+//! servers and the counter through [`Transport`], and their events arrive only through its queue of
+//! [`Input`]s. The engine is used by a single thread, the one that runs [`Core::run`].
 
 mod actions;
 mod attempts;
@@ -41,33 +41,33 @@
 use timers::Timers;
 use upgrade::UpgradeState;
 
-/// Longest Retry-After of requests that are rejected because too many are open.
+/// Maximum Retry-After of requests that are rejected because too many requests are open.
 const MAX_RETRY_AFTER_WHEN_FULL: Duration = Duration::from_millis(500);
-/// Shortest timeout of a counter call, in microseconds.
+/// Minimum timeout of a counter call, in microseconds.
 const MIN_COUNTER_TIMEOUT: Micros = 1_000;
 
-/// What a core is made of.
+/// Settings and components of a new [`Core`].
 pub struct CoreOptions<T: Transport> {
     /// Settings of the engine.
     pub settings: Settings,
     /// Seed of the engine's random numbers.
     pub seed: u64,
-    /// Most requests that are open at a time; more are rejected.
+    /// Maximum number of open requests; further requests are rejected.
     pub max_open: usize,
-    /// Carries out what the core asks for.
+    /// Carries out the requests of the core to clients, upstream servers and the counter.
     pub transport: T,
-    /// The clock of the engine.
+    /// Clock whose time the engine is given.
     pub clock: Clock,
-    /// Receives a message whenever an endpoint update names a ready server; for the first one capacity 1 is
-    /// enough.
+    /// Receives a message for each endpoint update that contains a ready server. Messages that do not fit
+    /// into the channel are dropped, so capacity 1 suffices for a receiver that waits for the first one.
     pub endpoints_known: Sender<()>,
-    /// Holder of quota leases; none where units are not leased.
+    /// Holder of quota leases; `None` if units are not leased.
     pub lease_holder: Option<Holder>,
-    /// Where requests without an answer and the shutdown are logged.
+    /// Log for unanswered requests, the shutdown and other events of the core.
     pub log: Logger,
 }
 
-/// The event loop round the decision engine.
+/// The event loop around the decision engine.
 pub struct Core<T: Transport> {
     engine: Engine,
     transport: T,
@@ -76,39 +76,40 @@
     requests: OpenRequests<T>,
     attempts: RunningAttempts,
     counter_calls: CounterCalls,
-    /// None where units are not leased.
+    /// `None` if units are not leased.
     leases: Option<Leases>,
     bans: ServerBans,
     upgrade: UpgradeState,
     phase: Phase,
     rules: RequestRules,
-    /// Events for the engine that follow from its actions.
+    /// Events that resulted from the engine's actions and that the engine has not processed yet.
     pending_events: VecDeque<Event>,
-    /// Buffer of the engine's actions, kept for its capacity.
+    /// Buffer for the engine's actions, reused to avoid allocations.
     actions: Vec<Action>,
     endpoints_known: Sender<()>,
     log: Logger,
-    full_log: LogThrottle,
-    duplicate_id_log: LogThrottle,
+    full_throttle: LogThrottle,
+    duplicate_id_throttle: LogThrottle,
 }
 
-/// How far the shutdown of the core is.
+/// Stage of the core's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     /// No shutdown was requested.
     Serving,
     /// The core ends once no client is connected and nothing is open.
     Draining,
-    /// The time for that is over.
+    /// The shutdown deadline has passed.
     Stopped,
 }
 
-/// What the settings say about single requests.
+/// Settings that apply to individual requests.
 struct RequestRules {
-    /// By class: a rejection is harmless even after the request may have run.
+    /// By class index, whether requests are idempotent: a retry after a rejection is then harmless even if the
+    /// request may have run.
     idempotent_classes: Vec<bool>,
     max_attempts: usize,
-    /// Retry-After of requests that are rejected because too many are open; zero for no advice.
+    /// Retry-After of requests that are rejected because too many requests are open; zero if clients get none.
     retry_after_when_full: Duration,
 }
 
@@ -126,14 +127,14 @@
         }
     }
 
-    /// Whether requests of a class are idempotent; those of an unknown class are not.
+    /// Whether requests of a class are idempotent; false for an unknown class.
     fn is_idempotent(&self, class: usize) -> bool {
         self.idempotent_classes.get(class).copied().unwrap_or(false)
     }
 }
 
 impl<T: Transport> Core<T> {
-    /// A core with a new engine, which knows no upstream server.
+    /// Creates a core with a new engine, which knows no upstream servers.
     pub fn new(options: CoreOptions<T>) -> Self {
         let rules = RequestRules::new(&options.settings);
         let counter_timeout = options.settings.counter_timeout.max(MIN_COUNTER_TIMEOUT);
@@ -158,16 +159,17 @@
             actions: Vec::new(),
             endpoints_known: options.endpoints_known,
             log: options.log,
-            full_log: LogThrottle::default(),
-            duplicate_id_log: LogThrottle::default(),
+            full_throttle: LogThrottle::default(),
+            duplicate_id_throttle: LogThrottle::default(),
         }
     }
 
-    /// Runs until the core is stopped and all open requests are answered. Returns the units that the counter
-    /// does not know of yet.
+    /// Runs until the core is stopped and all open requests are answered. Returns the units that were not
+    /// reported to the counter.
     pub fn run(mut self, inputs: Receiver<Input<T>>, commands: Receiver<Command>) -> FinalReport {
-        // Inputs that were queued by the end are still handled.
-        while self.goes_on() || !(self.phase == Phase::Stopped || inputs.is_empty()) {
+        // Inputs that are still queued when the core could end are handled, unless the shutdown deadline has
+        // passed.
+        while self.must_continue() || !(self.phase == Phase::Stopped || inputs.is_empty()) {
             let input = match self.next_wake() {
                 Some(at) => inputs.recv_deadline(self.clock.moment(at)),
                 None => inputs.recv().map_err(|_| RecvTimeoutError::Disconnected),
@@ -181,7 +183,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
-            while let Some(deadline) = self.timers.due(now) {
+            while let Some(deadline) = self.timers.pop_expired(now) {
                 self.handle_deadline(now, deadline);
             }
             self.send_lease_reports(now);
@@ -189,16 +191,20 @@
         self.engine.unreported_units()
     }
 
-    /// When the next timer expires or the next lease report is due.
+    /// Returns when the next timer expires or the next lease report is due, whichever is earlier.
     fn next_wake(&self) -> Option<Micros> {
         let lease_report = self.leases.as_ref().and_then(Leases::next_wake);
-        self.timers.next().into_iter().chain(lease_report).min()
+        self.timers
+            .next_expiry()
+            .into_iter()
+            .chain(lease_report)
+            .min()
     }
 
-    /// Whether the loop goes on: until the last connection has ended, as each may carry a request. A
-    /// predecessor hands its connections over, and waits for its last counter calls as well: units that these
-    /// turn out not to have added are part of its final report.
-    fn goes_on(&self) -> bool {
+    /// Whether the loop must continue. It runs until the last client connection is closed, as a request may
+    /// still arrive on each. A predecessor has handed its connections over, but waits for its last counter
+    /// calls as well, because units that these calls failed to add are part of its final report.
+    fn must_continue(&self) -> bool {
         if self.upgrade.finishing {
             return !self.requests.is_empty() || !self.counter_calls.is_empty();
         }
--- a/src/core/open_requests.rs
+++ b/src/core/open_requests.rs
@@ -5,29 +5,30 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// A request that the engine gives up so shortly before its deadline has timed out; a lack of servers is not
-/// the cause. In microseconds.
+/// If the engine gives up a request within this time before its deadline, the cause is taken to be the lack
+/// of time rather than a lack of servers, and the request has timed out. In microseconds.
 const DEADLINE_MARGIN: Micros = 50_000;
 
 /// A request without a final answer.
 pub(super) struct OpenRequest<T: Transport> {
-    /// The id by which the engine knows it.
+    /// Id of the request in the engine.
     pub(super) id: RequestId,
-    /// The id that its client gave it, if any.
+    /// Id that the client gave to the request, if any.
     pub(super) client_id: Option<RequestId>,
+    /// Account that the request is charged to.
     pub(super) account: AccountId,
-    /// Takes the answer; none once a response is being streamed.
+    /// Receives the answer; `None` once a response is being streamed.
     pub(super) client: Option<T::Client>,
-    /// The response that is being streamed to the client, if any: no attempt is started any more, and no
-    /// timeout cuts it off.
+    /// The response that is being streamed to the client, if any. While it is, no further attempts are
+    /// started, and no timeout ends the response.
     pub(super) stream: Option<ResponseStream>,
     pub(super) call: Arc<T::Call>,
     pub(super) deadline: Micros,
-    /// Number of attempts so far.
+    /// Number of attempts that the engine has requested so far.
     pub(super) attempts: usize,
-    /// An attempt timed out.
+    /// Whether an attempt timed out.
     pub(super) attempt_timed_out: bool,
-    /// An attempt may have run.
+    /// Whether an attempt may have run.
     pub(super) may_have_run: bool,
     pub(super) is_idempotent: bool,
 }
@@ -35,14 +36,14 @@
 /// A response that is forwarded as it is received.
 #[derive(Clone, Copy)]
 pub(super) struct ResponseStream {
-    /// The attempt that received it.
+    /// Attempt whose response this is.
     pub(super) attempt: AttemptId,
-    /// When its first bytes were received.
+    /// When the first bytes were received.
     pub(super) started: Micros,
 }
 
 impl<T: Transport> OpenRequest<T> {
-    /// Whether an answer without a value now is due to a lack of time.
+    /// Whether the cause is a lack of time if the request is answered without a value now.
     pub(super) fn is_out_of_time(&self, now: Micros) -> bool {
         self.attempt_timed_out || now + DEADLINE_MARGIN >= self.deadline
     }
@@ -56,7 +57,7 @@
 }
 
 impl<T: Transport> OpenRequests<T> {
-    /// No requests; there may be `max_open`.
+    /// Creates an empty set of at most `max_open` requests.
     pub(super) fn new(max_open: usize) -> Self {
         Self {
             by_number: HashMap::new(),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Number of open requests.
+    /// Returns the number of open requests.
     pub(super) fn len(&self) -> usize {
         self.by_number.len()
     }
@@ -75,37 +76,37 @@
         self.by_number.is_empty()
     }
 
-    /// Whether no further request may be opened.
+    /// Whether the maximum number of requests is open.
     pub(super) fn is_full(&self) -> bool {
         self.len() >= self.max_open
     }
 
-    /// Whether a request is open.
+    /// Whether the request with this number is open.
     pub(super) fn contains(&self, number: u64) -> bool {
         self.by_number.contains_key(&number)
     }
 
-    /// An open request.
+    /// Returns the open request with this number.
     pub(super) fn get(&self, number: u64) -> Option<&OpenRequest<T>> {
         self.by_number.get(&number)
     }
 
-    /// An open request, to be changed.
+    /// Returns a mutable reference to the open request with this number.
     pub(super) fn get_mut(&mut self, number: u64) -> Option<&mut OpenRequest<T>> {
         self.by_number.get_mut(&number)
     }
 
-    /// Numbers of the open requests, in no order.
+    /// Returns the numbers of the open requests, in no particular order.
     pub(super) fn numbers(&self) -> Vec<u64> {
         self.by_number.keys().copied().collect()
     }
 
-    /// Reserves the id that a client gave to a request; returns false if an open request has the same.
+    /// Reserves the id that a client gave to a request, if any. Returns false if an open request has the same id.
     pub(super) fn reserve_client_id(&mut self, id: Option<&RequestId>) -> bool {
         id.is_none_or(|id| self.client_ids.insert(id.clone()))
     }
 
-    /// Adds a request, whose client id is reserved.
+    /// Adds a request. Its client id must have been reserved.
     pub(super) fn insert(&mut self, number: u64, request: OpenRequest<T>) {
         self.by_number.insert(number, request);
     }
@@ -120,12 +121,12 @@
     }
 }
 
-/// The id by which the engine knows a request.
+/// Returns the id of a request in the engine.
 pub(super) fn request_id(number: u64) -> RequestId {
     RequestId::from(format!("{number:x}").as_str())
 }
 
-/// The number of a request in an id of [`request_id`].
+/// Returns the number of the request with an id created by [`request_id`], or `u64::MAX` for any other id.
 pub(super) fn request_number(id: &RequestId) -> u64 {
     u64::from_str_radix(&id.0, 16).unwrap_or(u64::MAX)
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their admission to their one answer.
+//! Requests from their admission to their final answer.
 
 use super::deadlines::Deadline;
 use super::messages::{Answer, AttemptId, IncomingRequest, Transport};
@@ -9,17 +9,17 @@
 use std::sync::Arc;
 
 impl<T: Transport> Core<T> {
-    /// Opens a request, unless too many are open or one with the same client id is.
+    /// Opens a request, unless too many requests or one with the same client id are open already.
     pub(super) fn admit(&mut self, now: Micros, incoming: IncomingRequest<T::Client, T::Call>) {
         // Bounds the memory that requests use. Nothing has run yet, so the rejection is harmless.
         if self.requests.is_full() {
             return self.reject_when_full(incoming.client);
         }
-        // Upstream servers would take the request for the open one of another client.
+        // Upstream servers would mistake the request for the open one of another client.
         if !self.requests.reserve_client_id(incoming.id.as_ref()) {
             return self.fail_duplicate(incoming.client);
         }
-        let arrived = self.clock.at(incoming.arrived).min(now);
+        let arrived = self.clock.unix_time_of(incoming.arrived).min(now);
         let deadline = arrived + incoming.timeout.as_micros() as Micros;
         let request = engine_request(&incoming, deadline.saturating_sub(now));
         let open = OpenRequest {
@@ -42,7 +42,7 @@
     }
 
     fn reject_when_full(&mut self, client: T::Client) {
-        if let Some(suppressed) = self.full_log.permit() {
+        if let Some(suppressed) = self.full_throttle.permit() {
             warn!(self.log, "too many open requests";
                 "open" => self.requests.len(), "suppressed" => suppressed);
         }
@@ -54,7 +54,7 @@
     }
 
     fn fail_duplicate(&mut self, client: T::Client) {
-        if let Some(suppressed) = self.duplicate_id_log.permit() {
+        if let Some(suppressed) = self.duplicate_id_throttle.permit() {
             info!(self.log, "duplicate id of an open request"; "suppressed" => suppressed);
         }
         self.transport
@@ -63,22 +63,23 @@
 
     /// Closes the requests of a client that has disconnected.
     pub(super) fn abandon_requests(&mut self, now: Micros, numbers: Vec<u64>) {
-        for number in self.waiting_first(numbers) {
+        for number in self.unforwarded_first(numbers) {
             if let Some(request) = self.close(now, number) {
                 self.notify_engine(now, Event::ClientDisconnected { id: request.id });
             }
         }
     }
 
-    /// Sorts requests that end together: those without a running attempt first, as each would be forwarded
-    /// once the end of another one leaves room for it.
-    pub(super) fn waiting_first(&self, mut numbers: Vec<u64>) -> Vec<u64> {
+    /// Sorts requests that are closed together so that those without a running attempt come first. In any
+    /// other order, the end of a forwarded request would free capacity, and the engine would forward a
+    /// waiting request that is about to be closed.
+    pub(super) fn unforwarded_first(&self, mut numbers: Vec<u64>) -> Vec<u64> {
         let forwarded = self.attempts.requests();
         numbers.sort_by_key(|number| forwarded.contains(number));
         numbers
     }
 
-    /// Fails a request at its deadline, whatever the engine is waiting for.
+    /// Fails a request at its deadline, regardless of what the engine still waits for.
     pub(super) fn expire_request(&mut self, now: Micros, number: u64) {
         let Some(request) = self.close(now, number) else {
             return;
@@ -89,8 +90,8 @@
         self.notify_engine(now, Event::ClientDisconnected { id: request.id });
     }
 
-    /// Removes a request from the open ones, as its answer is due now. Attempts that are not written yet
-    /// never will be.
+    /// Removes a request from the open ones because it is answered or abandoned now, and withdraws its
+    /// attempts that are not written yet.
     pub(super) fn close(&mut self, now: Micros, number: u64) -> Option<OpenRequest<T>> {
         let request = self.requests.remove(number)?;
         if let Some(leases) = &mut self.leases {
@@ -108,13 +109,13 @@
         Some(request)
     }
 
-    /// The response that is being streamed to the client of a request, if any.
+    /// Returns the response that is being streamed to the client of a request, if any.
     pub(super) fn response_stream(&self, number: u64) -> Option<ResponseStream> {
         self.requests.get(number)?.stream
     }
 
-    /// Sends the answer of a request. A client whose response is being streamed gets none: it notices where
-    /// the response breaks off.
+    /// Sends the answer of a request. `client` is `None` if a response is being streamed to the client: it gets
+    /// no further answer and detects a failure by the incomplete response.
     pub(super) fn answer(&mut self, client: Option<T::Client>, answer: Answer<T::Value>) {
         if let Some(client) = client {
             self.transport.answer(client, answer);
@@ -122,7 +123,7 @@
     }
 }
 
-/// A request as the engine is notified of it.
+/// Converts a request into the form of the engine's events.
 fn engine_request<Client, Call>(
     incoming: &IncomingRequest<Client, Call>,
     timeout: Micros,
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,26 +1,29 @@
-//! The core's timers.
+//! The timer queue of the core.
 
 use crate::decision::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// One timer; the fields are in the order by which timers are sorted.
+/// A timer. The derived order compares the fields from top to bottom, so their sequence matters.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer<T> {
+    /// When the timer expires.
     at: Micros,
+    /// Sequence number, which orders timers that expire at the same time.
     number: u64,
     entry: T,
 }
 
-/// Timers in order of expiry; those of the same time expire in the order in which they were set.
+/// Timers in order of expiry. Timers with the same time expire in the order in which they were set.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
+    /// Number of timers that were ever set.
     count: u64,
 }
 
 impl<T: Ord> Timers<T> {
-    /// No timers.
+    /// Creates an empty queue.
     pub(crate) fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -28,7 +31,7 @@
         }
     }
 
-    /// Sets a timer that expires at this time.
+    /// Sets a timer that expires at `at`.
     pub(crate) fn set(&mut self, at: Micros, entry: T) {
         self.count += 1;
         self.heap.push(Reverse(Timer {
@@ -38,14 +41,14 @@
         }));
     }
 
-    /// When the first timer expires; none if none is set.
-    pub(crate) fn next(&self) -> Option<Micros> {
+    /// Returns when the first timer expires; `None` if no timer is set.
+    pub(crate) fn next_expiry(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// Removes the first timer if it has expired, and returns its entry.
-    pub(crate) fn due(&mut self, now: Micros) -> Option<T> {
-        if self.next()? > now {
+    /// Removes the first timer and returns its entry; `None` if it has not expired yet.
+    pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<T> {
+        if self.next_expiry()? > now {
             return None;
         }
         self.heap.pop().map(|Reverse(timer)| timer.entry)
--- a/src/core/upgrade.rs
+++ b/src/core/upgrade.rs
@@ -1,4 +1,4 @@
-//! The core's part in an upgrade: state given to a successor or adopted from a predecessor.
+//! Upgrades in the core: passes state to a successor and adopts state from a predecessor.
 
 use super::commands::HandOverCommand;
 use super::messages::Transport;
@@ -8,14 +8,14 @@
 use std::collections::HashMap;
 use std::mem::take;
 
-/// What the core knows of the other process of an upgrade.
+/// State of an upgrade in the core.
 #[derive(Default)]
 pub(super) struct UpgradeState {
-    /// The state that a successor was given, while there is one.
+    /// The learned state that was given to the successor; `None` if there is no successor.
     handed_over: Option<LearnedState>,
-    /// Attempts of a predecessor that are still running, by account.
+    /// Number of attempts of a predecessor that are still running, by account.
     predecessor_attempts: HashMap<AccountId, u32>,
-    /// A successor serves; this process only finishes what is open.
+    /// Whether a successor serves, so that this process only finishes its open requests and counter calls.
     pub(super) finishing: bool,
 }
 
@@ -79,7 +79,7 @@
                 }
             }
             HandoverMessage::FinalReport(report) => {
-                // All attempts of the predecessor have ended with it.
+                // The predecessor exits after this report, so all of its attempts have ended.
                 for (account, running) in take(&mut self.upgrade.predecessor_attempts) {
                     for _ in 0..running {
                         self.engine.ended_before(&account);
@@ -87,7 +87,7 @@
                 }
                 self.engine.take_unreported(report);
             }
-            // Messages of the hand-over itself are not for the core.
+            // The other messages are handled by the upgrade coordinator.
             _ => {}
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! A quota limiter for a fleet of API gateways: keeps each account of a shared back end to its plan.
+//! A quota limiter for a fleet of API gateways: enforces the plan of each account of a shared back end.
 //!
-//! [`decision`] decides, `core` is the event loop round it, [`process`] assembles a
-//! limiter and [`config`] reads what it is configured with.
+//! [`decision`] contains the decision engine, `core` the event loop that drives it, [`process`]
+//! assembles a limiter from its components, and [`config`] reads its configuration.
 //!
-//! An [`Engine`] is a state machine without I/O or clocks: its host notifies it of events with the
-//! time, and carries out the actions that come back.
+//! An [`Engine`] is a state machine without I/O or clocks: its host notifies it of events together
+//! with their time, and carries out the actions that it returns.
 //!
 //! ```
 //! use mossrill::decision::{
--- a/src/log_throttle.rs
+++ b/src/log_throttle.rs
@@ -1,13 +1,13 @@
-//! A rate limit for log lines that bad input could repeat without end.
+//! A rate limit for log lines that invalid input could otherwise repeat without bound.
 
 use crate::threads::lock;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The least time between two lines.
+/// Minimum time between two lines.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Permits one line a second and counts the suppressed ones.
+/// Permits one log line per second and counts the suppressed ones.
 #[derive(Debug, Default)]
 pub struct LogThrottle(Mutex<ThrottleState>);
 
@@ -18,8 +18,8 @@
 }
 
 impl LogThrottle {
-    /// Returns the number of lines that were suppressed since the last one if a line may be written now; otherwise counts
-    /// this line as suppressed and returns none.
+    /// Returns the number of lines suppressed since the last permitted one if a line may be written now. Otherwise counts
+    /// this line as suppressed and returns `None`.
     pub fn permit(&self) -> Option<u64> {
         let mut state = lock(&self.0);
         if state
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `mossrill`: a limiter on real sockets, and what else its command line offers.
+//! The `mossrill` binary: runs a limiter on real sockets, and provides the other functions of its
+//! command line.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,20 +1,22 @@
-//! Metrics for operators: counted where the event happens, and read without the core.
+//! Metrics for operators. The code that handles an event counts it, and reading the metrics does not
+//! involve the core.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// How a request ended for its client.
+/// Outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// With a value from an upstream server.
+    /// Answered with a value from an upstream server.
     Served,
-    /// Rejected: nothing was done, so the client may retry.
+    /// Rejected: the request had no effect, so the client may retry it.
     Rejected,
-    /// Failed, perhaps after an upstream server had done it, or the client disconnected.
+    /// Failed, possibly after an upstream server executed it, or abandoned because the client
+    /// disconnected.
     Failed,
 }
 
-/// All metrics of one process; they begin at 0.
+/// All metrics of one process, starting at 0.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Vec<ClassMetrics>,
@@ -24,7 +26,7 @@
     excluded_servers: AtomicUsize,
 }
 
-/// Requests of one class that ended, by outcome.
+/// Number of finished requests of one class, by outcome.
 #[derive(Debug, Default)]
 struct ClassMetrics {
     name: String,
@@ -57,7 +59,7 @@
 }
 
 impl Metrics {
-    /// Metrics of these classes, each shown from the start.
+    /// Creates metrics for these request classes. Each class is listed before its first request.
     pub fn new(classes: Vec<String>) -> Arc<Self> {
         let classes = classes
             .into_iter()
@@ -72,7 +74,7 @@
         })
     }
 
-    /// Counts a request of the class with this index as in flight until the result is dropped.
+    /// Counts a request of the class with this index as in flight until the returned value is dropped.
     pub fn begin_request(self: &Arc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.fetch_add(1, Relaxed);
         InFlightRequest {
@@ -82,23 +84,24 @@
         }
     }
 
-    /// Counts an attempt that was written whole to an upstream server.
+    /// Counts an attempt that was completely written to an upstream server.
     pub fn count_attempt(&self) {
         self.attempts.fetch_add(1, Relaxed);
     }
 
-    /// The number of requests that were taken and whose reply is not written.
+    /// Returns the number of requests that were accepted and whose reply is not written yet.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
 
-    /// Sets the numbers of upstream servers that are listed, and that are excluded from load balancing.
+    /// Sets the number of listed upstream servers, and how many of them are excluded from load
+    /// balancing.
     pub fn set_server_counts(&self, known: usize, excluded: usize) {
         self.known_servers.store(known, Relaxed);
         self.excluded_servers.store(excluded, Relaxed);
     }
 
-    /// Each metric's name and value, in the order of the admin interface.
+    /// Returns the name and value of each metric, in the order in which the admin interface shows them.
     pub fn all(&self) -> Vec<(String, u64)> {
         let process_metrics = [
             ("attempts", self.attempts.load(Relaxed)),
@@ -120,7 +123,7 @@
 
 /// A request in flight. Dropping it counts the request once, as failed unless [`Self::finish`] was called.
 ///
-/// Guards against requests that end in a place without a count.
+/// Counting on drop ensures that a request is counted on every code path on which it ends.
 #[derive(Debug)]
 pub struct InFlightRequest {
     metrics: Arc<Metrics>,
@@ -129,7 +132,7 @@
 }
 
 impl InFlightRequest {
-    /// Counts the request with this outcome; its reply was written whole.
+    /// Counts the request with this outcome, after its reply was completely written.
     pub fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
--- a/src/threads.rs
+++ b/src/threads.rs
@@ -5,49 +5,52 @@
 use std::thread;
 use std::time::Duration;
 
-/// Enough for every thread of this program; hundreds of them have to fit beside the buffers.
+/// Stack size of each thread, in bytes. It suffices for every thread of this program, and is small
+/// because the stacks of hundreds of threads must fit into memory along with the connection buffers.
 const STACK_BYTES: usize = 96 * 1024;
-/// Idle threads kept for reuse: about as many as begin and end work at the same time.
+/// Maximum number of idle threads kept for reuse: about as many as start and finish tasks at the same
+/// time.
 const MAX_IDLE_THREADS: usize = 40;
-/// An idle thread ends after this time.
+/// Time after which an idle thread exits.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The interval at which a thread looks for work that was promised to it; its condition variable is notified sooner.
-const PROMISED_WORK_WAIT: Duration = Duration::from_secs(60);
+/// Interval at which a thread checks for a task that another thread is about to assign to it. Normally
+/// the condition variable wakes it earlier.
+const ASSIGNED_TASK_WAIT: Duration = Duration::from_secs(60);
 
-type Work = Box<dyn FnOnce() + Send>;
+type Task = Box<dyn FnOnce() + Send>;
 
 static IDLE_THREADS: Mutex<Vec<Arc<IdleThread>>> = Mutex::new(Vec::new());
 
-/// Where an idle thread receives its next work.
+/// Slot through which an idle thread receives its next task.
 ///
-/// A condition variable rather than a channel: channels spin before they block, which cost a limiter with part of a core
-/// much of its time.
+/// It uses a condition variable rather than a channel: channels spin before they block, which used much of the CPU time
+/// of a limiter that had only a fraction of a processor core.
 #[derive(Default)]
 struct IdleThread {
-    work: Mutex<Option<Work>>,
-    work_added: Condvar,
+    task: Mutex<Option<Task>>,
+    task_added: Condvar,
 }
 
 impl IdleThread {
-    fn start_work(&self, work: Work) {
-        *lock(&self.work) = Some(work);
-        self.work_added.notify_one();
+    fn assign(&self, task: Task) {
+        *lock(&self.task) = Some(task);
+        self.task_added.notify_one();
     }
 
-    /// Registers the thread as idle and waits for work. Returns none if the thread is to end: enough others are idle, or
-    /// no work came in time.
-    fn next_work(self: &Arc<Self>) -> Option<Work> {
+    /// Registers the thread as idle and waits for a task. Returns `None` if the thread is to exit, because enough other
+    /// threads are idle or no task was assigned within [`IDLE_TIMEOUT`].
+    fn next_task(self: &Arc<Self>) -> Option<Task> {
         if !self.register() {
             return None;
         }
-        let mut next = lock(&self.work);
+        let mut next = lock(&self.task);
         let mut timeout = IDLE_TIMEOUT;
         loop {
-            if let Some(work) = next.take() {
-                return Some(work);
+            if let Some(task) = next.take() {
+                return Some(task);
             }
             let (guard, wait) = self
-                .work_added
+                .task_added
                 .wait_timeout(next, timeout)
                 .unwrap_or_else(PoisonError::into_inner);
             next = guard;
@@ -55,12 +58,13 @@
                 if self.deregister() {
                     return None;
                 }
-                // Another thread has just removed it from the idle ones in order to give it work.
-                timeout = PROMISED_WORK_WAIT;
+                // `spawn` has just removed this thread from the list in order to assign it a task.
+                timeout = ASSIGNED_TASK_WAIT;
             }
         }
     }
 
+    /// Adds the thread to the idle ones; returns false if there are enough already.
     fn register(self: &Arc<Self>) -> bool {
         let mut idle = lock(&IDLE_THREADS);
         if idle.len() >= MAX_IDLE_THREADS {
@@ -70,7 +74,7 @@
         true
     }
 
-    /// Removes the thread from the idle ones; false if it was removed before.
+    /// Removes the thread from the idle ones; returns false if it was removed before.
     fn deregister(self: &Arc<Self>) -> bool {
         let mut idle = lock(&IDLE_THREADS);
         let position = idle.iter().position(|other| Arc::ptr_eq(other, self));
@@ -81,40 +85,41 @@
     }
 }
 
-/// Runs work on a thread with a small stack: an idle one, or a new one of this name.
+/// Runs a task on a thread with a small stack: an idle thread if there is one, or else a new thread with this name.
 ///
-/// Guards against connections that come and go by the hundred: starting and ending their threads took most of the time
-/// of a limiter with part of a core.
+/// Threads are reused because connections may open and close by the hundred: starting and ending a thread for each took
+/// most of the CPU time of a limiter that had only a fraction of a processor core.
 ///
 /// # Errors
 ///
-/// If no thread is idle and none can be started.
-pub fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    let work: Work = Box::new(work);
-    // The list's lock is released first: a thread that ends takes it while it holds the lock of its work.
+/// Returns an error if no thread is idle and no new one can be started.
+pub fn spawn(name: &str, task: impl FnOnce() + Send + 'static) -> io::Result<()> {
+    let task: Task = Box::new(task);
+    // The lock of the list is released before the task is assigned. Otherwise this could deadlock with a
+    // thread that times out: it locks the list in `deregister` while it holds the lock of its task.
     let idle_thread = lock(&IDLE_THREADS).pop();
     if let Some(idle_thread) = idle_thread {
-        idle_thread.start_work(work);
+        idle_thread.assign(task);
         return Ok(());
     }
     thread::Builder::new()
         .name(name.into())
         .stack_size(STACK_BYTES)
-        .spawn(move || run_thread(work))?;
+        .spawn(move || run_thread(task))?;
     Ok(())
 }
 
-fn run_thread(first_work: Work) {
+fn run_thread(first_task: Task) {
     let idle_thread = Arc::new(IdleThread::default());
-    let mut next = Some(first_work);
-    while let Some(work) = next {
-        work();
-        next = idle_thread.next_work();
+    let mut next = Some(first_task);
+    while let Some(task) = next {
+        task();
+        next = idle_thread.next_task();
     }
 }
 
-/// Locks a mutex, poisoned or not: what a panicking thread left is consistent, since no lock is held over a call that may
-/// panic.
+/// Locks a mutex and ignores poisoning. The data is consistent even after a panic, since no lock is held across a call
+/// that may panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
