--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 impl<T: Transport> Core<T> {
-    /// Notifies the engine of an event and carries out the resulting actions, then does the same for the
-    /// events that these actions cause, until none is pending.
+    /// Notifies the engine of an event and carries out the resulting actions, then does the same
+    /// for the events that these actions cause, until none is pending.
     pub(super) fn notify_engine(&mut self, now: Micros, event: Event) {
         self.pending_events.push_back(event);
         while let Some(event) = self.pending_events.pop_front() {
@@ -58,8 +58,8 @@
                 };
                 self.request_lease(now, id, &demand);
             }
-            // Limiters exchange no engine messages, they only share the counter; and the endpoint list is
-            // watched from the start.
+            // Limiters exchange no engine messages, they only share the counter; and the endpoint
+            // list is watched from the start.
             Action::SendToPeer { .. } | Action::WatchEndpoints => {}
         }
     }
@@ -69,8 +69,8 @@
             return;
         };
         let timed_out = request.is_out_of_time(now);
-        // A rejection tells the client that a retry is harmless. A request that is not idempotent and may have
-        // run is failed instead.
+        // A rejection tells the client that a retry is harmless. A request that is not idempotent
+        // and may have run is failed instead.
         let answer = if request.is_idempotent || !request.may_have_run {
             Answer::Rejected {
                 retry_after,
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -54,8 +54,8 @@
 }
 
 impl RunningAttempt {
-    /// Returns the result of this attempt for the engine, assuming that the attempt ends now without a load
-    /// report and that its request stays open.
+    /// Returns the result of this attempt for the engine, assuming that the attempt ends now
+    /// without a load report and that its request stays open.
     pub(super) fn result(
         self,
         now: Micros,
@@ -77,8 +77,8 @@
 }
 
 impl<T: Transport> Core<T> {
-    /// Removes an attempt from the running ones; returns `None` if it has ended before. A successor is notified,
-    /// as it counts the attempts that were running when it took over.
+    /// Removes an attempt from the running ones; returns `None` if it has ended before. A successor
+    /// is notified, as it counts the attempts that were running when it took over.
     pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> Option<RunningAttempt> {
         let running = self.attempts.by_id.remove(&attempt)?;
         if self.upgrade.state_is_handed_over() {
@@ -89,8 +89,8 @@
         Some(running)
     }
 
-    /// Starts to forward a response, of which the first bytes were received. The first response wins: all other
-    /// attempts of the request are cancelled.
+    /// Starts to forward a response, of which the first bytes were received. The first response
+    /// wins: all other attempts of the request are cancelled.
     pub(super) fn response_started(&mut self, now: Micros, attempt: AttemptId, value: T::Value) {
         if !self.attempts.contains(attempt) {
             return;
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Ends an attempt whose response is complete or broken off, unless the attempt has ended before.
+    /// Ends an attempt whose response is complete or broken off, unless the attempt has ended
+    /// before.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Handles the end of an attempt that was running. The first successful response is sent to the client
-    /// immediately; the engine is notified of the end of every attempt.
+    /// Handles the end of an attempt that was running. The first successful response is sent to the
+    /// client immediately; the engine is notified of the end of every attempt.
     pub(super) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -139,9 +140,10 @@
         response: AttemptResponse<T::Value>,
     ) {
         let number = attempt.request;
-        // The latency of a streamed response is measured up to its first bytes, as the rest is received only as
-        // fast as the client reads. Whether the response is complete or broken off, all that was received has
-        // been forwarded, so the request is closed without another answer.
+        // The latency of a streamed response is measured up to its first bytes, as the rest is
+        // received only as fast as the client reads. Whether the response is complete or broken
+        // off, all that was received has been forwarded, so the request is closed without another
+        // answer.
         let stream = self
             .response_stream(number)
             .filter(|stream| stream.attempt == attempt);
@@ -169,8 +171,8 @@
         self.notify_engine(now, Event::AttemptEnded(result));
     }
 
-    /// Starts an attempt of an open request. A `timeout` of 0 allows the attempt to last until the deadline of
-    /// the request. Nothing of the attempt is written from `write_before` on.
+    /// Starts an attempt of an open request. A `timeout` of 0 allows the attempt to last until the
+    /// deadline of the request. Nothing of the attempt is written from `write_before` on.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -213,7 +215,8 @@
     }
 }
 
-/// Returns the time available to an attempt, in microseconds. A `timeout` of 0 sets no limit of its own.
+/// Returns the time available to an attempt, in microseconds. A `timeout` of 0 sets no limit of its
+/// own.
 fn attempt_time(timeout: Micros, time_left: Micros) -> Micros {
     if timeout == 0 {
         time_left
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -1,12 +1,12 @@
-//! Upstream servers that operators have disabled. This takes precedence over the readiness that service
-//! discovery reports.
+//! Upstream servers that operators have disabled. This takes precedence over the readiness that
+//! service discovery reports.
 
 use crate::decision::{Endpoint, Micros, Readiness, ServerId, UpdateScope};
 use crate::handover::message::Ban;
 use std::collections::{HashMap, HashSet};
 
-/// Number of remembered ids of ever listed servers above which the ids that are neither listed nor disabled
-/// are forgotten.
+/// Number of remembered ids of ever listed servers above which the ids that are neither listed nor
+/// disabled are forgotten.
 const MAX_REMEMBERED_IDS: usize = 8_192;
 
 /// The endpoint list, and the servers that operators have disabled or enabled again.
@@ -17,8 +17,8 @@
     /// Ids of all servers that were ever listed.
     ever_listed: HashSet<ServerId>,
     disabled: HashSet<ServerId>,
-    /// Times at which servers were enabled again. They are treated as started at that time: they were restarted
-    /// while disabled, even if service discovery has not reported that.
+    /// Times at which servers were enabled again. They are treated as started at that time: they
+    /// were restarted while disabled, even if service discovery has not reported that.
     enabled_at: HashMap<ServerId, Micros>,
 }
 
@@ -65,8 +65,8 @@
             .collect()
     }
 
-    /// Returns an endpoint as the engine should use it: draining while it is disabled, and warming up after it
-    /// was enabled again.
+    /// Returns an endpoint as the engine should use it: draining while it is disabled, and warming
+    /// up after it was enabled again.
     fn with_overrides(&self, mut endpoint: Endpoint) -> Endpoint {
         if self.disabled.contains(&endpoint.id) && endpoint.readiness == Readiness::Ready {
             endpoint.readiness = Readiness::Draining;
@@ -77,7 +77,8 @@
         endpoint
     }
 
-    /// Returns the endpoint of a server as the engine should use it; empty if the server is not listed.
+    /// Returns the endpoint of a server as the engine should use it; empty if the server is not
+    /// listed.
     fn effective_endpoint(&self, id: &ServerId) -> Vec<Endpoint> {
         let endpoint = self.listed.get(id).cloned();
         endpoint
@@ -86,8 +87,8 @@
             .collect()
     }
 
-    /// Disables a server. Returns the endpoints that change for the engine, or `None` if the server was never
-    /// listed.
+    /// Disables a server. Returns the endpoints that change for the engine, or `None` if the server
+    /// was never listed.
     pub fn disable(&mut self, id: &ServerId) -> Option<Vec<Endpoint>> {
         if !self.ever_listed.contains(id) {
             return None;
@@ -96,8 +97,8 @@
         Some(self.effective_endpoint(id))
     }
 
-    /// Enables a server, which is treated as started `now` if it was disabled. Returns the endpoints that
-    /// change for the engine, or `None` if the server was never listed.
+    /// Enables a server, which is treated as started `now` if it was disabled. Returns the
+    /// endpoints that change for the engine, or `None` if the server was never listed.
     pub fn enable(&mut self, id: &ServerId, now: Micros) -> Option<Vec<Endpoint>> {
         if !self.ever_listed.contains(id) {
             return None;
@@ -128,8 +129,8 @@
         disabled.chain(enabled).collect()
     }
 
-    /// Applies an operator's command that the other process of an upgrade received, even if this process does
-    /// not list the server yet. Returns the endpoints that change for the engine.
+    /// Applies an operator's command that the other process of an upgrade received, even if this
+    /// process does not list the server yet. Returns the endpoints that change for the engine.
     pub fn adopt(&mut self, ban: &Ban) -> Vec<Endpoint> {
         let id = ServerId::from(&*ban.id);
         self.ever_listed.insert(id.clone());
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -15,8 +15,8 @@
     HandOver(HandOverCommand),
 }
 
-/// A command of an operator. The reply is false if no such upstream server was ever listed. The `Debug`
-/// output is part of a log line.
+/// A command of an operator. The reply is false if no such upstream server was ever listed. The
+/// `Debug` output is part of a log line.
 #[derive(Clone, Debug)]
 pub enum AdminCommand {
     /// Disable an upstream server: it gets no new requests.
@@ -28,8 +28,8 @@
 /// A command of the hand-over.
 #[derive(Clone, Debug)]
 pub enum HandOverCommand {
-    /// Reply with the learned state for a successor, and notify the successor of each attempt that ends from
-    /// now on.
+    /// Reply with the learned state for a successor, and notify the successor of each attempt that
+    /// ends from now on.
     GiveState(Sender<LearnedState>),
     /// Take back the state given to the successor, because the successor does not serve.
     ReclaimState,
@@ -44,8 +44,8 @@
 }
 
 impl<T: Transport> Core<T> {
-    /// Handles a command. Commands have a separate channel, which the loop reads first, so that an operator
-    /// gets a reply within a second regardless of the number of queued requests.
+    /// Handles a command. Commands have a separate channel, which the loop reads first, so that an
+    /// operator gets a reply within a second regardless of the number of queued requests.
     pub(super) fn handle_command(&mut self, now: Micros, command: Command) {
         match command {
             Command::Admin(AdminCommand::Disable(server, reply)) => {
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Notifies the engine of endpoints as it should use them. A server that is not ready is blocked, so that
-    /// attempts that still wait for a connection to it are not sent.
+    /// Notifies the engine of endpoints as it should use them. A server that is not ready is
+    /// blocked, so that attempts that still wait for a connection to it are not sent.
     pub(super) fn notify_endpoints(
         &mut self,
         now: Micros,
@@ -46,8 +46,8 @@
         self.transport.report_endpoints(known, excluded);
     }
 
-    /// Disables or enables a server, both here and in the other process of an upgrade. Returns false if no such
-    /// server was ever listed.
+    /// Disables or enables a server, both here and in the other process of an upgrade. Returns
+    /// false if no such server was ever listed.
     pub(super) fn set_disabled(
         &mut self,
         now: Micros,
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -59,7 +59,8 @@
 }
 
 impl Leases {
-    /// Creates the state for the leases of this holder; `plans` are the plans of the engine's settings.
+    /// Creates the state for the leases of this holder; `plans` are the plans of the engine's
+    /// settings.
     pub(crate) fn new(now: Micros, holder: Holder, plans: &[Plan]) -> Self {
         let limits = |plan: &Plan| PlanLimits {
             rate: milli_units(plan.rate),
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Takes the units of a request from a lease. Returns `None` if they were requested from an allocator; the
-    /// result is then returned later by [`Self::handle_event`] or [`Self::poll`].
+    /// Takes the units of a request from a lease. Returns `None` if they were requested from an
+    /// allocator; the result is then returned later by [`Self::handle_event`] or [`Self::poll`].
     pub(crate) fn take(
         &mut self,
         now: Micros,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Ends a request. If it was never forwarded, its units are returned to the lease, even if they are granted
-    /// only later.
+    /// Ends a request. If it was never forwarded, its units are returned to the lease, even if they
+    /// are granted only later.
     pub(crate) fn close(&mut self, now: Micros, id: &RequestId, was_forwarded: bool) {
         match self.requests.remove(id) {
             Some(Units::Taken(receipt)) if !was_forwarded => self.holder.put_back(now, receipt),
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Handles an event of a connection to an allocator; returns the results of requests that waited for it.
+    /// Handles an event of a connection to an allocator; returns the results of requests that
+    /// waited for it.
     pub(crate) fn handle_event(&mut self, now: Micros, event: AllocatorEvent) -> Vec<LeaseResult> {
         let answers = match event {
             AllocatorEvent::Answer(grant) => self.holder.on_grant(now, &grant).unwrap_or_default(),
@@ -127,14 +129,15 @@
         self.results(now, answers)
     }
 
-    /// Returns the reports to send now, each with the number of its allocator, and the results of requests that
-    /// no longer wait for an allocator.
+    /// Returns the reports to send now, each with the number of its allocator, and the results of
+    /// requests that no longer wait for an allocator.
     pub(crate) fn poll(&mut self, now: Micros) -> (Vec<(u32, Report)>, Vec<LeaseResult>) {
         let poll = self.holder.poll(now);
         (poll.reports, self.results(now, poll.answers))
     }
 
-    /// Returns the earliest time at which [`Self::poll`] is due; `None` if there is nothing to report.
+    /// Returns the earliest time at which [`Self::poll`] is due; `None` if there is nothing to
+    /// report.
     pub(crate) fn next_wake(&self) -> Option<Micros> {
         Some(self.holder.next_wake()).filter(|at| *at < Micros::MAX)
     }
@@ -144,7 +147,8 @@
         self.holder.next_wake() <= now
     }
 
-    /// Returns the metrics since the start and the counts of dropped grants if they are due to be logged.
+    /// Returns the metrics since the start and the counts of dropped grants if they are due to be
+    /// logged.
     pub(crate) fn metrics_due(&mut self, now: Micros) -> Option<(HolderFigures, DroppedMessages)> {
         if now < self.next_log {
             return None;
@@ -181,8 +185,8 @@
 }
 
 impl<T: Transport> Core<T> {
-    /// Takes the units of an open request from a lease. If the result is known immediately, it is queued as a
-    /// pending event for the engine.
+    /// Takes the units of an open request from a lease. If the result is known immediately, it is
+    /// queued as a pending event for the engine.
     pub(super) fn request_lease(&mut self, now: Micros, id: RequestId, demand: &LeaseDemand) {
         if !self.requests.contains(request_number(&id)) {
             return;
@@ -205,8 +209,8 @@
         self.notify_lease_results(now, results);
     }
 
-    /// Sends the lease reports that are due, and notifies the engine of the results of requests that no longer
-    /// wait for an allocator.
+    /// Sends the lease reports that are due, and notifies the engine of the results of requests
+    /// that no longer wait for an allocator.
     pub(super) fn send_lease_reports(&mut self, now: Micros) {
         let Some(leases) = &mut self.leases else {
             return;
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -46,8 +46,8 @@
     },
 }
 
-/// Connects the core to clients, upstream servers, the counter and allocators. No method may block, as the
-/// core must only ever wait for its queue.
+/// Connects the core to clients, upstream servers, the counter and allocators. No method may block,
+/// as the core must only ever wait for its queue.
 pub trait Transport {
     /// Receives the final answer of a request.
     type Client;
@@ -57,8 +57,8 @@
     type Value;
     /// Sends the final answer of a request to its client.
     fn answer(&mut self, client: Self::Client, answer: Answer<Self::Value>);
-    /// Starts an attempt for this client. Nothing of the attempt is written once the client has closed its
-    /// connection.
+    /// Starts an attempt for this client. Nothing of the attempt is written once the client has
+    /// closed its connection.
     fn start_attempt(
         &mut self,
         attempt: AttemptId,
@@ -67,24 +67,26 @@
         deadlines: AttemptDeadlines,
         client: &Self::Client,
     );
-    /// Cancels an attempt; the rest of its response is dropped. Returns false if nothing of the attempt was
-    /// written: it did not run and will not run.
+    /// Cancels an attempt; the rest of its response is dropped. Returns false if nothing of the
+    /// attempt was written: it did not run and will not run.
     fn cancel(&mut self, attempt: AttemptId) -> bool;
-    /// Cancels an attempt if nothing of it is written yet; otherwise returns false and leaves the attempt
-    /// unchanged.
+    /// Cancels an attempt if nothing of it is written yet; otherwise returns false and leaves the
+    /// attempt unchanged.
     fn withdraw(&mut self, attempt: AttemptId) -> bool;
     /// Checks the health of an upstream server and requests a load report.
     fn check_health(&mut self, server: &ServerId);
-    /// Stops sending attempts to an upstream server, including attempts that were started and are not written
-    /// yet.
+    /// Stops sending attempts to an upstream server, including attempts that were started and are
+    /// not written yet.
     fn block_server(&mut self, server: &ServerId);
     /// Sends a message to the other process of an upgrade, if there is one.
     fn notify_peer_process(&mut self, message: HandoverMessage);
     /// Reports how many upstream servers are listed, and how many of them get no new requests.
     fn report_endpoints(&mut self, known: usize, excluded: usize);
-    /// Adds an amount to a counter. The total follows in [`Input::CounterReply`] with the number of this call.
+    /// Adds an amount to a counter. The total follows in [`Input::CounterReply`] with the number of
+    /// this call.
     fn add_to_counter(&mut self, call: u64, key: u64, amount: f64, ttl: Duration);
-    /// Sends a report to an allocator of quota leases. Called only if the core has a holder of leases.
+    /// Sends a report to an allocator of quota leases. Called only if the core has a holder of
+    /// leases.
     fn send_lease_report(&mut self, _allocator: u32, _report: Report) {}
     /// Whether any client is connected, so that another request may still arrive.
     fn has_clients(&self) -> bool;
@@ -126,8 +128,8 @@
     Request(IncomingRequest<T::Client, T::Call>),
     /// The client of these requests has disconnected.
     ClientDisconnected(Vec<u64>),
-    /// The first bytes of an attempt's value were received; the value is forwarded as it is received. The
-    /// attempt ends later, without a value.
+    /// The first bytes of an attempt's value were received; the value is forwarded as it is
+    /// received. The attempt ends later, without a value.
     ResponseStarted {
         /// The attempt.
         attempt: AttemptId,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The core: the event loop that owns the decision engine, open requests and attempts.
 //!
-//! The core handles requests, attempts and outcomes, but no connections. It reaches clients, upstream
-//! servers and the counter through [`Transport`], and their events arrive only through its queue of
-//! [`Input`]s. The engine is used by a single thread, the one that runs [`Core::run`].
+//! The core handles requests, attempts and outcomes, but no connections. It reaches clients,
+//! upstream servers and the counter through [`Transport`], and their events arrive only through its
+//! queue of [`Input`]s. The engine is used by a single thread, the one that runs [`Core::run`].
 
 mod actions;
 mod attempts;
@@ -58,8 +58,9 @@
     pub transport: T,
     /// Clock whose time the engine is given.
     pub clock: Clock,
-    /// Receives a message for each endpoint update that contains a ready server. Messages that do not fit
-    /// into the channel are dropped, so capacity 1 suffices for a receiver that waits for the first one.
+    /// Receives a message for each endpoint update that contains a ready server. Messages that do
+    /// not fit into the channel are dropped, so capacity 1 suffices for a receiver that waits for
+    /// the first one.
     pub endpoints_known: Sender<()>,
     /// Holder of quota leases; `None` if units are not leased.
     pub lease_holder: Option<Holder>,
@@ -105,11 +106,12 @@
 
 /// Settings that apply to individual requests.
 struct RequestRules {
-    /// By class index, whether requests are idempotent: a retry after a rejection is then harmless even if the
-    /// request may have run.
+    /// By class index, whether requests are idempotent: a retry after a rejection is then harmless
+    /// even if the request may have run.
     idempotent_classes: Vec<bool>,
     max_attempts: usize,
-    /// Retry-After of requests that are rejected because too many requests are open; zero if clients get none.
+    /// Retry-After of requests that are rejected because too many requests are open; zero if
+    /// clients get none.
     retry_after_when_full: Duration,
 }
 
@@ -164,11 +166,11 @@
         }
     }
 
-    /// Runs until the core is stopped and all open requests are answered. Returns the units that were not
-    /// reported to the counter.
+    /// Runs until the core is stopped and all open requests are answered. Returns the units that
+    /// were not reported to the counter.
     pub fn run(mut self, inputs: Receiver<Input<T>>, commands: Receiver<Command>) -> FinalReport {
-        // Inputs that are still queued when the core could end are handled, unless the shutdown deadline has
-        // passed.
+        // Inputs that are still queued when the core could end are handled, unless the shutdown
+        // deadline has passed.
         while self.must_continue() || !(self.phase == Phase::Stopped || inputs.is_empty()) {
             let input = match self.next_wake() {
                 Some(at) => inputs.recv_deadline(self.clock.moment(at)),
@@ -201,9 +203,10 @@
             .min()
     }
 
-    /// Whether the loop must continue. It runs until the last client connection is closed, as a request may
-    /// still arrive on each. A predecessor has handed its connections over, but waits for its last counter
-    /// calls as well, because units that these calls failed to add are part of its final report.
+    /// Whether the loop must continue. It runs until the last client connection is closed, as a
+    /// request may still arrive on each. A predecessor has handed its connections over, but waits
+    /// for its last counter calls as well, because units that these calls failed to add are part of
+    /// its final report.
     fn must_continue(&self) -> bool {
         if self.upgrade.finishing {
             return !self.requests.is_empty() || !self.counter_calls.is_empty();
--- a/src/core/open_requests.rs
+++ b/src/core/open_requests.rs
@@ -5,8 +5,8 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// If the engine gives up a request within this time before its deadline, the cause is taken to be the lack
-/// of time rather than a lack of servers, and the request has timed out. In microseconds.
+/// If the engine gives up a request within this time before its deadline, the cause is taken to be
+/// the lack of time rather than a lack of servers, and the request has timed out. In microseconds.
 const DEADLINE_MARGIN: Micros = 50_000;
 
 /// A request without a final answer.
@@ -19,8 +19,8 @@
     pub(super) account: AccountId,
     /// Receives the answer; `None` once a response is being streamed.
     pub(super) client: Option<T::Client>,
-    /// The response that is being streamed to the client, if any. While it is, no further attempts are
-    /// started, and no timeout ends the response.
+    /// The response that is being streamed to the client, if any. While it is, no further attempts
+    /// are started, and no timeout ends the response.
     pub(super) stream: Option<ResponseStream>,
     pub(super) call: Arc<T::Call>,
     pub(super) deadline: Micros,
@@ -101,7 +101,8 @@
         self.by_number.keys().copied().collect()
     }
 
-    /// Reserves the id that a client gave to a request, if any. Returns false if an open request has the same id.
+    /// Reserves the id that a client gave to a request, if any. Returns false if an open request
+    /// has the same id.
     pub(super) fn reserve_client_id(&mut self, id: Option<&RequestId>) -> bool {
         id.is_none_or(|id| self.client_ids.insert(id.clone()))
     }
@@ -126,7 +127,8 @@
     RequestId::from(format!("{number:x}").as_str())
 }
 
-/// Returns the number of the request with an id created by [`request_id`], or `u64::MAX` for any other id.
+/// Returns the number of the request with an id created by [`request_id`], or `u64::MAX` for any
+/// other id.
 pub(super) fn request_number(id: &RequestId) -> u64 {
     u64::from_str_radix(&id.0, 16).unwrap_or(u64::MAX)
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Sorts requests that are closed together so that those without a running attempt come first. In any
-    /// other order, the end of a forwarded request would free capacity, and the engine would forward a
-    /// waiting request that is about to be closed.
+    /// Sorts requests that are closed together so that those without a running attempt come first.
+    /// In any other order, the end of a forwarded request would free capacity, and the engine would
+    /// forward a waiting request that is about to be closed.
     pub(super) fn unforwarded_first(&self, mut numbers: Vec<u64>) -> Vec<u64> {
         let forwarded = self.attempts.requests();
         numbers.sort_by_key(|number| forwarded.contains(number));
@@ -90,8 +90,8 @@
         self.notify_engine(now, Event::ClientDisconnected { id: request.id });
     }
 
-    /// Removes a request from the open ones because it is answered or abandoned now, and withdraws its
-    /// attempts that are not written yet.
+    /// Removes a request from the open ones because it is answered or abandoned now, and withdraws
+    /// its attempts that are not written yet.
     pub(super) fn close(&mut self, now: Micros, number: u64) -> Option<OpenRequest<T>> {
         let request = self.requests.remove(number)?;
         if let Some(leases) = &mut self.leases {
@@ -114,8 +114,8 @@
         self.requests.get(number)?.stream
     }
 
-    /// Sends the answer of a request. `client` is `None` if a response is being streamed to the client: it gets
-    /// no further answer and detects a failure by the incomplete response.
+    /// Sends the answer of a request. `client` is `None` if a response is being streamed to the
+    /// client: it gets no further answer and detects a failure by the incomplete response.
     pub(super) fn answer(&mut self, client: Option<T::Client>, answer: Answer<T::Value>) {
         if let Some(client) = client {
             self.transport.answer(client, answer);
--- a/src/core/upgrade.rs
+++ b/src/core/upgrade.rs
@@ -15,7 +15,8 @@
     handed_over: Option<LearnedState>,
     /// Number of attempts of a predecessor that are still running, by account.
     predecessor_attempts: HashMap<AccountId, u32>,
-    /// Whether a successor serves, so that this process only finishes its open requests and counter calls.
+    /// Whether a successor serves, so that this process only finishes its open requests and counter
+    /// calls.
     pub(super) finishing: bool,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! A quota limiter for a fleet of API gateways: enforces the plan of each account of a shared back end.
+//! A quota limiter for a fleet of API gateways: enforces the plan of each account of a shared back
+//! end.
 //!
 //! [`decision`] contains the decision engine, `core` the event loop that drives it, [`process`]
 //! assembles a limiter from its components, and [`config`] reads its configuration.
--- a/src/log_throttle.rs
+++ b/src/log_throttle.rs
@@ -18,8 +18,8 @@
 }
 
 impl LogThrottle {
-    /// Returns the number of lines suppressed since the last permitted one if a line may be written now. Otherwise counts
-    /// this line as suppressed and returns `None`.
+    /// Returns the number of lines suppressed since the last permitted one if a line may be written
+    /// now. Otherwise counts this line as suppressed and returns `None`.
     pub fn permit(&self) -> Option<u64> {
         let mut state = lock(&self.0);
         if state
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics for operators. The code that handles an event counts it, and reading the metrics does not
-//! involve the core.
+//! Metrics for operators. The code that handles an event counts it, and reading the metrics does
+//! not involve the core.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
@@ -74,7 +74,8 @@
         })
     }
 
-    /// Counts a request of the class with this index as in flight until the returned value is dropped.
+    /// Counts a request of the class with this index as in flight until the returned value is
+    /// dropped.
     pub fn begin_request(self: &Arc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.fetch_add(1, Relaxed);
         InFlightRequest {
@@ -101,7 +102,8 @@
         self.excluded_servers.store(excluded, Relaxed);
     }
 
-    /// Returns the name and value of each metric, in the order in which the admin interface shows them.
+    /// Returns the name and value of each metric, in the order in which the admin interface shows
+    /// them.
     pub fn all(&self) -> Vec<(String, u64)> {
         let process_metrics = [
             ("attempts", self.attempts.load(Relaxed)),
@@ -121,7 +123,8 @@
     }
 }
 
-/// A request in flight. Dropping it counts the request once, as failed unless [`Self::finish`] was called.
+/// A request in flight. Dropping it counts the request once, as failed unless [`Self::finish`] was
+/// called.
 ///
 /// Counting on drop ensures that a request is counted on every code path on which it ends.
 #[derive(Debug)]
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -1,4 +1,4 @@
-//! The start of a limiter, in the order in which its parts need each other.
+//! Assembly and start of the components of a limiter, in the order of their dependencies.
 
 use super::connection_limits::ConnectionLimits;
 use super::core_queue::CoreQueue;
@@ -30,11 +30,12 @@
 use std::time::Duration;
 
 impl<P: ClientProtocol> Limiter<P> {
-    /// Starts everything but the core. `counter` starts the client of the counter, if there is one, which
-    /// passes its replies to the function that it is given.
+    /// Starts all components except the core. `counter` starts the client of the counter, if one is
+    /// configured; its argument is the function that receives the replies of the counter.
     ///
     /// # Errors
-    /// A socket can't be opened or a thread can't be started.
+    ///
+    /// Returns an error if a socket can't be opened or a thread can't be started.
     pub fn start(
         mut common: CommonConfig,
         client_protocol: P,
@@ -59,13 +60,13 @@
             counter,
             front,
         };
-        let started = assembly.start_services(&mut common, &connections, channel)?;
+        let services = assembly.start_services(&mut common, &connections, channel)?;
         let longest_deadline = longest_deadline(&common.settings.classes);
         let core = assembly.core(
             common,
-            started.transport,
-            started.clock,
-            started.endpoints_known,
+            services.transport,
+            services.clock,
+            services.endpoints_known,
         );
         Ok(Self {
             core,
@@ -73,12 +74,12 @@
             commands,
             queue: assembly.queue,
             connections,
-            upgrade: started.upgrade,
-            fleet: started.fleet,
-            limiter_count: started.limiter_count,
+            upgrade: services.upgrade,
+            fleet: services.fleet,
+            limiter_count: services.limiter_count,
             longest_deadline,
-            client_address: started.bound,
-            admin_address: started.admin,
+            client_address: services.client_address,
+            admin_address: services.admin_address,
         })
     }
 }
@@ -90,20 +91,23 @@
     pub(super) counter: Option<CounterClient>,
 }
 
-/// What is started round the connections of a limiter.
+/// The services of a limiter that are started in addition to its connections.
 struct Services<P: ClientProtocol> {
     transport: LimiterTransport<P::Upstream>,
     clock: Clock,
-    /// The core sends on it once it knows an upstream server.
+    /// The core sends a message to this channel once it knows a ready upstream server.
     endpoints_known: Sender<()>,
     upgrade: Option<Arc<UpgradeCoordinator>>,
     fleet: Option<Fleet>,
+    /// See [`Limiter::limiter_count`].
     limiter_count: Arc<AtomicU32>,
-    bound: SocketAddr,
-    admin: Option<SocketAddr>,
+    /// Address at which clients connect.
+    client_address: SocketAddr,
+    /// Address of the admin interface, if there is one.
+    admin_address: Option<SocketAddr>,
 }
 
-/// What the steps of the start have in common.
+/// Context that all steps of the assembly share.
 struct Assembly<'a, P: ClientProtocol> {
     queue: CoreQueue<P::Upstream>,
     metrics: Arc<Metrics>,
@@ -112,16 +116,17 @@
 }
 
 impl<P: ClientProtocol> Assembly<'_, P> {
-    fn log_of(&self, part: &'static str) -> Logger {
-        self.log.new(o!("part" => part))
+    /// Returns the log of a component of the limiter.
+    fn component_log(&self, component: &'static str) -> Logger {
+        self.log.new(o!("part" => component))
     }
 
-    /// Joins a predecessor, if there is one. Operators have to be told when a new process may take over:
-    /// without an admin interface, and without a folder, none may.
+    /// Joins a predecessor, if there is one. Upgrades need a folder that the processes share, and
+    /// an admin interface, through which operators learn when a new process may take over.
     fn open_upgrade_channel(&self, common: &mut CommonConfig) -> UpgradeChannel {
         let folder = common.common_folder.take();
         let folder = folder.filter(|_| common.admin_address.is_some());
-        UpgradeChannel::open(folder, self.log_of("handover"))
+        UpgradeChannel::open(folder, self.component_log("handover"))
     }
 
     fn upstream_pool(
@@ -135,7 +140,7 @@
             protocol,
             events: self.queue.upstream_events(),
             metrics: self.metrics.clone(),
-            log: self.log_of("upstream"),
+            log: self.component_log("upstream"),
         })
     }
 
@@ -146,11 +151,11 @@
             channel.read_interrupt.take(),
             self.queue.client_events::<P>(),
             self.metrics.clone(),
-            self.log_of("clients"),
+            self.component_log("clients"),
         )
     }
 
-    /// Starts what accepts connections and what runs beside them.
+    /// Starts the listeners and the services that run alongside them.
     fn start_services(
         &self,
         common: &mut CommonConfig,
@@ -162,15 +167,16 @@
         self.queue
             .update_endpoints(&connections.upstream, UpdateScope::Cached, cached);
         let listener = listen(common, &connections.front, &channel)?;
-        let bound = listener.local_addr()?;
+        let client_address = listener.local_addr()?;
         let clock = Clock::start();
         let limiter_count = Arc::new(AtomicU32::new(common.settings.limiters));
         let fleet = self.start_fleet(common.membership.take(), clock, &limiter_count)?;
         let upgrade_control = self.upgrade_control(connections, listener, fleet.clone());
         upgrade_control.set_sharing(channel.predecessor.is_some());
-        let admin = self.start_admin(common.admin_address, &connections.front, fleet.clone())?;
-        info!(self.log, "listening"; "address" => %bound, "limiter" => &common.name,
-            "control" => admin.map(|address| address.to_string()));
+        let admin_address =
+            self.start_admin(common.admin_address, &connections.front, fleet.clone())?;
+        info!(self.log, "listening"; "address" => %client_address, "limiter" => &common.name,
+            "control" => admin_address.map(|address| address.to_string()));
         let upgrade = channel.coordinator.clone();
         let peer_messages = upgrade
             .clone()
@@ -192,13 +198,13 @@
             upgrade,
             fleet,
             limiter_count,
-            bound,
-            admin,
+            client_address,
+            admin_address,
         })
     }
 
-    /// Joins the fleet, if there is one. `limiter_count` is the number of limiters believed alive from then
-    /// on.
+    /// Joins the fleet, if there is one. From then on `limiter_count` is kept at the number of
+    /// limiters believed alive.
     fn start_fleet(
         &self,
         settings: Option<FleetSettings>,
@@ -214,7 +220,7 @@
             limiter_count.store(shares.alive, Ordering::Relaxed);
             queue.update_quota_shares(shares);
         };
-        Fleet::start(settings, clock, on_shares, self.log_of("membership")).map(Some)
+        Fleet::start(settings, clock, on_shares, self.component_log("membership")).map(Some)
     }
 
     fn upgrade_control(
@@ -250,12 +256,13 @@
             metrics: self.metrics.clone(),
             fleet,
             is_ready: Box::new(move || front.is_ready()),
-            send_command: Box::new(move |command| queue.command(Command::Admin(command))),
-            log: self.log_of("admin"),
+            send_command: Box::new(move |command| queue.send_command(Command::Admin(command))),
+            log: self.component_log("admin"),
         };
         line::listen(address, context).map(Some)
     }
 
+    /// Starts the connections to the allocators, if units are leased.
     fn start_allocators(
         &self,
         leases: Option<&QuotaLeaseConfig>,
@@ -267,7 +274,7 @@
             &leases.allocators,
             leases.timeouts,
             &self.queue.allocator_events(),
-            &self.log_of("leases"),
+            &self.component_log("leases"),
         )
         .map(Some)
     }
@@ -287,13 +294,13 @@
             clock,
             endpoints_known,
             lease_holder: common.quota_leases.map(|leases| leases.holder(clock.now())),
-            log: self.log_of("core"),
+            log: self.component_log("core"),
         })
     }
 }
 
-/// Accepts connections on the listener of the predecessor or on a new one. A process that has joined a
-/// predecessor does not accept yet.
+/// Starts to accept connections on the listener of the predecessor, or on a new one without a
+/// predecessor. A process that has joined a predecessor does not accept connections yet.
 fn listen<P: ClientProtocol>(
     common: &CommonConfig,
     front: &Arc<ClientListener<P>>,
@@ -308,8 +315,9 @@
     Ok(listener)
 }
 
-/// Starts the thread that has the limiter serve, once its upstream servers are known and a predecessor has
-/// handed over, and that waits for a successor then.
+/// Starts the thread that makes the limiter serve once upstream servers are known and a
+/// predecessor, if there is one, has handed over. If upgrades are possible, the thread then waits
+/// for a successor.
 fn start_serving<P: ClientProtocol>(
     channel: UpgradeChannel,
     first_endpoints: Receiver<()>,
--- a/src/process/connection_limits.rs
+++ b/src/process/connection_limits.rs
@@ -1,21 +1,21 @@
-//! How the file descriptors of the process are divided.
+//! Division of the file descriptors of the process among its connections.
 
-/// A limiter has room for at least this many connections on either side.
+/// Minimum of each connection limit, for clients and for upstream servers.
 const MIN_CONNECTIONS: usize = 8;
 
-/// Most connections of a limiter that has no other process beside it.
+/// Maximum numbers of connections. They are reduced while two processes run during an upgrade.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionLimits {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     clients: usize,
-    /// Connections to upstream servers.
+    /// Maximum number of connections to upstream servers.
     upstream: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the descriptors of a process. Clients have a third and a twelfth more for floods, upstream
-    /// servers a third. The rest is for listeners, service discovery, the counter, logs and connections that
-    /// are being closed.
+    /// Divides the file descriptors of a process. A third is for upstream servers. Clients get a
+    /// third and another twelfth, which absorbs connection floods. The rest is for listeners,
+    /// service discovery, the counter, logs and connections that are being closed.
     pub(super) fn new(descriptors: usize) -> Self {
         let third = (descriptors / 3).max(MIN_CONNECTIONS);
         Self {
@@ -24,19 +24,21 @@
         }
     }
 
-    /// Most connections of clients. During an upgrade they move from one process to the other, so that
-    /// neither has many of them for long.
-    pub(super) fn clients(self, is_shared: bool) -> usize {
-        if is_shared {
+    /// Returns the maximum number of client connections. During an upgrade they move from one
+    /// process to the other, so neither process has many for long, and the limit is only slightly
+    /// lower.
+    pub(super) fn clients(self, during_upgrade: bool) -> usize {
+        if during_upgrade {
             self.clients - self.clients / 8
         } else {
             self.clients
         }
     }
 
-    /// Most connections to upstream servers; two processes have half each.
-    pub(super) fn upstream(self, is_shared: bool) -> usize {
-        if is_shared {
+    /// Returns the maximum number of connections to upstream servers. During an upgrade, each of
+    /// the two processes has half of them.
+    pub(super) fn upstream(self, during_upgrade: bool) -> usize {
+        if during_upgrade {
             self.upstream / 2
         } else {
             self.upstream
--- a/src/process/core_queue.rs
+++ b/src/process/core_queue.rs
@@ -1,4 +1,4 @@
-//! The queues of the core, and the events of connections as its inputs.
+//! The queues of the core, and the conversion of connection events into its inputs.
 
 use super::transport::LimiterTransport;
 use crate::client::{ClientEvent, ClientEventSink, ClientProtocol, Undelivered};
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Sends to the core of a limiter whose upstream servers speak `S`. What is sent to a core that has ended is
-/// dropped.
+/// Sends inputs and commands to the core of a limiter; `S` is the protocol of the upstream servers.
+/// Messages to a core that has ended are dropped.
 pub(super) struct CoreQueue<S: UpstreamProtocol> {
     inputs: Sender<Input<LimiterTransport<S>>>,
     commands: Sender<Command>,
@@ -29,7 +29,7 @@
 }
 
 impl<S: UpstreamProtocol> CoreQueue<S> {
-    /// Sends inputs and commands to the receivers of these channels.
+    /// Creates a queue that sends inputs and commands to these channels.
     pub(super) fn new(
         inputs: Sender<Input<LimiterTransport<S>>>,
         commands: Sender<Command>,
@@ -37,24 +37,24 @@
         Self { inputs, commands }
     }
 
-    /// Sends a command, which the core reads before any input.
-    pub(super) fn command(&self, command: Command) {
+    /// Sends a command, which the core handles before any queued input.
+    pub(super) fn send_command(&self, command: Command) {
         _ = self.commands.send(command);
         _ = self.inputs.send(Input::CommandQueued);
     }
 
-    /// Has the core answer all open requests and end, by this time at the latest.
+    /// Makes the core answer all open requests and end by this time at the latest.
     pub(super) fn shut_down(&self, deadline: Instant) {
         _ = self.inputs.send(Input::Shutdown(deadline));
     }
 
-    /// Sends the quota shares of this limiter.
+    /// Sends the current quota shares.
     pub(super) fn update_quota_shares(&self, shares: QuotaShares) {
         _ = self.inputs.send(Input::QuotaShares(shares));
     }
 
-    /// Applies an update of the endpoint list. The pool gets the addresses first: the core may send an
-    /// attempt to a new server as soon as it has the update.
+    /// Applies an update of the endpoint list. The upstream pool is updated first, as the core may
+    /// start an attempt at a new server as soon as it has the update.
     pub(super) fn update_endpoints(
         &self,
         upstream: &UpstreamPool<S>,
@@ -70,13 +70,13 @@
         _ = self.inputs.send(Input::EndpointUpdate(scope, endpoints));
     }
 
-    /// Forwards the events of upstream connections.
+    /// Returns a sink that forwards the events of upstream connections to the core.
     pub(super) fn upstream_events(&self) -> UpstreamEventSink<S::Value> {
         let inputs = self.inputs.clone();
         Arc::new(move |event| _ = inputs.send(upstream_input(event)))
     }
 
-    /// Forwards the events of client connections.
+    /// Returns a sink that forwards the events of client connections to the core.
     pub(super) fn client_events<P: ClientProtocol<Upstream = S>>(&self) -> ClientEventSink<P> {
         let inputs = self.inputs.clone();
         Box::new(move |event| {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Forwards the replies of the counter.
+    /// Returns a function that forwards the replies of the counter to the core.
     pub(super) fn counter_replies(&self) -> Counted {
         let inputs = self.inputs.clone();
         Arc::new(move |call, outcome, total| {
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Forwards the events of connections to allocators.
+    /// Returns a handler that forwards the events of connections to allocators to the core.
     pub(super) fn allocator_events(&self) -> AllocatorEventHandler {
         let inputs = self.inputs.clone();
         Arc::new(move |event| _ = inputs.send(Input::Allocator(event)))
--- a/src/process/listener.rs
+++ b/src/process/listener.rs
@@ -4,16 +4,17 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Most connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Binds a listener. With `is_shared` a second process may bind the same address beside this one, as an
-/// upgrade needs.
+/// Binds a listener. With `reuse_port`, another process can bind the same address at the same time,
+/// which an upgrade requires.
 ///
 /// # Errors
-/// The address can't be bound.
-pub(super) fn bind(address: SocketAddr, is_shared: bool) -> io::Result<TcpListener> {
-    if !is_shared {
+///
+/// Returns an error if the address can't be bound.
+pub(super) fn bind(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
+    if !reuse_port {
         return TcpListener::bind(address);
     }
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! One limiter: assembly of client listener, core, upstream pool and counter, and their shutdown.
+//! A limiter process: assembly of client listener, core, upstream pool and counter, and their
+//! shutdown.
 
 mod assembly;
 mod connection_limits;
@@ -28,30 +29,31 @@
 use std::time::Duration;
 use transport::LimiterTransport;
 
-/// Applies a new configuration while the limiter runs. Open requests and counts stay.
+/// Applies a new configuration while the limiter runs. Open requests and counts are kept.
 pub type Reload<C> = Box<dyn FnMut(C) + Send>;
 
-/// A limiter that has been started but for its core, which [`Limiter::run`] runs.
+/// A limiter whose components are all started except the core, which [`Limiter::run`] runs.
 pub struct Limiter<P: ClientProtocol> {
     core: Core<LimiterTransport<P::Upstream>>,
     inputs: Receiver<Input<LimiterTransport<P::Upstream>>>,
     commands: Receiver<Command>,
     queue: CoreQueue<P::Upstream>,
-    /// None where no other process can take over.
+    /// `None` if no other process can take over.
     upgrade: Option<Arc<UpgradeCoordinator>>,
     connections: Connections<P>,
     fleet: Option<Fleet>,
+    /// See [`Limiter::limiter_count`].
     limiter_count: Arc<AtomicU32>,
-    /// The longest deadline that a request may have.
+    /// The longest deadline of any request class.
     longest_deadline: Duration,
-    /// Address on which clients connect.
+    /// Address at which clients connect.
     pub client_address: SocketAddr,
     /// Address of the admin interface, if there is one.
     pub admin_address: Option<SocketAddr>,
 }
 
 impl<P: ClientProtocol> Limiter<P> {
-    /// Applies updates of the endpoint list while the limiter runs.
+    /// Returns a function that applies updates of the endpoint list while the limiter runs.
     pub fn endpoint_updates(&self) -> impl Fn(EndpointUpdate) + Send + 'static {
         let queue = self.queue.clone();
         let upstream = self.connections.upstream.clone();
@@ -65,18 +67,19 @@
         }
     }
 
-    /// Number of limiters that share whatever serves one caller at a time: those believed alive, or the
-    /// configured number without a fleet.
+    /// Returns the number of limiters that share resources which serve one caller at a time: the
+    /// number believed alive, or the configured number without a fleet.
     pub fn limiter_count(&self) -> Arc<AtomicU32> {
         self.limiter_count.clone()
     }
 
-    /// The client of the counter, whose address a new configuration may change; none without a counter.
+    /// Returns the client of the counter, whose address a new configuration may change; `None`
+    /// without a counter.
     pub fn counter_client(&self) -> Option<CounterClient> {
         self.connections.counter.clone()
     }
 
-    /// Ends this limiter from another thread.
+    /// Returns a handle that shuts this limiter down from another thread.
     pub fn stopper(&self) -> Stopper {
         Stopper::new(stopper::GracefulShutdown {
             front: self.connections.front.clone(),
@@ -86,7 +89,8 @@
         })
     }
 
-    /// Runs the core on this thread until it is stopped; then waits until the last replies are written.
+    /// Runs the core on this thread until it is stopped. Then waits until the last replies are
+    /// written, and sends the final report to a successor, if there is one.
     pub fn run(self) {
         let report = self.core.run(self.inputs, self.commands);
         self.connections.front.wait_closed(REPLY_WRITE_TIME);
--- a/src/process/stopper.rs
+++ b/src/process/stopper.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Ends a limiter from another thread.
+/// Shuts a limiter down from another thread.
 pub struct Stopper(Box<dyn FnOnce() + Send>);
 
 impl Stopper {
@@ -16,15 +16,16 @@
         Self(Box::new(move || shutdown.run()))
     }
 
-    /// Shuts the limiter down gracefully: accepts connections for a while longer, then closes those that are
-    /// idle and has open requests answered. Blocks until the core is notified, up to some seconds.
+    /// Shuts the limiter down gracefully: it accepts connections for [`ACCEPT_TIME`], then closes
+    /// idle connections and answers the open requests. Blocks until the core is notified, which may
+    /// take several seconds.
     pub fn stop(self) {
         let Self(stop) = self;
         stop();
     }
 }
 
-/// What a shutdown needs of the limiter.
+/// The components of a limiter that a shutdown involves.
 pub(super) struct GracefulShutdown<P: ClientProtocol> {
     pub(super) front: Arc<ClientListener<P>>,
     pub(super) queue: CoreQueue<P::Upstream>,
@@ -34,7 +35,7 @@
 
 impl<P: ClientProtocol> GracefulShutdown<P> {
     fn run(self) {
-        // The other limiters need not detect that this one is gone.
+        // Announces the shutdown, so that the other limiters do not have to detect it by timeouts.
         if let Some(fleet) = &self.fleet {
             fleet.leave();
         }
@@ -46,9 +47,10 @@
         self.queue.shut_down(started + drain_time);
     }
 
-    /// Guards against an end while a client takes seconds to write its command.
-    fn wait_for_partial_commands(&self, started: Instant, most: Duration) {
-        while self.front.has_partial_command() && started.elapsed() < most {
+    /// Waits for clients that have sent part of a command. Writing a command may take a client
+    /// seconds, and ending before that would leave the command without an answer.
+    fn wait_for_partial_commands(&self, started: Instant, max_wait: Duration) {
+        while self.front.has_partial_command() && started.elapsed() < max_wait {
             thread::sleep(PARTIAL_COMMAND_POLL);
         }
     }
--- a/src/process/transport.rs
+++ b/src/process/transport.rs
@@ -1,4 +1,4 @@
-//! The core's transport: upstream connections, the counter and the allocators of leases.
+//! The core's transport: connections to upstream servers, the counter and the allocators of leases.
 
 use crate::client::{Reply, ReplySlot};
 use crate::core::{Answer, AttemptDeadlines, AttemptId, Transport};
@@ -13,13 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Carries out what the core asks for, with upstream servers that speak `S`.
+/// Connects the core to the components of a limiter; `S` is the protocol of the upstream servers.
 pub(super) struct LimiterTransport<S: UpstreamProtocol> {
     pub(super) upstream: UpstreamPool<S>,
     pub(super) counter: Option<CounterClient>,
     pub(super) allocators: Option<AllocatorLinks>,
     pub(super) metrics: Arc<Metrics>,
-    /// Messages to the other process of an upgrade.
+    /// Queue of messages to the other process of an upgrade; `None` if no other process can take
+    /// over.
     pub(super) peer_messages: Option<Sender<HandoverMessage>>,
     /// Whether a client is connected.
     pub(super) has_clients: Box<dyn Fn() -> bool + Send>,
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -1,4 +1,4 @@
-//! An upgrade as it concerns this limiter: what another process is given, and what it hands over.
+//! Upgrades of this limiter: what it gives to another process, and what it adopts from one.
 
 use super::connection_limits::ConnectionLimits;
 use super::core_queue::CoreQueue;
@@ -19,22 +19,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that the core has for a command. It reads commands first, but may have a part of a processor alone.
+/// Timeout of a command to the core. The core handles commands first, but may have only a fraction
+/// of a processor core.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The ways by which another process takes over from this one, or this one took over.
+/// What this process needs to take over from a predecessor and to hand over to a successor.
 #[derive(Default)]
 pub(super) struct UpgradeChannel {
-    /// Interrupts the readers of connections that are to be handed over.
+    /// Interrupts the readers of connections that are to be handed over; `None` if no other process
+    /// can take over.
     pub(super) read_interrupt: Option<ReadInterrupt>,
-    /// None if no other process can take over.
+    /// `None` if no other process can take over.
     pub(super) coordinator: Option<Arc<UpgradeCoordinator>>,
-    /// The predecessor that this process has joined.
+    /// The predecessor that this process has joined, if any.
     pub(super) predecessor: Option<PredecessorConnection>,
 }
 
 impl UpgradeChannel {
-    /// Joins the process that serves, if the processes share a folder and there is one that serves.
+    /// Prepares upgrades if the processes share a folder, and joins the process that serves, if
+    /// there is one.
     pub(super) fn open(folder: Option<PathBuf>, log: Logger) -> Self {
         let Some(folder) = folder else {
             return Self::default();
@@ -55,7 +58,7 @@
     }
 }
 
-/// Carries out in this limiter what an upgrade asks for.
+/// Carries out the steps of an upgrade in this limiter.
 pub(super) struct UpgradeControl<P: ClientProtocol> {
     pub(super) listener: TcpListener,
     pub(super) fleet: Option<Fleet>,
@@ -67,8 +70,8 @@
 }
 
 impl<P: ClientProtocol> UpgradeControl<P> {
-    fn command(&self, command: HandOverCommand) {
-        self.queue.command(Command::HandOver(command));
+    fn send_command(&self, command: HandOverCommand) {
+        self.queue.send_command(Command::HandOver(command));
     }
 }
 
@@ -79,22 +82,22 @@
 
     fn give_state(&self) -> Option<LearnedState> {
         let (reply, state) = bounded(1);
-        self.command(HandOverCommand::GiveState(reply));
+        self.send_command(HandOverCommand::GiveState(reply));
         state.recv_timeout(COMMAND_TIMEOUT).ok()
     }
 
     fn reclaim_state(&self) {
-        self.command(HandOverCommand::ReclaimState);
+        self.send_command(HandOverCommand::ReclaimState);
     }
 
     fn adopt_state(&self, state: LearnedState) {
         let (reply, adopted) = bounded(1);
-        self.command(HandOverCommand::AdoptState(state, reply));
+        self.send_command(HandOverCommand::AdoptState(state, reply));
         _ = adopted.recv_timeout(COMMAND_TIMEOUT);
     }
 
-    fn set_accepting(&self, goes_on: bool) {
-        self.front.set_accepting(goes_on);
+    fn set_accepting(&self, accepting: bool) {
+        self.front.set_accepting(accepting);
     }
 
     fn begin_serving(&self) {
@@ -105,12 +108,13 @@
     }
 
     fn hand_over_connections(&self, to: Option<Arc<Link>>) {
-        // Two processes are one member of the fleet: the one that serves sends heartbeats.
+        // The two processes are a single member of the fleet, and only the process that serves
+        // sends heartbeats.
         if let Some(fleet) = &self.fleet {
             fleet.set_active(to.is_none());
         }
         if to.is_none() {
-            self.command(HandOverCommand::SuccessorGone);
+            self.send_command(HandOverCommand::SuccessorGone);
         }
         self.front.hand_over(to.map(connection_hand_over));
     }
@@ -120,7 +124,7 @@
     }
 
     fn process_message(&self, message: HandoverMessage) {
-        self.command(HandOverCommand::PeerMessage(message));
+        self.send_command(HandOverCommand::PeerMessage(message));
     }
 
     fn set_sharing(&self, shared: bool) {
@@ -134,11 +138,11 @@
     }
 
     fn exit(&self) {
-        self.command(HandOverCommand::Finish);
+        self.send_command(HandOverCommand::Finish);
     }
 }
 
-/// Hands connections over by a link to the other process.
+/// Returns a function that hands connections over to the other process through this link.
 fn connection_hand_over(link: Arc<Link>) -> ConnectionHandOver {
     Arc::new(move |stream, read| {
         let message = HandoverMessage::Connection(read.to_vec());
--- a/src/threads.rs
+++ b/src/threads.rs
@@ -6,15 +6,16 @@
 use std::time::Duration;
 
 /// Stack size of each thread, in bytes. It suffices for every thread of this program, and is small
-/// because the stacks of hundreds of threads must fit into memory along with the connection buffers.
+/// because the stacks of hundreds of threads must fit into memory along with the connection
+/// buffers.
 const STACK_BYTES: usize = 96 * 1024;
-/// Maximum number of idle threads kept for reuse: about as many as start and finish tasks at the same
-/// time.
+/// Maximum number of idle threads kept for reuse: about as many as start and finish tasks at the
+/// same time.
 const MAX_IDLE_THREADS: usize = 40;
 /// Time after which an idle thread exits.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which a thread checks for a task that another thread is about to assign to it. Normally
-/// the condition variable wakes it earlier.
+/// Interval at which a thread checks for a task that another thread is about to assign to it.
+/// Normally the condition variable wakes it earlier.
 const ASSIGNED_TASK_WAIT: Duration = Duration::from_secs(60);
 
 type Task = Box<dyn FnOnce() + Send>;
@@ -23,8 +24,8 @@
 
 /// Slot through which an idle thread receives its next task.
 ///
-/// It uses a condition variable rather than a channel: channels spin before they block, which used much of the CPU time
-/// of a limiter that had only a fraction of a processor core.
+/// It uses a condition variable rather than a channel: channels spin before they block, which used
+/// much of the CPU time of a limiter that had only a fraction of a processor core.
 #[derive(Default)]
 struct IdleThread {
     task: Mutex<Option<Task>>,
@@ -37,8 +38,8 @@
         self.task_added.notify_one();
     }
 
-    /// Registers the thread as idle and waits for a task. Returns `None` if the thread is to exit, because enough other
-    /// threads are idle or no task was assigned within [`IDLE_TIMEOUT`].
+    /// Registers the thread as idle and waits for a task. Returns `None` if the thread is to exit,
+    /// because enough other threads are idle or no task was assigned within [`IDLE_TIMEOUT`].
     fn next_task(self: &Arc<Self>) -> Option<Task> {
         if !self.register() {
             return None;
@@ -85,18 +86,21 @@
     }
 }
 
-/// Runs a task on a thread with a small stack: an idle thread if there is one, or else a new thread with this name.
+/// Runs a task on a thread with a small stack: an idle thread if there is one, or else a new thread
+/// with this name.
 ///
-/// Threads are reused because connections may open and close by the hundred: starting and ending a thread for each took
-/// most of the CPU time of a limiter that had only a fraction of a processor core.
+/// Threads are reused because connections may open and close by the hundred: starting and ending a
+/// thread for each took most of the CPU time of a limiter that had only a fraction of a processor
+/// core.
 ///
 /// # Errors
 ///
 /// Returns an error if no thread is idle and no new one can be started.
 pub fn spawn(name: &str, task: impl FnOnce() + Send + 'static) -> io::Result<()> {
     let task: Task = Box::new(task);
-    // The lock of the list is released before the task is assigned. Otherwise this could deadlock with a
-    // thread that times out: it locks the list in `deregister` while it holds the lock of its task.
+    // The lock of the list is released before the task is assigned. Otherwise this could deadlock
+    // with a thread that times out: it locks the list in `deregister` while it holds the lock of
+    // its task.
     let idle_thread = lock(&IDLE_THREADS).pop();
     if let Some(idle_thread) = idle_thread {
         idle_thread.assign(task);
@@ -118,8 +122,8 @@
     }
 }
 
-/// Locks a mutex and ignores poisoning. The data is consistent even after a panic, since no lock is held across a call
-/// that may panic.
+/// Locks a mutex and ignores poisoning. The data is consistent even after a panic, since no lock is
+/// held across a call that may panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,4 @@
-//! Tests of the core alone: its edges are played by the test, nothing goes over a socket.
+//! Tests of the core without sockets: a test transport replaces the connections.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
 use mossrill::core::{
@@ -11,13 +11,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Tells each answer, and each attempt as it starts.
-struct Played {
+/// Transport that sends each answer, with the number of its request, and each started attempt to
+/// the test.
+struct RecordingTransport {
     answers: Sender<(u64, String)>,
-    started: Sender<AttemptId>,
+    attempts: Sender<AttemptId>,
 }
 
-impl Transport for Played {
+impl Transport for RecordingTransport {
     type Client = u64;
     type Call = ();
     type Value = &'static str;
@@ -34,7 +35,7 @@
         _: AttemptDeadlines,
         _: &Self::Client,
     ) {
-        _ = self.started.send(attempt);
+        _ = self.attempts.send(attempt);
     }
 
     fn cancel(&mut self, _: AttemptId) -> bool {
@@ -60,14 +61,15 @@
     }
 }
 
-type Story = (
-    Sender<Input<Played>>,
+/// The queue of a running core, and the answers and attempts that its transport records.
+type RunningCore = (
+    Sender<Input<RecordingTransport>>,
     Receiver<(u64, String)>,
     Receiver<AttemptId>,
 );
 
-/// A core that finds these inputs in its queue when it starts.
-fn core(max_open: usize, inputs: Vec<Input<Played>>) -> Story {
+/// Starts a core whose queue contains a list of three endpoints and then `first_inputs`.
+fn start_core(max_open: usize, first_inputs: Vec<Input<RecordingTransport>>) -> RunningCore {
     let class = RequestClass {
         latency_objective: 800_000,
         deadline: 2_000_000,
@@ -94,10 +96,11 @@
         },
         ..Settings::default()
     };
-    let ((queue, taken), (answers, told), (started, attempts)) =
-        (unbounded(), unbounded(), unbounded());
-    let node = |name: &str| Endpoint {
-        id: name.into(),
+    let (queue, inputs) = unbounded();
+    let (answer_sender, answers) = unbounded();
+    let (attempt_sender, attempts) = unbounded();
+    let endpoint = |id: &str| Endpoint {
+        id: id.into(),
         zone: String::new(),
         cell: 0,
         readiness: Readiness::Ready,
@@ -106,27 +109,32 @@
     };
     _ = queue.send(Input::EndpointUpdate(
         UpdateScope::Snapshot,
-        vec![node("a"), node("b"), node("c")],
+        vec![endpoint("a"), endpoint("b"), endpoint("c")],
     ));
-    inputs.into_iter().for_each(|input| _ = queue.send(input));
-    let (edges, log) = (Played { answers, started }, Logger::root(Discard, o!()));
+    for input in first_inputs {
+        _ = queue.send(input);
+    }
+    let transport = RecordingTransport {
+        answers: answer_sender,
+        attempts: attempt_sender,
+    };
     thread::spawn(move || {
         Core::new(CoreOptions {
             settings,
             seed: 7,
             max_open,
-            transport: edges,
+            transport,
             clock: Clock::start(),
             endpoints_known: bounded(1).0,
             lease_holder: None,
-            log,
+            log: Logger::root(Discard, o!()),
         })
-        .run(taken, never());
+        .run(inputs, never());
     });
-    (queue, told, attempts)
+    (queue, answers, attempts)
 }
 
-fn request(number: u64) -> Input<Played> {
+fn request(number: u64) -> Input<RecordingTransport> {
     Input::Request(IncomingRequest {
         number,
         id: None,
@@ -134,7 +142,7 @@
         timeout: Duration::from_secs(2),
         class: 0,
         plan: 0,
-        account: "agent".into(),
+        account: "account".into(),
         units: 1.0,
         limiter_count: 1,
         first_limiter: 0,
@@ -143,7 +151,11 @@
     })
 }
 
-fn ended(attempt: AttemptId, outcome: Outcome, value: Option<&'static str>) -> Input<Played> {
+fn attempt_ended(
+    attempt: AttemptId,
+    outcome: Outcome,
+    value: Option<&'static str>,
+) -> Input<RecordingTransport> {
     Input::AttemptEnded {
         attempt,
         outcome,
@@ -153,33 +165,38 @@
 }
 
 #[test]
-fn a_request_behind_the_word_to_stop_is_answered_before_the_end() {
-    let by = Instant::now() + Duration::from_secs(30);
-    let (queue, told, attempts) = core(10, vec![Input::Shutdown(by), request(1)]);
-    let attempt = attempts.recv().expect("an attempt, and no end before it");
-    _ = queue.send(ended(attempt, Outcome::Ok, Some("ticket")));
-    assert_eq!(told.recv(), Ok((1, "Served(\"ticket\")".into())));
-    // Nothing is open any more: the core ends, and its edges with it.
-    assert!(told.recv().is_err());
+fn request_queued_after_a_shutdown_is_answered_before_the_core_ends() {
+    let deadline = Instant::now() + Duration::from_secs(30);
+    let (queue, answers, attempts) = start_core(10, vec![Input::Shutdown(deadline), request(1)]);
+    let attempt = attempts
+        .recv()
+        .expect("the core starts an attempt before it ends");
+    _ = queue.send(attempt_ended(attempt, Outcome::Ok, Some("value")));
+    assert_eq!(answers.recv(), Ok((1, "Served(\"value\")".into())));
+    // No request is open any more, so the core ends and drops its transport, which closes the
+    // channel.
+    assert!(answers.recv().is_err());
 }
 
 #[test]
-fn only_the_first_end_of_an_attempt_counts() {
-    let (queue, told, attempts) = core(10, vec![request(1)]);
-    let first = attempts.recv().expect("an attempt");
-    _ = queue.send(ended(first, Outcome::Rejected, None));
-    let second = attempts.recv().expect("another, as the first never ran");
-    // What comes late of the first is dropped.
-    _ = queue.send(ended(first, Outcome::Ok, Some("late")));
-    _ = queue.send(ended(second, Outcome::Ok, Some("ticket")));
-    assert_eq!(told.recv(), Ok((1, "Served(\"ticket\")".into())));
+fn second_end_of_the_same_attempt_is_ignored() {
+    let (queue, answers, attempts) = start_core(10, vec![request(1)]);
+    let first = attempts.recv().expect("the core starts an attempt");
+    _ = queue.send(attempt_ended(first, Outcome::Rejected, None));
+    let second = attempts
+        .recv()
+        .expect("the core retries a request whose first attempt did not run");
+    // The first attempt has ended already, so this late response is dropped.
+    _ = queue.send(attempt_ended(first, Outcome::Ok, Some("late")));
+    _ = queue.send(attempt_ended(second, Outcome::Ok, Some("value")));
+    assert_eq!(answers.recv(), Ok((1, "Served(\"value\")".into())));
 }
 
 #[test]
-fn more_open_requests_than_there_is_memory_for_are_refused_at_once() {
-    let (_queue, told, _attempts) = core(2, vec![request(1), request(2), request(3)]);
+fn request_beyond_the_maximum_of_open_requests_is_rejected_immediately() {
+    let (_queue, answers, _attempts) = start_core(2, vec![request(1), request(2), request(3)]);
     assert_eq!(
-        told.recv(),
+        answers.recv(),
         Ok((
             3,
             "Rejected { retry_after: 400ms, timed_out: false }".into()
@@ -188,32 +205,40 @@
 }
 
 #[test]
-fn out_of_time_to_stop_nothing_that_waits_is_sent_on() {
-    let (queue, told, attempts) = core(20, (1..=21).map(request).collect());
-    // The last finds no room, and those before it are open.
-    assert_eq!(told.recv().map(|(number, _)| number), Ok(21));
-    let out = attempts.try_iter().count();
-    assert!(out > 0 && out < 20, "{out} are out, the others wait");
+fn waiting_requests_are_not_forwarded_at_the_shutdown_deadline() {
+    let (queue, answers, attempts) = start_core(20, (1..=21).map(request).collect());
+    // Request 21 exceeds the maximum and is rejected; the other 20 are open.
+    assert_eq!(answers.recv().map(|(number, _)| number), Ok(21));
+    let forwarded = attempts.try_iter().count();
+    assert!(
+        forwarded > 0 && forwarded < 20,
+        "some but not all of the 20 open requests should be forwarded, but {forwarded} are"
+    );
     _ = queue.send(Input::Shutdown(Instant::now()));
-    assert_eq!(told.iter().count(), 20);
+    assert_eq!(answers.iter().count(), 20);
     assert_eq!(attempts.iter().count(), 0);
 }
 
 #[test]
-fn a_thread_that_has_done_its_work_is_used_again() {
-    // A thread for each connection, started and ended, took most of a small limiter's time.
-    let (tell, told) = unbounded();
-    let mut seen = std::collections::HashSet::new();
+fn thread_that_has_finished_its_task_is_reused() {
+    // Starting and ending a thread for each connection took most of the CPU time of a limiter that
+    // had only a fraction of a processor core.
+    let (sender, thread_ids) = unbounded();
+    let mut used_threads = std::collections::HashSet::new();
     loop {
-        let tell = tell.clone();
-        mossrill::threads::spawn("work", move || _ = tell.send(thread::current().id()))
-            .expect("a thread");
-        if !seen.insert(
-            told.recv_timeout(Duration::from_secs(20))
-                .expect("work done"),
+        let sender = sender.clone();
+        mossrill::threads::spawn("work", move || _ = sender.send(thread::current().id()))
+            .expect("an idle or new thread runs the task");
+        if !used_threads.insert(
+            thread_ids
+                .recv_timeout(Duration::from_secs(20))
+                .expect("the task runs within 20 s"),
         ) {
             break;
         }
-        assert!(seen.len() < 1_000, "never the same thread");
+        assert!(
+            used_threads.len() < 1_000,
+            "no thread was reused for 1,000 tasks"
+        );
     }
 }
