--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -58,8 +58,8 @@
                 };
                 self.request_lease(now, id, &demand);
             }
-            // Limiters exchange no engine messages, they only share the counter; and the endpoint
-            // list is watched from the start.
+            // Limiters only share the counter and send each other no messages of the engine. The
+            // endpoint list is watched from the start.
             Action::SendToPeer { .. } | Action::WatchEndpoints => {}
         }
     }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns the numbers of the requests that have a running attempt.
-    pub(super) fn requests(&self) -> HashSet<u64> {
+    pub(super) fn request_numbers(&self) -> HashSet<u64> {
         self.by_id.keys().map(|attempt| attempt.request).collect()
     }
 
@@ -91,7 +91,12 @@
 
     /// Starts to forward a response, of which the first bytes were received. The first response
     /// wins: all other attempts of the request are cancelled.
-    pub(super) fn response_started(&mut self, now: Micros, attempt: AttemptId, value: T::Value) {
+    pub(super) fn handle_response_started(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        value: T::Value,
+    ) {
         if !self.attempts.contains(attempt) {
             return;
         }
@@ -119,20 +124,20 @@
 
     /// Ends an attempt whose response is complete or broken off, unless the attempt has ended
     /// before.
-    pub(super) fn end_attempt(
+    pub(super) fn handle_attempt_ended(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         response: AttemptResponse<T::Value>,
     ) {
         if let Some(running) = self.remove_attempt(attempt) {
-            self.attempt_ended(now, attempt, running, response);
+            self.complete_attempt(now, attempt, running, response);
         }
     }
 
     /// Handles the end of an attempt that was running. The first successful response is sent to the
     /// client immediately; the engine is notified of the end of every attempt.
-    pub(super) fn attempt_ended(
+    pub(super) fn complete_attempt(
         &mut self,
         now: Micros,
         attempt: AttemptId,
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -5,7 +5,7 @@
 use crate::handover::message::Ban;
 use std::collections::{HashMap, HashSet};
 
-/// Number of remembered ids of ever listed servers above which the ids that are neither listed nor
+/// Number of remembered server ids above which the ids of servers that are neither listed nor
 /// disabled are forgotten.
 const MAX_REMEMBERED_IDS: usize = 8_192;
 
@@ -24,11 +24,11 @@
 
 impl ServerBans {
     /// Applies an update of the endpoint list. Returns the endpoints as the engine should use them.
-    pub fn news(&mut self, scope: UpdateScope, members: Vec<Endpoint>) -> Vec<Endpoint> {
+    pub fn news(&mut self, scope: UpdateScope, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             self.listed.clear();
         }
-        for endpoint in &members {
+        for endpoint in &endpoints {
             if endpoint.readiness == Readiness::Removed {
                 self.listed.remove(&endpoint.id);
             } else {
@@ -37,7 +37,7 @@
             self.ever_listed.insert(endpoint.id.clone());
         }
         self.forget_old_ids();
-        members
+        endpoints
             .into_iter()
             .map(|endpoint| self.with_overrides(endpoint))
             .collect()
--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -38,7 +38,9 @@
                     self.expire_request(now, number);
                 }
             }
-            Deadline::CounterCall(call) => self.counter_replied(now, call, Outcome::Timeout, 0.0),
+            Deadline::CounterCall(call) => {
+                self.handle_counter_reply(now, call, Outcome::Timeout, 0.0)
+            }
             Deadline::Shutdown => self.expire_shutdown(now),
         }
     }
@@ -62,7 +64,7 @@
             load: Vec::new(),
             value: None,
         };
-        self.attempt_ended(now, attempt, running, response);
+        self.complete_attempt(now, attempt, running, response);
     }
 
     fn expire_shutdown(&mut self, now: Micros) {
--- a/src/core/inputs.rs
+++ b/src/core/inputs.rs
@@ -18,7 +18,7 @@
             Input::Request(request) => self.admit(now, request),
             Input::ClientDisconnected(numbers) => self.abandon_requests(now, numbers),
             Input::ResponseStarted { attempt, value } => {
-                self.response_started(now, attempt, value);
+                self.handle_response_started(now, attempt, value);
             }
             Input::AttemptEnded {
                 attempt,
@@ -31,7 +31,7 @@
                     load,
                     value,
                 };
-                self.end_attempt(now, attempt, response);
+                self.handle_attempt_ended(now, attempt, response);
             }
             Input::HealthChecked {
                 server,
@@ -52,7 +52,7 @@
                 call,
                 outcome,
                 total,
-            } => self.counter_replied(now, call, outcome, total),
+            } => self.handle_counter_reply(now, call, outcome, total),
             Input::Allocator(event) => self.handle_allocator_event(now, event),
             Input::QuotaShares(shares) => self.notify_engine(now, Event::QuotaShares(shares)),
             // The input only wakes the loop, which has handled the command already.
@@ -61,8 +61,14 @@
         }
     }
 
-    /// Notifies the engine of the end of a counter call, unless the call has ended before.
-    pub(super) fn counter_replied(&mut self, now: Micros, call: u64, outcome: Outcome, total: f64) {
+    /// Handles the end of a counter call, unless the call has ended before.
+    pub(super) fn handle_counter_reply(
+        &mut self,
+        now: Micros,
+        call: u64,
+        outcome: Outcome,
+        total: f64,
+    ) {
         let Some(key) = self.counter_calls.finish(call) else {
             return;
         };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -56,7 +56,7 @@
     pub max_open: usize,
     /// Carries out the requests of the core to clients, upstream servers and the counter.
     pub transport: T,
-    /// Clock whose time the engine is given.
+    /// Clock that provides the time of events.
     pub clock: Clock,
     /// Receives a message for each endpoint update that contains a ready server. Messages that do
     /// not fit into the channel are dropped, so capacity 1 suffices for a receiver that waits for
@@ -77,7 +77,7 @@
     requests: OpenRequests<T>,
     attempts: RunningAttempts,
     counter_calls: CounterCalls,
-    /// `None` if units are not leased.
+    /// Quota leases; `None` if units are not leased.
     leases: Option<Leases>,
     bans: ServerBans,
     upgrade: UpgradeState,
@@ -85,7 +85,7 @@
     rules: RequestRules,
     /// Events that resulted from the engine's actions and that the engine has not processed yet.
     pending_events: VecDeque<Event>,
-    /// Buffer for the engine's actions, reused to avoid allocations.
+    /// Buffer for the engine's actions, kept to reuse its allocation.
     actions: Vec<Action>,
     endpoints_known: Sender<()>,
     log: Logger,
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -15,7 +15,7 @@
         if self.requests.is_full() {
             return self.reject_when_full(incoming.client);
         }
-        // Upstream servers would mistake the request for the open one of another client.
+        // Upstream servers would mistake the request for the open request of another client.
         if !self.requests.reserve_client_id(incoming.id.as_ref()) {
             return self.fail_duplicate(incoming.client);
         }
@@ -74,7 +74,7 @@
     /// In any other order, the end of a forwarded request would free capacity, and the engine would
     /// forward a waiting request that is about to be closed.
     pub(super) fn unforwarded_first(&self, mut numbers: Vec<u64>) -> Vec<u64> {
-        let forwarded = self.attempts.requests();
+        let forwarded = self.attempts.request_numbers();
         numbers.sort_by_key(|number| forwarded.contains(number));
         numbers
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -9,7 +9,7 @@
 pub enum RequestOutcome {
     /// Answered with a value from an upstream server.
     Served,
-    /// Rejected: the request had no effect, so the client may retry it.
+    /// Rejected; the client may retry, as a retry is harmless.
     Rejected,
     /// Failed, possibly after an upstream server executed it, or abandoned because the client
     /// disconnected.
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -38,7 +38,7 @@
     inputs: Receiver<Input<LimiterTransport<P::Upstream>>>,
     commands: Receiver<Command>,
     queue: CoreQueue<P::Upstream>,
-    /// `None` if no other process can take over.
+    /// Coordinator of upgrades; `None` if no other process can take over.
     upgrade: Option<Arc<UpgradeCoordinator>>,
     connections: Connections<P>,
     fleet: Option<Fleet>,
@@ -67,8 +67,9 @@
         }
     }
 
-    /// Returns the number of limiters that share resources which serve one caller at a time: the
-    /// number believed alive, or the configured number without a fleet.
+    /// Returns the number of limiters that share a service which handles one call at a time, such as
+    /// service discovery. It is the number believed alive, or the configured number without a
+    /// fleet, and is updated while the limiter runs.
     pub fn limiter_count(&self) -> Arc<AtomicU32> {
         self.limiter_count.clone()
     }
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Timeout of a command to the core. The core handles commands first, but may have only a fraction
-/// of a processor core.
+/// Timeout of a command to the core. The core handles commands before inputs, but the process may
+/// have only a fraction of a processor.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What this process needs to take over from a predecessor and to hand over to a successor.
@@ -29,7 +29,7 @@
     /// Interrupts the readers of connections that are to be handed over; `None` if no other process
     /// can take over.
     pub(super) read_interrupt: Option<ReadInterrupt>,
-    /// `None` if no other process can take over.
+    /// Coordinator of upgrades; `None` if no other process can take over.
     pub(super) coordinator: Option<Arc<UpgradeCoordinator>>,
     /// The predecessor that this process has joined, if any.
     pub(super) predecessor: Option<PredecessorConnection>,
