--- a/src/core/inputs.rs
+++ b/src/core/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the core's queue.
+//! Handling of the inputs in the core's queue.
 
 use super::attempts::AttemptResponse;
 use super::deadlines::Deadline;
@@ -18,7 +18,7 @@
             Input::Request(request) => self.admit(now, request),
             Input::ClientDisconnected(numbers) => self.abandon_requests(now, numbers),
             Input::ResponseStarted { attempt, value } => {
-                self.response_started(now, attempt, value);
+                self.handle_response_started(now, attempt, value);
             }
             Input::AttemptEnded {
                 attempt,
@@ -31,7 +31,7 @@
                     load,
                     value,
                 };
-                self.end_attempt(now, attempt, response);
+                self.handle_attempt_ended(now, attempt, response);
             }
             Input::HealthChecked {
                 server,
@@ -52,17 +52,23 @@
                 call,
                 outcome,
                 total,
-            } => self.counter_replied(now, call, outcome, total),
+            } => self.handle_counter_reply(now, call, outcome, total),
             Input::Allocator(event) => self.handle_allocator_event(now, event),
             Input::QuotaShares(shares) => self.notify_engine(now, Event::QuotaShares(shares)),
-            // The loop has read the command already.
+            // The input only wakes the loop, which has handled the command already.
             Input::CommandQueued => {}
             Input::Shutdown(deadline) => self.shut_down(deadline),
         }
     }
 
-    /// Notifies the engine of the end of a counter call, unless the call has ended before.
-    pub(super) fn counter_replied(&mut self, now: Micros, call: u64, outcome: Outcome, total: f64) {
+    /// Handles the end of a counter call, unless the call has ended before.
+    pub(super) fn handle_counter_reply(
+        &mut self,
+        now: Micros,
+        call: u64,
+        outcome: Outcome,
+        total: f64,
+    ) {
         let Some(key) = self.counter_calls.finish(call) else {
             return;
         };
@@ -77,6 +83,7 @@
     fn shut_down(&mut self, deadline: Instant) {
         info!(self.log, "shutting down"; "open" => self.requests.len());
         self.phase = self.phase.max(Phase::Draining);
-        self.timers.set(self.clock.at(deadline), Deadline::Shutdown);
+        self.timers
+            .set(self.clock.unix_time_of(deadline), Deadline::Shutdown);
     }
 }
