--- a/tests/decision/account_quota.rs
+++ b/tests/decision/account_quota.rs
@@ -1,4 +1,4 @@
-//! Token buckets of accounts, kept together with the totals of the counter.
+//! Token buckets of accounts and the totals of the counter that correct them.
 
 use crate::common::{counts, sends, settings, Bench};
 use crate::counter_sync::counter_amounts;
@@ -6,34 +6,42 @@
 
 #[test]
 fn local_bucket_admits_as_much_as_the_shared_bucket() {
-    // Rate 10, burst 20, a part of 10 until the counter answers; after it says that nobody took more, the rest.
+    // A rate of 10 and a burst of 20 over two limiters: the local share is 10 until the counter
+    // answers. Its total shows no use by other limiters, so that the rest may be used too.
     let mut bench = Bench::new(settings(), 4);
     let mut sent = 0;
     let mut total = 0.0;
     for n in 0..60 {
-        let acts = bench.ask(&format!("r{n}"), 0, 0, "a");
-        let mut all = acts.clone();
-        let calls = acts.iter().filter_map(|a| match a {
-            Action::AddToCounter { amount: by, .. } => Some(*by),
+        let actions = bench.ask(&format!("r{n}"), 0, 0, "a");
+        let mut all = actions.clone();
+        let calls = actions.iter().filter_map(|a| match a {
+            Action::AddToCounter { amount, .. } => Some(*amount),
             _ => None,
         });
         total += calls.sum::<f64>();
-        all.extend(bench.count(&acts, total, Outcome::Ok));
+        all.extend(bench.count(&actions, total, Outcome::Ok));
         for (id, server) in sends(&all) {
             sent += 1;
             bench.end(&id.0, 0, &server, Outcome::Ok);
         }
     }
-    assert!((18..=21).contains(&sent), "burst of 20, {sent} sent");
+    assert!(
+        (18..=21).contains(&sent),
+        "expected 18 to 21 requests sent from a burst of 20, got {sent}"
+    );
 }
 
 #[test]
 fn units_used_by_other_limiters_are_taken_from_the_bucket() {
     let mut bench = Bench::new(settings(), 4);
-    let acts = bench.ask("r0", 0, 0, "a");
-    assert_eq!(counts(&acts), 1, "a new customer asks the counter at once");
-    // Others have used the whole burst and what the window has filled since it began.
-    bench.count(&acts, 1e4, Outcome::Ok);
+    let actions = bench.ask("r0", 0, 0, "a");
+    assert_eq!(
+        counts(&actions),
+        1,
+        "a new account calls the counter at once"
+    );
+    // Other limiters have used the whole burst and all units refilled since the window began.
+    bench.count(&actions, 1e4, Outcome::Ok);
     assert!(sends(&bench.ask("r1", 0, 0, "a")).is_empty());
 }
 
@@ -53,33 +61,42 @@
             bench.end(&id.0, 0, &server, Outcome::Ok);
         }
     }
-    // 10 s at half of rate 10 and half of burst 20 make 60 units; the whole quota would be 120.
+    // In 10 s half of the rate of 10 and half of the burst of 20 give 60 units; the whole quota
+    // would give 120.
     assert!(
         (50..=70).contains(&sent),
-        "{sent} sent in 10 s without the counter"
+        "expected 50 to 70 requests sent in 10 s without the counter, got {sent}"
+    );
+    assert!(
+        calls <= 25,
+        "expected at most 25 calls to an unresponsive counter in 10 s, got {calls}"
     );
-    assert!(calls <= 25, "{calls} calls to a silent counter in 10 s");
 }
 
 #[test]
-fn ceiling_is_kept_by_each_limiter_alone() {
-    // 4 units a second over 2 gateways, opening empty: never more than 2 a second here, after a restart too.
+fn ceiling_is_enforced_by_each_limiter_on_its_share() {
+    // A ceiling of 4 units per second over 2 limiters allows at most 2 per second here. As the
+    // bucket starts empty, this also holds after a restart.
     let mut bench = Bench::new(settings(), 4);
     let mut sent = 0;
     for n in 0..200 {
-        let mut acts = bench.ask(&format!("r{n}"), 0, 2, "a");
-        acts.extend(bench.pass(20_000));
-        for (id, server) in sends(&acts) {
+        let mut actions = bench.ask(&format!("r{n}"), 0, 2, "a");
+        actions.extend(bench.pass(20_000));
+        for (id, server) in sends(&actions) {
             sent += 1;
             bench.end(&id.0, 0, &server, Outcome::Ok);
         }
     }
-    assert!((3..=8).contains(&sent), "{sent} units in 4 s");
+    assert!(
+        (3..=8).contains(&sent),
+        "expected 3 to 8 units sent in 4 s, got {sent}"
+    );
 }
 
 #[test]
-fn forwarded_request_is_not_queued_any_more() {
-    // A sent request that stayed among its customer's waiting ones was queued, sent and claimed once more.
+fn sent_request_is_removed_from_the_waiting_requests_of_its_account() {
+    // A sent request that stayed among its account's waiting requests was queued, sent and claimed
+    // again.
     let mut bench = Bench::new(
         Settings {
             limiters: 200,
@@ -88,24 +105,25 @@
         600,
     );
     let ask = |bench: &mut Bench, id: &str| {
-        let (customer, spread) = ("a".into(), 200);
-        let (id, budget) = (id.into(), 2_000_000);
+        let (account, limiter_count) = ("a".into(), 200);
+        let (id, timeout) = (id.into(), 2_000_000);
         bench.on(Event::Request(Request {
             id,
             class: 0,
             plan: 0,
-            account: customer,
-            timeout: budget,
+            account,
+            timeout,
             units: 1.0,
-            limiter_count: spread,
+            limiter_count,
             first_limiter: 0,
         }))
     };
-    let claims = |acts: &[Action]| -> Vec<f64> {
-        acts.iter()
+    let claims = |actions: &[Action]| -> Vec<f64> {
+        actions
+            .iter()
             .filter_map(|a| {
-                if let Action::AddToCounter { amount: by, .. } = a {
-                    Some(*by)
+                if let Action::AddToCounter { amount, .. } = a {
+                    Some(*amount)
                 } else {
                     None
                 }
@@ -114,7 +132,8 @@
     };
     let first = ask(&mut bench, "r0");
     assert_eq!(claims(&first), [1.0]);
-    // The count holds what makes the store just full, so that nothing is to be put right.
+    // With this total the bucket is exactly full before the claim, so that no correction is
+    // reported.
     let total = 10.0 * (bench.now % 20_000_000) as f64 / 1e6 + 1.0;
     assert_eq!(sends(&bench.count(&first, total, Outcome::Ok)).len(), 1);
     assert_eq!(claims(&ask(&mut bench, "r1")), [1.0]);
@@ -122,51 +141,52 @@
 
 #[test]
 fn new_account_with_a_quota_share_below_one_request_calls_the_counter_at_once() {
-    // Nothing was sent yet, so nothing was to be told: the request waited for its own part to fill, and was refused
-    // with the whole quota unused.
+    // A new account had nothing to report and made no call: the request waited for the local share
+    // to refill, and was rejected although the whole quota was unused.
     let mut settings = settings();
     settings.limiters = 4;
     let mut bench = Bench::new(settings, 4);
-    let (id, customer) = ("big".into(), "once".into());
+    let (id, account) = ("big".into(), "once".into());
     let request = Request {
         id,
         class: 0,
         plan: 0,
-        account: customer,
+        account,
         timeout: 2_000_000,
         units: 6.0,
         limiter_count: 4,
         first_limiter: 0,
     };
-    let asked = bench.on(Event::Request(request));
-    assert_eq!((sends(&asked).len(), counts(&asked)), (0, 1));
-    assert_eq!(sends(&bench.count(&asked, 0.0, Outcome::Ok)).len(), 1);
+    let actions = bench.on(Event::Request(request));
+    assert_eq!((sends(&actions).len(), counts(&actions)), (0, 1));
+    assert_eq!(sends(&bench.count(&actions, 0.0, Outcome::Ok)).len(), 1);
 }
 
 #[test]
 fn last_units_of_a_bucket_go_to_one_limiter() {
-    // Each gateway that waited for the same units found them in the total and sent: a twentieth of all units was
-    // sent beyond the quotas.
+    // Limiters that waited for the same units all found them in the total and sent their requests:
+    // a twentieth of all units was sent beyond the quotas.
     let mut bench = Bench::new(settings(), 4);
-    let first = bench.ask("a", 0, 0, "customer");
+    let first = bench.ask("a", 0, 0, "account");
     bench.count(&first, 1.0, Outcome::Ok);
-    assert_eq!(sends(&bench.ask("b", 0, 0, "customer")).len(), 1);
-    let told = bench.pass(2_200_000);
-    assert_eq!(counter_amounts(&told), [1.0]);
-    // Others took all but 1.5 of the 20 that the store holds by now.
-    bench.count(&told, 20.5, Outcome::Ok);
-    let claimed = bench.ask("c", 0, 0, "customer");
+    assert_eq!(sends(&bench.ask("b", 0, 0, "account")).len(), 1);
+    let reported = bench.pass(2_200_000);
+    assert_eq!(counter_amounts(&reported), [1.0]);
+    // Other limiters have used all but 1.5 of the 20 units that the bucket holds by now.
+    bench.count(&reported, 20.5, Outcome::Ok);
+    let claimed = bench.ask("c", 0, 0, "account");
     assert_eq!(
         (sends(&claimed).len(), counter_amounts(&claimed)),
         (0, vec![1.0])
     );
-    // Another was quicker: its units stand in the total beside the one claimed here, which goes back.
-    let lost = bench.count(&claimed, 23.0, Outcome::Ok);
+    // Another limiter was faster: its units are in the total beside the unit claimed here, which is
+    // given back.
+    let not_granted = bench.count(&claimed, 23.0, Outcome::Ok);
     assert_eq!(
-        (sends(&lost).len(), counter_amounts(&lost)),
+        (sends(&not_granted).len(), counter_amounts(&not_granted)),
         (0, vec![-1.0])
     );
-    bench.count(&lost, 22.0, Outcome::Ok);
+    bench.count(&not_granted, 22.0, Outcome::Ok);
     let claimed = bench.pass(150_000);
     assert_eq!(counter_amounts(&claimed), [1.0]);
     assert_eq!(sends(&bench.count(&claimed, 23.0, Outcome::Ok)).len(), 1);
@@ -174,20 +194,24 @@
 
 #[test]
 fn first_total_is_not_offset_by_the_overflow_of_a_full_bucket() {
-    // Much was used in the 19 s of the window, it can't be told when: of 210 units that came, a full store lost some.
+    // Many units were used in the 19 s of the window, but the total does not show when: of the 210
+    // units available, an unknown number overflowed from a full bucket.
     let mut bench = Bench::new(settings(), 4);
     bench.now = 39_000_000;
-    let first = bench.ask("a", 0, 0, "customer");
+    let first = bench.ask("a", 0, 0, "account");
     bench.count(&first, 120.0, Outcome::Ok);
     let mut sent = 0;
     for (id, server) in sends(&first) {
         bench.end(&id.0, 0, &server, Outcome::Ok);
     }
     for n in 0..15 {
-        for (id, server) in sends(&bench.ask(&format!("b{n}"), 0, 0, "customer")) {
+        for (id, server) in sends(&bench.ask(&format!("b{n}"), 0, 0, "account")) {
             bench.end(&id.0, 0, &server, Outcome::Ok);
             sent += 1;
         }
     }
-    assert!(sent <= 9, "{sent} sent of a part of ten");
+    assert!(
+        sent <= 9,
+        "expected at most 9 further requests from a share of ten, got {sent}"
+    );
 }
--- a/tests/decision/actions.rs
+++ b/tests/decision/actions.rs
@@ -1,10 +1,10 @@
-//! Final answers leave in the actions of the event that causes them.
+//! Final answers are among the actions of the event that causes them.
 
 use crate::common::{counts, sends, settings, Bench};
 use mossrill::decision::{Action, Event, Outcome, Request, Settings};
 
-/// Ids of the requests that got a final answer in these actions.
-fn finally_answered(actions: &[Action]) -> Vec<String> {
+/// Returns the ids of the requests that got a final answer in these actions.
+fn ids_with_final_answer(actions: &[Action]) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Reject { id, .. } | Action::Fail { id } => Some(id.0.to_string()),
         _ => None,
@@ -13,52 +13,55 @@
 }
 
 #[test]
-fn abandoned_request_gets_its_final_answer_in_the_actions_of_the_same_event() {
-    // An answer held back to near the deadline keeps the client from asking again while nothing is done for it.
-    // Too little time, an unknown class: the event is the request.
-    let ask = |bench: &mut Bench, id: &str, class, plan, budget, spread| {
-        let (id, customer) = (id.into(), "a".into());
+fn unservable_request_gets_its_final_answer_in_the_actions_of_the_same_event() {
+    // A final answer that is delayed until near the deadline keeps the client from retrying,
+    // although nothing more is done for its request. Caused by the request itself: its timeout is
+    // too short, or its class is unknown.
+    let ask = |bench: &mut Bench, id: &str, class, plan, timeout, limiter_count| {
+        let (id, account) = (id.into(), "a".into());
         bench.on(Event::Request(Request {
             id,
             class,
             plan,
-            account: customer,
-            timeout: budget,
+            account,
+            timeout,
             units: 1.0,
-            limiter_count: spread,
+            limiter_count,
             first_limiter: 0,
         }))
     };
     let mut bench = Bench::new(settings(), 4);
     assert_eq!(
-        finally_answered(&ask(&mut bench, "short", 0, 0, 1_000, 2)),
+        ids_with_final_answer(&ask(&mut bench, "short", 0, 0, 1_000, 2)),
         ["short"]
     );
     assert_eq!(
-        finally_answered(&ask(&mut bench, "unknown", 99, 0, 2_000_000, 2)),
+        ids_with_final_answer(&ask(&mut bench, "unknown", 99, 0, 2_000_000, 2)),
         ["unknown"]
     );
-    // A later try whose first is past its aim: it has 400 ms of the usual two seconds.
+    // Caused by a retry after the latency objective: its timeout is 400 ms instead of the usual 2
+    // s.
     for n in 0..8 {
-        let acts = ask(&mut bench, &format!("usual{n}"), 2, 1, 2_000_000, 2);
-        for (id, server) in sends(&acts) {
+        let actions = ask(&mut bench, &format!("usual{n}"), 2, 1, 2_000_000, 2);
+        for (id, server) in sends(&actions) {
             bench.end(&id.0, 0, &server, Outcome::Ok);
         }
     }
     assert_eq!(
-        finally_answered(&ask(&mut bench, "late", 2, 1, 400_000, 2)),
+        ids_with_final_answer(&ask(&mut bench, "late", 2, 1, 400_000, 2)),
         ["late"]
     );
-    // A backlog beyond what the quota reaches: of four over the cap of two a gateway, all but what may still go.
-    let acts: Vec<_> = (0..40)
+    // Caused by a backlog beyond the quota. The concurrency limit of four leaves two at each
+    // limiter; all requests are rejected but those that can still be sent in time.
+    let actions: Vec<_> = (0..40)
         .flat_map(|n| ask(&mut bench, &format!("b{n}"), 2, 1, 2_000_000, 2))
         .collect();
-    let (sent, turned) = (sends(&acts).len(), finally_answered(&acts).len());
+    let (sent, rejected) = (sends(&actions).len(), ids_with_final_answer(&actions).len());
     assert!(
-        sent + turned >= 40 - 12 && turned > 0,
-        "{sent} sent, {turned} turned of 40"
+        sent + rejected >= 40 - 12 && rejected > 0,
+        "expected at least 28 of 40 requests sent or rejected, and some rejected; got {sent} sent, {rejected} rejected"
     );
-    // A claim that the counter refuses: the event is the total.
+    // Caused by a total that does not grant the claim.
     let mut bench = Bench::new(
         Settings {
             limiters: 200,
@@ -66,13 +69,16 @@
         },
         600,
     );
-    let acts = ask(&mut bench, "claim", 0, 0, 2_000_000, 200);
-    assert_eq!((counts(&acts), finally_answered(&acts).len()), (1, 0));
+    let actions = ask(&mut bench, "claim", 0, 0, 2_000_000, 200);
     assert_eq!(
-        finally_answered(&bench.count(&acts, 1e6, Outcome::Ok)),
+        (counts(&actions), ids_with_final_answer(&actions).len()),
+        (1, 0)
+    );
+    assert_eq!(
+        ids_with_final_answer(&bench.count(&actions, 1e6, Outcome::Ok)),
         ["claim"]
     );
-    // An attempt that ends with no further one allowed: the event is the outcome.
+    // Caused by the end of an attempt after which no further attempt is allowed.
     let mut bench = Bench::new(
         Settings {
             counter: false,
@@ -82,10 +88,11 @@
     );
     let (_, server) = sends(&ask(&mut bench, "failed", 2, 0, 2_000_000, 2))[0].clone();
     assert_eq!(
-        finally_answered(&bench.end("failed", 0, &server, Outcome::Reset)),
+        ids_with_final_answer(&bench.end("failed", 0, &server, Outcome::Reset)),
         ["failed"]
     );
-    // No server: waits for one while it could still be in time for its aim of 500 ms, and no longer.
+    // Without a server the request waits only as long as it could still meet its latency objective
+    // of 500 ms.
     let mut bench = Bench::new(
         Settings {
             counter: false,
@@ -93,9 +100,10 @@
         },
         0,
     );
-    assert!(finally_answered(&ask(&mut bench, "waits", 2, 0, 2_000_000, 2)).is_empty());
-    assert_eq!(finally_answered(&bench.pass(500_000)), ["waits"]);
-    // D full: what waits beyond it is shed at the next look, long before its aim.
+    assert!(ids_with_final_answer(&ask(&mut bench, "waits", 2, 0, 2_000_000, 2)).is_empty());
+    assert_eq!(ids_with_final_answer(&bench.pass(500_000)), ["waits"]);
+    // With the concurrency limit reached, requests beyond the bound on the queue are rejected at
+    // the next tick, long before their latency objective.
     let mut bench = Bench::new(
         Settings {
             limiters: 300,
@@ -105,8 +113,8 @@
         60,
     );
     for n in 0..10 {
-        let acts = bench.ask(&format!("s{n}"), 2, 0, &format!("c{n}"));
-        assert!(finally_answered(&acts).is_empty());
+        let actions = bench.ask(&format!("s{n}"), 2, 0, &format!("c{n}"));
+        assert!(ids_with_final_answer(&actions).is_empty());
     }
-    assert_eq!(finally_answered(&bench.pass(20_000)).len(), 8);
+    assert_eq!(ids_with_final_answer(&bench.pass(20_000)).len(), 8);
 }
--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -12,76 +12,80 @@
         },
         6,
     );
-    let mut out = 0;
+    let mut sent = 0;
     for n in 0..6 {
-        out += sends(&bench.ask(&format!("r{n}"), 0, 1, "a")).len();
+        sent += sends(&bench.ask(&format!("r{n}"), 0, 1, "a")).len();
     }
-    assert_eq!(out, 2, "a cap of 4 over 2 gateways leaves 2 here");
+    assert_eq!(
+        sent, 2,
+        "a concurrency limit of 4 over 2 limiters leaves 2 here"
+    );
 }
 
-/// Two gateways of one customer under a cap of 4, before one counter that answers each call at once.
+/// Two limiters that share an account with a concurrency limit of 4, and a counter that answers
+/// each call immediately.
 struct LimiterPair {
-    gateways: [Bench; 2],
+    limiters: [Bench; 2],
     totals: std::collections::BTreeMap<u64, f64>,
 }
 
 impl LimiterPair {
     fn new() -> Self {
         Self {
-            gateways: [(); 2].map(|()| Bench::new(settings(), 6)),
+            limiters: [(); 2].map(|()| Bench::new(settings(), 6)),
             totals: Default::default(),
         }
     }
 
-    /// Answers what these actions call, and what follows; all sends of that.
-    fn serve(&mut self, at: usize, mut acts: Vec<Action>) -> Vec<(RequestId, ServerId)> {
+    /// Answers the counter calls in these actions and in those that follow from the answers.
+    /// Returns all sends.
+    fn answer_calls(
+        &mut self,
+        limiter: usize,
+        mut actions: Vec<Action>,
+    ) -> Vec<(RequestId, ServerId)> {
         let mut sent = Vec::new();
-        while !acts.is_empty() {
-            sent.extend(sends(&acts));
-            let calls = std::mem::take(&mut acts);
+        while !actions.is_empty() {
+            sent.extend(sends(&actions));
+            let calls = std::mem::take(&mut actions);
             for call in calls {
-                if let Action::AddToCounter {
-                    key: name,
-                    amount: by,
-                    ..
-                } = call
-                {
-                    let total = self.totals.entry(name).or_default();
-                    *total += by;
-                    let counted = Event::CounterReply {
-                        key: name,
+                if let Action::AddToCounter { key, amount, .. } = call {
+                    let total = self.totals.entry(key).or_default();
+                    *total += amount;
+                    let reply = Event::CounterReply {
+                        key,
                         total: *total,
                         outcome: Outcome::Ok,
                     };
-                    acts.extend(self.gateways[at].on(counted));
+                    actions.extend(self.limiters[limiter].on(reply));
                 }
             }
         }
         sent
     }
 
-    fn ask(&mut self, at: usize, id: &str) -> Vec<(RequestId, ServerId)> {
-        let acts = self.gateways[at].ask(id, 0, 1, "a");
-        self.serve(at, acts)
+    fn ask(&mut self, limiter: usize, id: &str) -> Vec<(RequestId, ServerId)> {
+        let actions = self.limiters[limiter].ask(id, 0, 1, "a");
+        self.answer_calls(limiter, actions)
     }
 
     fn end(
         &mut self,
-        at: usize,
+        limiter: usize,
         (id, server): &(RequestId, ServerId),
     ) -> Vec<(RequestId, ServerId)> {
-        let acts = self.gateways[at].end(&id.0, 0, server, Outcome::Ok);
-        self.serve(at, acts)
+        let actions = self.limiters[limiter].end(&id.0, 0, server, Outcome::Ok);
+        self.answer_calls(limiter, actions)
     }
 
-    /// Lets time pass at both; all sends at the first.
+    /// Advances both limiters by `span` and returns all sends of the first.
     fn pass(&mut self, span: Micros) -> Vec<(RequestId, ServerId)> {
         let mut first = Vec::new();
         for _ in 0..span / 5_000 {
-            for at in 0..2 {
-                let acts = self.gateways[at].pass(5_000);
-                let sent = self.serve(at, acts);
-                first.extend(if at == 0 { sent } else { Vec::new() });
+            for limiter in 0..2 {
+                let actions = self.limiters[limiter].pass(5_000);
+                let sent = self.answer_calls(limiter, actions);
+                first.extend(if limiter == 0 { sent } else { Vec::new() });
             }
         }
         first
@@ -90,25 +94,30 @@
 
 #[test]
 fn concurrency_limit_is_shared_by_all_limiters() {
-    // Traffic that is nearly all at one gateway has the whole cap there, not a half of it.
+    // An account with nearly all of its traffic at one limiter may use the whole concurrency limit
+    // there, not only half of it.
     let mut pair = LimiterPair::new();
     let held: Vec<_> = ["a1", "a2", "a3"]
         .iter()
         .flat_map(|id| pair.ask(0, id))
         .collect();
-    assert_eq!(held.len(), 3, "three of four places at the busy gateway");
-    assert_eq!(pair.ask(1, "b1").len(), 1, "and the fourth at the other");
-    // None is left, at either; what was claimed beyond goes back at once.
+    assert_eq!(held.len(), 3, "three of four slots at the busy limiter");
+    assert_eq!(
+        pair.ask(1, "b1").len(),
+        1,
+        "the fourth slot at the other limiter"
+    );
+    // No slot is left at either limiter, and claims beyond the limit are given back at once.
     assert!(pair.ask(1, "b2").is_empty() && pair.ask(0, "a4").is_empty());
     assert_eq!(pair.totals.values().copied().collect::<Vec<_>>(), [4.0]);
-    // A place that is free again goes to whoever waits, within a mean response.
+    // A freed slot goes to a waiting request within a mean latency.
     let more = pair.end(0, &held[0]);
     let sent = if more.is_empty() {
         pair.pass(150_000)
     } else {
         more
     };
-    assert_eq!(sent.len(), 1, "the place of a1 is used again");
+    assert_eq!(sent.len(), 1, "the slot of a1 is used again");
     assert_eq!(pair.totals.values().copied().collect::<Vec<_>>(), [4.0]);
 }
 
@@ -120,16 +129,17 @@
     }
     let held: Vec<_> = ["b1", "b2"].iter().flat_map(|id| pair.ask(1, id)).collect();
     assert_eq!(held.len(), 2);
-    // The first comes back and knows nothing of its two.
-    pair.gateways[0] = Bench::new(settings(), 6);
+    // The first limiter restarts and does not know its two attempts in flight.
+    pair.limiters[0] = Bench::new(settings(), 6);
     assert!(
         pair.ask(0, "a3").is_empty(),
-        "all four places are taken in this window"
+        "all four slots are taken in this window"
     );
     pair.pass(5_000_000);
-    // What the other holds is told anew, once; what the dead one held is not.
-    let served = pair.end(1, &held[0]);
-    assert!(served.is_empty());
+    // In the new window the second limiter reports its slots again, once. Those of the dead process
+    // are not reported.
+    let sent = pair.end(1, &held[0]);
+    assert!(sent.is_empty());
     let sent: Vec<_> = ["a4", "a5", "a6"]
         .iter()
         .flat_map(|id| pair.ask(0, id))
@@ -137,22 +147,22 @@
     assert_eq!(
         sent.len(),
         3,
-        "three places are free, one is held elsewhere"
+        "three slots are free, one is held by the other limiter"
     );
-    assert!(pair.ask(0, "a7").is_empty(), "and no more than these");
+    assert!(pair.ask(0, "a7").is_empty(), "no further slot is free");
 }
 
 #[test]
 fn unreachable_counter_leaves_each_limiter_its_share_of_the_concurrency_limit() {
     let mut bench = Bench::new(settings(), 6);
-    let mut out = 0;
+    let mut sent = 0;
     for n in 0..12 {
-        let mut acts = bench.ask(&format!("r{n}"), 0, 1, "a");
-        while counts(&acts) > 0 {
-            out += sends(&acts).len();
-            acts = bench.count(&acts, 0.0, Outcome::Timeout);
+        let mut actions = bench.ask(&format!("r{n}"), 0, 1, "a");
+        while counts(&actions) > 0 {
+            sent += sends(&actions).len();
+            actions = bench.count(&actions, 0.0, Outcome::Timeout);
         }
-        out += sends(&acts).len() + sends(&bench.pass(5_000)).len();
+        sent += sends(&actions).len() + sends(&bench.pass(5_000)).len();
     }
-    assert_eq!(out, 2, "a half of four places");
+    assert_eq!(sent, 2, "expected half of four slots");
 }
--- a/tests/decision/fair_queue.rs
+++ b/tests/decision/fair_queue.rs
@@ -1,23 +1,24 @@
-//! Order of requests by start tags.
+//! Order in which requests are sent, by their start tags.
 
 use crate::common::{counts, member, sends, settings, Bench};
 use mossrill::decision::{Event, Outcome, UpdateScope};
 
-/// Takes all servers away, so that requests queue, and the order in which they leave when enough are back.
-fn dispatch_order(bench: &mut Bench, asked: &[(&str, &str)]) -> Vec<String> {
+/// Removes all servers, so that requests queue, and returns the order in which they are sent once
+/// there are enough servers again.
+fn dispatch_order(bench: &mut Bench, requests: &[(&str, &str)]) -> Vec<String> {
     bench.on(Event::EndpointUpdate {
         scope: UpdateScope::Snapshot,
         endpoints: Vec::new(),
     });
-    for (id, customer) in asked {
-        assert!(sends(&bench.ask(id, 0, 0, customer)).is_empty());
+    for (id, account) in requests {
+        assert!(sends(&bench.ask(id, 0, 0, account)).is_empty());
     }
-    let members = (0..12).map(|n| member(&format!("s{n}"), "z0")).collect();
-    let acts = bench.on(Event::EndpointUpdate {
+    let endpoints = (0..12).map(|n| member(&format!("s{n}"), "z0")).collect();
+    let actions = bench.on(Event::EndpointUpdate {
         scope: UpdateScope::Snapshot,
-        endpoints: members,
+        endpoints,
     });
-    sends(&acts)
+    sends(&actions)
         .into_iter()
         .map(|(id, _)| id.0.to_string())
         .collect()
@@ -37,18 +38,18 @@
 #[test]
 fn units_used_by_other_limiters_shift_the_next_start_tag() {
     let mut bench = Bench::new(settings(), 16);
-    let acts = bench.ask("a0", 0, 0, "a");
-    // Not read before: what this total holds is no rise.
-    let acts = [acts.clone(), bench.count(&acts, 1.0, Outcome::Ok)].concat();
-    assert_eq!(sends(&acts).len(), 1);
+    let actions = bench.ask("a0", 0, 0, "a");
+    // The units in the first total of an account do not count as a rise.
+    let actions = [actions.clone(), bench.count(&actions, 1.0, Outcome::Ok)].concat();
+    assert_eq!(sends(&actions).len(), 1);
     bench.now += 1_000_000;
-    let mut acts = bench.ask("a1", 0, 0, "a");
-    acts.extend(bench.pass(1_100_000));
-    assert!(counts(&acts) >= 1);
-    // Two own units and six elsewhere.
-    bench.count(&acts, 8.0, Outcome::Ok);
+    let mut actions = bench.ask("a1", 0, 0, "a");
+    actions.extend(bench.pass(1_100_000));
+    assert!(counts(&actions) >= 1);
+    // Two units were used here and six at other limiters.
+    bench.count(&actions, 8.0, Outcome::Ok);
     // a2 alone has φ = 1: S = F + 6 = 8. b has φ = 1/2 and S = 1, 3, 5, 7, 9.
-    let asked = [
+    let requests = [
         ("a2", "a"),
         ("b1", "b"),
         ("b2", "b"),
@@ -57,7 +58,7 @@
         ("b5", "b"),
     ];
     assert_eq!(
-        dispatch_order(&mut bench, &asked),
+        dispatch_order(&mut bench, &requests),
         ["b1", "b2", "b3", "b4", "a2", "b5"]
     );
 }
--- a/tests/decision/load_balancing.rs
+++ b/tests/decision/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Choice of the upstream server, slow start, health and the concurrency limit D.
+//! Choice of the upstream server, slow start, server health and the concurrency limit.
 
 use crate::common::{member, sends, settings, Bench};
 use mossrill::decision::{
@@ -9,91 +9,93 @@
 #[test]
 fn late_answers_of_all_servers_lower_the_concurrency_limit_and_good_ones_raise_it() {
     let mut bench = Bench::new(settings(), 4);
-    let flood = |bench: &mut Bench, rounds: usize, took: Micros, tag: &str| -> usize {
-        let mut most = 0;
+    let send_rounds = |bench: &mut Bench, rounds: usize, latency: Micros, tag: &str| -> usize {
+        let mut sent = 0;
         for round in 0..rounds {
-            let asks = (0..60).map(|n| format!("{tag}{round}-{n}"));
-            let mut out: Vec<_> = asks
+            let ids = (0..60).map(|n| format!("{tag}{round}-{n}"));
+            let mut in_flight: Vec<_> = ids
                 .flat_map(|id| sends(&bench.ask(&id, 0, 0, &id)))
                 .collect();
-            most = out.len();
-            bench.now += took;
-            while let Some((id, server)) = out.pop() {
+            sent = in_flight.len();
+            bench.now += latency;
+            while let Some((id, server)) = in_flight.pop() {
                 let (attempt, outcome, load) = (0, Outcome::Ok, Vec::new());
-                let ended = AttemptResult {
+                let result = AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    latency: took,
+                    latency,
                     is_final: true,
                     load,
                     settled_units: None,
                 };
-                out.extend(sends(&bench.on(Event::AttemptEnded(ended))));
+                in_flight.extend(sends(&bench.on(Event::AttemptEnded(result))));
             }
             bench.pass(600_000);
         }
-        most
+        sent
     };
-    let few = flood(&mut bench, 6, 450_000, "jam");
-    let many = flood(&mut bench, 25, 20_000, "good");
+    let overloaded = send_rounds(&mut bench, 6, 450_000, "late");
+    let recovered = send_rounds(&mut bench, 25, 20_000, "fast");
     assert!(
-        few < 30 && many > 2 * few,
-        "{few} sent in the jam, {many} after it"
+        overloaded < 30 && recovered > 2 * overloaded,
+        "expected fewer than 30 sends in overload and more than twice as many after it, got {overloaded} and {recovered}"
     );
-    // Of answers that take 0.3 of the aim in the mean, one in thirty comes after it: that is a jam already.
-    let slow = flood(&mut bench, 25, 150_000, "slow");
+    // If answers take 0.3 of the latency objective on average, one in thirty misses it, which
+    // already counts as overload.
+    let slow = send_rounds(&mut bench, 25, 150_000, "slow");
     assert!(
-        slow < many / 2,
-        "{slow} sent at 0.3 of the aim, {many} before"
+        slow < recovered / 2,
+        "expected less than half as many sends at 0.3 of the objective as before, got {slow} and {recovered}"
     );
 }
 
 #[test]
-fn only_the_silent_server_loses_its_load() {
+fn only_the_failing_server_loses_its_traffic() {
     let mut bench = Bench::new(settings(), 4);
-    let mut to_bad = 0;
+    let mut to_failing = 0;
     for n in 0..400 {
         bench.now += 5_000;
         for (id, server) in sends(&bench.ask(&format!("r{n}"), 2, 0, &format!("c{n}"))) {
-            let bad = &*server.0 == "s0";
-            to_bad += usize::from(bad && n >= 200);
+            let fails = &*server.0 == "s0";
+            to_failing += usize::from(fails && n >= 200);
             bench.end(
                 &id.0,
                 0,
                 &server,
-                if bad { Outcome::Error } else { Outcome::Ok },
+                if fails { Outcome::Error } else { Outcome::Ok },
             );
         }
     }
     assert!(
-        to_bad < 15,
-        "{to_bad} of 200 went to a server that fails all"
+        to_failing < 15,
+        "expected fewer than 15 of 200 requests sent to the server that fails all of them, got {to_failing}"
     );
 }
 
 #[test]
 fn server_that_fails_one_class_is_avoided_for_that_class_only() {
-    // One of four servers answers class 0 with errors and class 3 well: judged as a whole it looked half good.
+    // One of four servers fails class 0 and serves class 3. With one failure rate over all classes
+    // it looked half reliable.
     let mut bench = Bench::new(settings(), 4);
-    let mut to_bad = [0, 0];
+    let mut to_failing = [0, 0];
     for n in 0..200 {
-        for (at, class) in [0, 3].into_iter().enumerate() {
+        for (index, class) in [0, 3].into_iter().enumerate() {
             let id = format!("r{n}-{class}");
             for (_, server) in sends(&bench.ask(&id, class, 0, &format!("c{n}-{class}"))) {
-                let bad = *server.0 == *"s1" && class == 0;
-                to_bad[at] += u32::from(*server.0 == *"s1" && n >= 100);
-                let outcome = if bad { Outcome::Error } else { Outcome::Ok };
-                let (attempt, took, load) = (0, 125_000, Vec::new());
-                let (id, last) = (id.as_str().into(), !bad);
+                let fails = *server.0 == *"s1" && class == 0;
+                to_failing[index] += u32::from(*server.0 == *"s1" && n >= 100);
+                let outcome = if fails { Outcome::Error } else { Outcome::Ok };
+                let (attempt, latency, load) = (0, 125_000, Vec::new());
+                let (id, is_final) = (id.as_str().into(), !fails);
                 bench.on(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    latency: took,
-                    is_final: last,
+                    latency,
+                    is_final,
                     load,
                     settled_units: None,
                 }));
@@ -102,14 +104,15 @@
         bench.pass(20_000);
     }
     assert!(
-        to_bad[0] <= 8 && to_bad[1] >= 12,
-        "{to_bad:?} of 100 each sent to the server that fails one class"
+        to_failing[0] <= 8 && to_failing[1] >= 12,
+        "expected at most 8 of class 0 and at least 12 of class 3 sent to the server that fails class 0, got {to_failing:?} of 100 each"
     );
 }
 
 #[test]
 fn limiter_with_only_cold_servers_begins_to_send() {
-    // Without a send there was no rate, and without a rate no cold server ever got a part of one.
+    // Without sends the send rate was zero, and with a send rate of zero the slow start of a cold
+    // server never allowed a send.
     let mut bench = Bench::new(settings(), 0);
     let cold = |n: usize| Endpoint {
         started_at: 1_000_000,
@@ -124,13 +127,13 @@
         sent += sends(&bench.ask(&format!("r{n}"), 0, 0, &format!("c{n}"))).len();
         sent += sends(&bench.pass(100_000)).len();
     }
-    assert!(sent > 0, "nothing sent in 5 s");
+    assert!(sent > 0, "expected at least one send in 5 s, got none");
 }
 
 #[test]
 fn unanswered_attempt_counts_against_its_server_at_the_latency_objective() {
-    // Where late answers earn something attempts run to the deadline: a server that left a class unanswered
-    // was learned of after two seconds and took its share of sends all that time.
+    // If late answers have a weight, attempts run until the deadline: a server that did not answer
+    // a class was detected only after 2 s, and got its share of the sends until then.
     let mut settings = settings();
     settings.classes[0].late_weight = 0.2;
     let mut bench = Bench::new(
@@ -150,20 +153,21 @@
         endpoints: (2..8).map(drained).collect(),
     });
     let (_, silent) = sends(&bench.ask("r0", 0, 0, "a"))[0].clone();
-    // Past the aim of 500 ms, long before the deadline of two seconds.
+    // This is after the latency objective of 500 ms, but long before the deadline of 2 s.
     bench.pass(600_000);
     for n in 1..5 {
         let sent = sends(&bench.ask(&format!("r{n}"), 0, 0, &format!("c{n}")));
         assert!(
             sent.len() == 1 && sent[0].1 != silent,
-            "request {n} sent to {sent:?}"
+            "expected request {n} to be sent once and not to {silent:?}, got {sent:?}"
         );
     }
 }
 
 #[test]
-fn removed_servers_are_not_counted_as_carrying_load() {
-    // With every one that had gone before, D kept to one attempt a server that was no more.
+fn removed_servers_do_not_raise_the_minimum_concurrency_limit() {
+    // Removed servers still counted in the minimum, so that the concurrency limit stayed at one
+    // attempt for each server that had ever been listed.
     let mut bench = Bench::new(
         Settings {
             limiters: 1,
@@ -173,55 +177,58 @@
         2,
     );
     for n in 0..40 {
-        let fresh = Endpoint {
+        let added = Endpoint {
             started_at: bench.now,
             ..member(&format!("n{n}"), "z0")
         };
-        let gone = Endpoint {
+        let removed = Endpoint {
             readiness: Readiness::Removed,
             ..member(&format!("n{}", n - 1), "z0")
         };
         bench.on(Event::EndpointUpdate {
             scope: UpdateScope::Delta,
-            endpoints: vec![fresh, gone],
+            endpoints: vec![added, removed],
         });
         bench.pass(1_000_000);
     }
     let plan = 2;
     for n in 0..60 {
-        for (id, server) in sends(&bench.ask(&format!("r{n}"), 0, plan, "customer")) {
+        for (id, server) in sends(&bench.ask(&format!("r{n}"), 0, plan, "account")) {
             bench.end(&id.0, 0, &server, Outcome::Rejected);
         }
         bench.pass(500_000);
     }
-    let out = (0..20)
+    let in_flight = (0..20)
         .map(|n| sends(&bench.ask(&format!("o{n}"), 0, 0, "a")).len())
         .sum::<usize>();
-    assert!((1..=6).contains(&out), "{out} out at once to three servers");
+    assert!(
+        (1..=6).contains(&in_flight),
+        "expected 1 to 6 attempts in flight to three servers, got {in_flight}"
+    );
 }
 
 proptest::proptest! {
-    /// Reports that stop, lie or come late change no decision.
+    /// Missing, wrong or late load reports do not change any decision.
     #[test]
     fn load_reports_change_no_decision(loads in proptest::collection::vec(
         proptest::collection::vec(proptest::num::f64::ANY, 0..4), 60)) {
         let settings = Settings { load_fields: vec![LoadField::Other, LoadField::InFlight], ..settings() };
-        let play = |reports: &dyn Fn(usize) -> Vec<f64>| -> Vec<Action> {
+        let run = |reports: &dyn Fn(usize) -> Vec<f64>| -> Vec<Action> {
             let (mut bench, mut all) = (Bench::new(settings.clone(), 5), Vec::new());
             for n in 0..60 {
-                let acts = bench.ask(&format!("r{n}"), n % 3, 0, &format!("c{}", n % 7));
-                let more = bench.count(&acts, 3.0, Outcome::Ok);
-                for (id, server) in sends(&[acts.clone(), more.clone()].concat()) {
+                let actions = bench.ask(&format!("r{n}"), n % 3, 0, &format!("c{}", n % 7));
+                let more = bench.count(&actions, 3.0, Outcome::Ok);
+                for (id, server) in sends(&[actions.clone(), more.clone()].concat()) {
                     let outcome = if n % 9 == 8 { Outcome::Error } else { Outcome::Ok };
-                    let (last, load) = (outcome == Outcome::Ok, reports(n));
-                    let took = 20_000 + 1_000 * n as Micros;
-                    let ended = AttemptResult { id, attempt: 0, server, outcome, latency: took, is_final: last, load, settled_units: None };
-                    all.extend(bench.on(Event::AttemptEnded(ended)));
+                    let (is_final, load) = (outcome == Outcome::Ok, reports(n));
+                    let latency = 20_000 + 1_000 * n as Micros;
+                    let result = AttemptResult { id, attempt: 0, server, outcome, latency, is_final, load, settled_units: None };
+                    all.extend(bench.on(Event::AttemptEnded(result)));
                 }
-                all.extend(acts.into_iter().chain(more).chain(bench.pass(5_000)));
+                all.extend(actions.into_iter().chain(more).chain(bench.pass(5_000)));
             }
             all
         };
-        proptest::prop_assert_eq!(play(&|n| loads[n].clone()), play(&|_| Vec::new()));
+        proptest::prop_assert_eq!(run(&|n| loads[n].clone()), run(&|_| Vec::new()));
     }
 }
--- a/tests/decision/main.rs
+++ b/tests/decision/main.rs
@@ -1,4 +1,5 @@
-//! The decision engine by hand-worked examples, and a small test for each failure found.
+//! Tests of the decision engine: examples worked out by hand, and a regression test for each fault
+//! found.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/decision/parts/account.rs
+++ b/tests/decision/parts/account.rs
@@ -1,4 +1,4 @@
-//! The quota of one account.
+//! Unit tests of an account's quota.
 
 use mossrill::decision::account::{counter_key, counter_window, Account};
 use mossrill::decision::{AccountId, Plan};
@@ -18,21 +18,25 @@
 }
 
 #[test]
-fn the_copy_is_refilled_by_the_own_share_without_a_total() {
+fn without_a_total_the_bucket_copy_is_refilled_by_the_local_share() {
     let mut account = Account::new(0, 0, &plan(), 4, 4.0, 0.0);
     account.refill(1_000_000, &plan(), true);
-    assert_eq!(account.tokens(), 3.0, "the share is full");
+    assert_eq!(
+        account.tokens(),
+        3.0,
+        "no refill beyond the local share of the burst"
+    );
     assert!(!account.is_sparse(&plan()));
 }
 
 #[test]
-fn a_bucket_of_less_than_a_unit_at_each_limiter_is_sparse() {
+fn an_account_with_less_than_one_unit_of_burst_per_limiter_is_sparse() {
     let account = Account::new(0, 0, &plan(), 13, 13.0, 0.0);
     assert!(account.is_sparse(&plan()));
 }
 
 #[test]
-fn the_ceiling_begins_empty_and_fills_by_the_own_share() {
+fn the_ceiling_bucket_starts_empty_and_refills_by_the_local_share() {
     let plan = Plan {
         ceiling_rate: 10.0,
         ceiling_burst: 20.0,
@@ -44,7 +48,7 @@
     assert_eq!(
         account.ceiling_tokens_at(60_000_000, &plan),
         10.0,
-        "no more than the own share"
+        "no more than the local share of the ceiling's burst"
     );
 }
 
--- a/tests/decision/parts/counter_sync.rs
+++ b/tests/decision/parts/counter_sync.rs
@@ -1,4 +1,4 @@
-//! Calls of the shared counter.
+//! Unit tests of the control of counter calls.
 
 use mossrill::decision::counter_sync::{CounterSync, SyncReason};
 use mossrill::decision::{AccountId, RequestClass, Settings};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn requests_that_wait_come_before_reports_and_the_oldest_first() {
+fn waiting_requests_come_before_reports_and_earlier_synced_accounts_first() {
     let mut sync = sync();
     sync.schedule(SyncReason::UnitsToReport, 1, account("report"));
     sync.schedule(SyncReason::RequestWaits, 9, account("late"));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn failed_calls_in_a_row_make_the_counter_silent_until_one_succeeds() {
+fn consecutive_failed_calls_make_the_counter_unusable_until_one_succeeds() {
     let mut sync = sync();
     for _ in 0..6 {
         sync.update_backoff(0, false);
@@ -43,13 +43,16 @@
     }
     sync.update_backoff(0, false);
     assert!(!sync.is_usable());
-    assert!(!sync.is_callable(0), "no backoff");
+    assert!(
+        !sync.is_callable(0),
+        "expected a backoff after seven failed calls"
+    );
     sync.update_backoff(0, true);
     assert!(sync.is_usable() && sync.is_callable(0));
 }
 
 #[test]
-fn a_silent_counter_gets_one_call_at_a_time() {
+fn an_unresponsive_counter_gets_one_call_at_a_time() {
     let mut sync = sync();
     for _ in 0..7 {
         sync.update_backoff(0, false);
@@ -62,13 +65,16 @@
 }
 
 #[test]
-fn late_calls_raise_the_price_and_good_ones_lower_it() {
+fn late_calls_raise_the_price_and_timely_ones_lower_it() {
     let mut sync = sync();
     assert!(sync.is_affordable());
     for _ in 0..20 {
         sync.record_latency(true, 40_000);
     }
-    assert!(!sync.is_affordable(), "a crowded counter stays cheap");
+    assert!(
+        !sync.is_affordable(),
+        "expected a price above the mean weight after 20 late calls"
+    );
     for _ in 0..60 {
         sync.record_latency(true, 1_000);
     }
--- a/tests/decision/parts/fair_queue.rs
+++ b/tests/decision/parts/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Start-time fair queueing.
+//! Unit tests of start-time fair queueing.
 
 use mossrill::decision::fair_queue::FairQueue;
 use mossrill::decision::RequestId;
--- a/tests/decision/parts/mod.rs
+++ b/tests/decision/parts/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the decision engine, each by itself.
+//! Unit tests of single modules of the decision engine.
 
 mod account;
 mod concurrency;
--- a/tests/decision/parts/quota_shares.rs
+++ b/tests/decision/parts/quota_shares.rs
@@ -1,20 +1,20 @@
-//! Shares of what the limiters have together.
+//! Unit tests of quota shares.
 
 use mossrill::decision::QuotaShares;
 
 #[test]
-fn even_shares_add_up_to_the_whole() {
+fn even_shares_add_up_to_one() {
     let share = |limiter| {
         QuotaShares::even(limiter, 4)
             .share(0, 0..4)
-            .expect("a member")
+            .expect("the limiter is in the set")
     };
     let sum: f64 = (0..4).map(share).sum();
     assert_eq!(sum, 1.0);
 }
 
 #[test]
-fn a_limiter_without_its_lease_keeps_the_guaranteed_part() {
+fn a_limiter_keeps_the_guaranteed_part_of_its_share_after_its_lease_ends() {
     let shares = QuotaShares {
         guaranteed: 0.5,
         lease_ends: 100,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_leased_rest_of_a_dead_limiter_is_divided_among_the_others() {
+fn the_leased_part_of_a_dead_limiters_share_is_divided_among_the_others() {
     let reassigned = vec![false, false, false, true];
     let shares = QuotaShares {
         guaranteed: 0.5,
@@ -33,16 +33,16 @@
         reassigned_until: 100,
         ..QuotaShares::even(0, 4)
     };
-    let with_rest = shares.share(99, 0..4).expect("a member");
+    let share = shares.share(99, 0..4).expect("the limiter is in the set");
     assert!(
-        (with_rest - (0.125 + 0.5 / 3.0)).abs() < 1e-12,
-        "{with_rest}"
+        (share - (0.125 + 0.5 / 3.0)).abs() < 1e-12,
+        "expected a share of 0.125 + 0.5 / 3, got {share}"
     );
     assert_eq!(shares.share(100, 0..4), Some(0.25));
 }
 
 #[test]
-fn a_limiter_outside_of_the_set_has_no_share() {
+fn a_limiter_outside_the_set_has_no_share() {
     assert_eq!(QuotaShares::even(0, 4).share(0, 1..3), None);
     assert_eq!(QuotaShares::even(0, 4).account_divisor(0, 1, 2), 2.0);
 }
--- a/tests/decision/parts/retry_budget.rs
+++ b/tests/decision/parts/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Unit tests of the retry budget.
 
 use mossrill::decision::retry_budget::RetryBudget;
 
@@ -10,11 +10,17 @@
     }
     for _ in 0..9 {
         budget.earn();
-        assert!(!budget.can_afford(1.0), "a retry before ten requests");
+        assert!(
+            !budget.can_afford(1.0),
+            "expected no retry before ten requests"
+        );
     }
     budget.earn();
     budget.earn();
-    assert!(budget.can_afford(1.0), "no retry after eleven requests");
+    assert!(
+        budget.can_afford(1.0),
+        "expected a retry after eleven requests"
+    );
 }
 
 #[test]
--- a/tests/decision/parts/slow_start.rs
+++ b/tests/decision/parts/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start.
+//! Unit tests of slow start.
 
 use mossrill::decision::slow_start::{capacity, SlowStart};
 use mossrill::decision::Safety;
@@ -13,20 +13,28 @@
 }
 
 #[test]
-fn capacity_rises_evenly_until_the_server_is_warm() {
+fn capacity_rises_linearly_until_the_server_is_warm() {
     let started_at = 1_000_000;
     assert_eq!(capacity(started_at, started_at, &safety()), Some(0.2));
-    let half = capacity(started_at, started_at + 5_000_000, &safety()).expect("in slow start");
-    assert!((half - 0.6).abs() < 1e-9, "{half}");
+    let half = capacity(started_at, started_at + 5_000_000, &safety())
+        .expect("the server is in slow start");
+    assert!(
+        (half - 0.6).abs() < 1e-9,
+        "expected a capacity of 0.6 after half of the slow start, got {half}"
+    );
     assert_eq!(
         capacity(started_at, started_at + 10_000_000, &safety()),
         None
     );
-    assert_eq!(capacity(0, 5, &safety()), None, "started long ago");
+    assert_eq!(
+        capacity(0, 5, &safety()),
+        None,
+        "a server that started long ago is warm"
+    );
 }
 
 #[test]
-fn sends_stay_under_the_multiple_that_overloads_a_server() {
+fn sends_stay_below_the_multiple_that_overloads_a_server() {
     let warm_load = 40.0;
     let mut bucket = SlowStart::new(0, 0.0);
     let mut sends = 0;
@@ -39,15 +47,18 @@
         }
     }
     let overload = warm_load * 0.2 * safety().overload_multiple;
-    assert!(sends > 0, "nothing is sent to a cold server");
+    assert!(
+        sends > 0,
+        "expected at least one send to a cold server, got none"
+    );
     assert!(
         f64::from(sends) < overload,
-        "{sends} sends in a second, {overload} overload it"
+        "expected fewer sends in a second than the {overload} that overload the server, got {sends}"
     );
 }
 
 #[test]
-fn a_warm_server_may_always_be_sent_to() {
+fn a_warm_server_is_always_allowed_one_send() {
     let bucket = SlowStart::new(0, 0.0);
     assert_eq!(bucket.tokens_at(0, None, 40.0, &safety()), 1.0);
 }
--- a/tests/decision/rejection.rs
+++ b/tests/decision/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected or failed, and how early.
+//! Which requests are rejected or failed, and when.
 
 use crate::common::{counts, failed, member, refused, sends, settings, Bench};
 use mossrill::decision::{
@@ -8,13 +8,16 @@
 #[test]
 fn backlog_beyond_the_quota_is_rejected_at_once() {
     let mut bench = Bench::new(settings(), 4);
-    let acts = bench.ask("r0", 0, 0, "a");
-    bench.count(&acts, 1e4, Outcome::Ok);
-    let mut turned = 0;
+    let actions = bench.ask("r0", 0, 0, "a");
+    bench.count(&actions, 1e4, Outcome::Ok);
+    let mut rejected = 0;
     for n in 1..40 {
-        turned += refused(&bench.ask(&format!("r{n}"), 0, 0, "a"));
+        rejected += refused(&bench.ask(&format!("r{n}"), 0, 0, "a"));
     }
-    assert!(turned >= 30, "{turned} of 39 refused at once");
+    assert!(
+        rejected >= 30,
+        "expected at least 30 of 39 requests rejected at once, got {rejected}"
+    );
 }
 
 #[test]
@@ -35,15 +38,16 @@
         limiter_count: 2,
         first_limiter: 0,
     };
-    // 2 s is usual here, so 1 s left means that 1 s has gone; the aim was 0.5 s.
-    let acts = bench.on(Event::Request(late.clone()));
-    assert_eq!((refused(&acts), sends(&acts).len()), (1, 0));
+    // The usual timeout is 2 s, so that a timeout of 1 s means that 1 s has passed. The latency
+    // objective is 0.5 s.
+    let actions = bench.on(Event::Request(late.clone()));
+    assert_eq!((refused(&actions), sends(&actions).len()), (1, 0));
     (late.id, late.timeout) = ("first".into(), 2_000_000);
     assert_eq!(sends(&bench.on(Event::Request(late))).len(), 1);
 }
 
 #[test]
-fn request_with_a_tiny_time_budget_is_answered_at_once() {
+fn request_with_a_tiny_timeout_is_rejected_at_once() {
     let mut bench = Bench::new(settings(), 0);
     let request = Request {
         id: "r".into(),
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn invalid_settings_and_requests_are_handled() {
+fn invalid_settings_and_requests_cause_no_panic() {
     let plan = Plan::default();
     let none = Settings {
         classes: vec![RequestClass::default()],
@@ -68,7 +72,7 @@
         ..Settings::default()
     };
     let mut bench = Bench::new(none, 1);
-    for (n, spread) in [0, 1, 99].into_iter().enumerate() {
+    for (n, limiter_count) in [0, 1, 99].into_iter().enumerate() {
         bench.on(Event::Request(Request {
             id: format!("r{n}").as_str().into(),
             class: n,
@@ -76,7 +80,7 @@
             account: "a".into(),
             timeout: 1_000_000,
             units: 0.0,
-            limiter_count: spread,
+            limiter_count,
             first_limiter: 7,
         }));
     }
@@ -98,25 +102,29 @@
 }
 
 #[test]
-fn with_every_server_banned_requests_are_rejected_at_once() {
-    // Those that wait, and those that come: there is nothing to be waited for.
+fn with_every_server_draining_requests_are_rejected_at_once() {
+    // Both waiting and new requests are rejected, as no server will become available.
     let mut bench = Bench::new(settings(), 1);
-    let mut out = member("s0", "z0");
-    out.readiness = Readiness::Draining;
+    let mut draining = member("s0", "z0");
+    draining.readiness = Readiness::Draining;
     bench.ask("first", 0, 0, "a");
     bench.ask("waits", 0, 0, "a");
-    let acts = bench.on(Event::EndpointUpdate {
+    let actions = bench.on(Event::EndpointUpdate {
         scope: UpdateScope::Delta,
-        endpoints: vec![out],
+        endpoints: vec![draining],
     });
-    assert_eq!((refused(&acts), sends(&acts).len()), (1, 0));
-    let acts = bench.ask("comes", 0, 0, "a");
-    assert!(matches!(acts[..], [Action::Reject { .. }]), "{acts:?}");
+    assert_eq!((refused(&actions), sends(&actions).len()), (1, 0));
+    let actions = bench.ask("comes", 0, 0, "a");
+    assert!(
+        matches!(actions[..], [Action::Reject { .. }]),
+        "expected one rejection, got {actions:?}"
+    );
 }
 
 #[test]
 fn retry_after_of_a_rejection_allows_meeting_the_latency_objective() {
-    // Told to come back after the longest time that clients follow, a second, it came too late for any aim.
+    // A client that was told to retry after the longest delay that clients follow, 1 s, missed
+    // every latency objective.
     let mut settings = settings();
     settings.limits.max_retry_after = 1_000_000;
     let mut bench = Bench::new(
@@ -127,26 +135,24 @@
         0,
     );
     bench.ask("r", 2, 0, "a");
-    let acts = bench.pass(500_000);
-    let after = acts.iter().find_map(|a| {
-        if let Action::Reject {
-            retry_after: after, ..
-        } = a
-        {
-            Some(*after)
+    let actions = bench.pass(500_000);
+    let retry_after = actions.iter().find_map(|a| {
+        if let Action::Reject { retry_after, .. } = a {
+            Some(*retry_after)
         } else {
             None
         }
     });
     assert!(
-        after.is_some_and(|a| a > 0 && a < 250_000),
-        "told {after:?} under an aim of 500 ms"
+        retry_after.is_some_and(|a| a > 0 && a < 250_000),
+        "expected a Retry-After below 250 ms for a latency objective of 500 ms, got {retry_after:?} µs"
     );
 }
 
 #[test]
-fn request_never_forwarded_is_rejected_before_half_of_its_time_has_passed() {
-    // The aim of 500 ms left it waiting to 375 ms, of the 600 ms that the client gives.
+fn request_never_sent_is_rejected_before_half_of_its_time_has_passed() {
+    // By the latency objective of 500 ms alone, the request waited for 375 ms of the client's
+    // timeout of 600 ms.
     let mut bench = Bench::new(
         Settings {
             counter: false,
@@ -154,12 +160,12 @@
         },
         0,
     );
-    let (id, customer) = ("a".into(), "customer".into());
+    let (id, account) = ("a".into(), "account".into());
     let request = Request {
         id,
         class: 0,
         plan: 0,
-        account: customer,
+        account,
         timeout: 600_000,
         units: 1.0,
         limiter_count: 2,
@@ -171,7 +177,8 @@
 
 #[test]
 fn backlog_is_limited_by_units() {
-    // Of six units each, the part of ten and what fills it in half of the aim reach one; by number it was all six.
+    // The local share of ten units and the refill within half of the latency objective suffice for
+    // one request of six units. A bound by the number of requests admitted all six.
     let mut bench = Bench::new(
         Settings {
             counter: false,
@@ -179,52 +186,52 @@
         },
         0,
     );
-    let mut turned = 0;
+    let mut rejected = 0;
     for n in 0..6 {
-        let (id, customer) = (format!("a{n}").as_str().into(), "customer".into());
+        let (id, account) = (format!("a{n}").as_str().into(), "account".into());
         let request = Request {
             id,
             class: 0,
             plan: 0,
-            account: customer,
+            account,
             timeout: 2_000_000,
             units: 6.0,
             limiter_count: 2,
             first_limiter: 0,
         };
-        turned += refused(&bench.on(Event::Request(request)));
+        rejected += refused(&bench.on(Event::Request(request)));
     }
-    assert_eq!(turned, 5);
+    assert_eq!(rejected, 5);
 }
 
 #[test]
-fn request_behind_a_silent_counter_is_answered_within_half_of_its_deadline() {
-    for (plan, budget) in [(0, 60_000), (0, 600_000), (1, 60_000), (1, 600_000)] {
+fn request_waiting_for_an_unresponsive_counter_is_rejected_within_half_of_its_deadline() {
+    for (plan, timeout) in [(0, 60_000), (0, 600_000), (1, 60_000), (1, 600_000)] {
         let mut bench = Bench::new(settings(), 4);
-        let (id, customer) = ("r".into(), "a".into());
+        let (id, account) = ("r".into(), "a".into());
         let request = Request {
             id,
             class: 2,
             plan,
-            account: customer,
-            timeout: budget,
+            account,
+            timeout,
             units: 11.0,
             limiter_count: 2,
             first_limiter: 0,
         };
-        let acts = bench.on(Event::Request(request));
+        let actions = bench.on(Event::Request(request));
         assert_eq!(
-            (counts(&acts), sends(&acts).len()),
+            (counts(&actions), sends(&actions).len()),
             (1, 0),
-            "plan {plan} asks first"
+            "a request of plan {plan} is not sent before the counter is called"
         );
-        let acts = bench.pass(budget / 2);
+        let actions = bench.pass(timeout / 2);
         assert_eq!(
-            (refused(&acts), failed(&acts)),
+            (refused(&actions), failed(&actions)),
             (1, 0),
-            "plan {plan}, {budget} us"
+            "expected one rejection and no failure: plan {plan}, timeout {timeout} µs"
         );
-        // What comes of the call later is nobody's any more.
-        assert!(sends(&bench.pass(budget)).is_empty());
+        // Nothing is sent for the request after its rejection.
+        assert!(sends(&bench.pass(timeout)).is_empty());
     }
 }
