--- a/src/decision/account.rs
+++ b/src/decision/account.rs
@@ -10,7 +10,7 @@
 /// Window of the counter of concurrency slots, in microseconds. It bounds how long the slots of a
 /// dead limiter stay occupied.
 const SLOT_WINDOW_MICROS: f64 = 5e6;
-/// Number of times that the token bucket refills in one window of its counter.
+/// Number of times that an empty token bucket would fill up in one window of its counter.
 const REFILLS_PER_WINDOW: f64 = 10.0;
 /// Use in a window, as a fraction of the units refilled, up to which an account's bucket is taken
 /// to be full.
@@ -18,7 +18,8 @@
 /// Units that must remain in the local copy of the bucket after a claim, as the copy may hold this
 /// many units too many.
 pub(super) const CLAIM_MARGIN: f64 = 0.5;
-/// Level in multiples of the burst above which a bucket has been full for a long time.
+/// Level implied by the total, in multiples of the burst, above which a bucket has been full for a
+/// long time.
 const OVERFULL_BURSTS: f64 = 2.0;
 
 /// A call of the counter that is in flight.
@@ -169,14 +170,14 @@
         (self.ceiling_tokens + plan.ceiling_rate * share * seconds).min(plan.ceiling_burst * share)
     }
 
-    /// Takes the units of a request that is being sent from the ceiling's bucket.
+    /// Takes the units of a request from the ceiling's bucket when the request is sent.
     pub fn take_ceiling_tokens(&mut self, now: Micros, plan: &Plan, units: f64) {
         self.ceiling_tokens = self.ceiling_tokens_at(now, plan) - units;
         self.ceiling_refilled_at = now;
     }
 
     /// Whether each limiter's share of the bucket is less than one unit, so that units have to be
-    /// claimed. Concurrency slots always are.
+    /// claimed. Concurrency slots are always claimed.
     pub fn is_sparse(&self, plan: &Plan) -> bool {
         plan.rate <= 0.0 || plan.burst < f64::from(self.limiter_count)
     }
@@ -212,8 +213,8 @@
         current
     }
 
-    /// Applies the total of a call that claimed units for a sparse account. Returns the units
-    /// granted; the rest of the claim is given back with the next call.
+    /// Applies the total of a call for a sparse account, which may have claimed units. Returns the
+    /// units granted; the rest of the claim is given back with the next call.
     pub fn apply_claimed_total(
         &mut self,
         now: Micros,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -7,7 +7,7 @@
 use super::{AccountId, Action, Engine, Micros, Request};
 
 /// Minimum timeout of a request in ticks, so that it can be checked and answered in time.
-const TICKS_TO_ANSWER: Micros = 4;
+const MIN_TIMEOUT_TICKS: Micros = 4;
 
 impl Engine {
     /// Queues a request, or rejects it if it can't be answered in time.
@@ -25,7 +25,7 @@
             self.latencies[request.class].time_since_first_attempt(request.timeout, class.deadline);
         let is_late = elapsed >= class.latency_objective;
         let is_worthless = is_late && class.late_weight <= 0.0;
-        let is_too_short = request.timeout < TICKS_TO_ANSWER * self.settings.tick_interval();
+        let is_too_short = request.timeout < MIN_TIMEOUT_TICKS * self.settings.tick_interval();
         if is_too_short || is_worthless || self.servers.all_draining() {
             actions.push(Action::Reject {
                 id: request.id,
--- a/src/decision/concurrency.rs
+++ b/src/decision/concurrency.rs
@@ -68,7 +68,7 @@
         (self.in_flight as f64) < self.limit
     }
 
-    /// Sets the first limit, once servers are known.
+    /// Sets the initial limit once servers are known, to `min_limit` or one attempt if that is more.
     pub fn initialize(&mut self, min_limit: f64) {
         if self.limit == 0.0 {
             self.limit = min_limit.max(1.0);
@@ -97,8 +97,8 @@
         self.relative_latency > TARGET_LATENCY
     }
 
-    /// Raises the limit after an answer. `min_limit` stands for one attempt per server over all
-    /// limiters. Until the first cut each answer adds the same amount, so that the limit grows
+    /// Raises the limit after an answer. `min_limit` is this limiter's share of one attempt per ready
+    /// server. Until the first cut each answer adds the same amount, so that the limit grows
     /// exponentially.
     pub fn grow(&mut self, min_limit: f64) {
         let divisor = if self.last_cut == 0 {
@@ -111,7 +111,7 @@
 
     /// Cuts the limit, at most once per mean latency, in proportion to how far the latency is above
     /// its target: by Little's law this brings the latency back to the target. The limit does not
-    /// fall below `min_limit`, which stands for one attempt per server over all limiters.
+    /// fall below `min_limit`, this limiter's share of one attempt per ready server.
     ///
     /// Without the cut an overload would outlast its cause, as servers that held too many requests
     /// stay slow until they are nearly idle.
@@ -124,7 +124,7 @@
         let factor = target.clamp(MIN_CUT_FACTOR, MAX_CUT_FACTOR);
         // The attempt that has just ended is no longer counted in `in_flight`.
         let in_use = self.limit.min(self.in_flight as f64 + 1.0);
-        // A relative cut of a small limit would have no effect, so that at least this much is cut.
+        // For a small limit the factor alone would cut too little to have an effect.
         let max_after_cut = in_use - GROWTH * in_use.min(1.0);
         self.limit = (in_use * factor).min(max_after_cut).max(min_limit);
         // Only latencies measured after this cut may cause the next one.
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -79,9 +79,10 @@
         let usable = self.counter.is_usable();
         let shares_counter = usable && account.limiter_count > 1;
         let callable = self.counter.is_callable(now);
-        let is_shared = shares_counter && callable && self.counter.is_affordable();
-        let claims_slots =
-            plan.limits_concurrency_only() && is_shared && !std::mem::take(&mut account.skip_call);
+        let uses_counter = shares_counter && callable && self.counter.is_affordable();
+        let claims_slots = plan.limits_concurrency_only()
+            && uses_counter
+            && !std::mem::take(&mut account.skip_call);
         if !claims_slots && is_at_concurrency_limit(account, plan) {
             return QuotaDecision::Wait;
         }
--- a/src/decision/server.rs
+++ b/src/decision/server.rs
@@ -11,7 +11,7 @@
 const SEND_RATE_GAIN: f64 = 0.3;
 /// Lower bound on the send rate, in sends per second, when computing how fast learned state decays.
 const MIN_SEND_RATE: f64 = 0.1;
-/// Sends per ready server that are expected within the time constant of learned state, at least.
+/// Minimum number of sends to each ready server within the time constant of learned state.
 const SENDS_PER_HEALTH_LIFETIME: f64 = 2.0;
 
 /// Age of an attempt in flight, in mean latencies, from which its server counts as slower than
@@ -160,7 +160,7 @@
     }
 
     /// Updates averages and removes servers that left long ago. They are kept for
-    /// `idempotency_window`, in which they may still hold idempotency keys.
+    /// longer than `idempotency_window`, in which they may still hold idempotency keys.
     pub(super) fn on_second(
         &mut self,
         now: Micros,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -35,8 +35,8 @@
     ) -> f64 {
         let Some(capacity) = capacity else { return 1.0 };
         let seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND;
-        let margin = safety.overload_multiple / OVERLOAD_MARGIN;
-        (self.tokens + warm_load * capacity * margin * seconds).min(1.0)
+        let allowed_multiple = safety.overload_multiple / OVERLOAD_MARGIN;
+        (self.tokens + warm_load * capacity * allowed_multiple * seconds).min(1.0)
     }
 
     /// Takes one send from the bucket. `tokens` is the result of [`Self::tokens_at`].
--- a/tests/decision/actions.rs
+++ b/tests/decision/actions.rs
@@ -15,8 +15,7 @@
 #[test]
 fn unservable_request_gets_its_final_answer_in_the_actions_of_the_same_event() {
     // A final answer that is delayed until near the deadline keeps the client from retrying,
-    // although nothing more is done for its request. Caused by the request itself: its timeout is
-    // too short, or its class is unknown.
+    // although nothing more is done for its request.
     let ask = |bench: &mut Bench, id: &str, class, plan, timeout, limiter_count| {
         let (id, account) = (id.into(), "a".into());
         bench.on(Event::Request(Request {
@@ -30,6 +29,7 @@
             first_limiter: 0,
         }))
     };
+    // Caused by the request itself: its timeout is too short, or its class is unknown.
     let mut bench = Bench::new(settings(), 4);
     assert_eq!(
         ids_with_final_answer(&ask(&mut bench, "short", 0, 0, 1_000, 2)),
@@ -39,8 +39,7 @@
         ids_with_final_answer(&ask(&mut bench, "unknown", 99, 0, 2_000_000, 2)),
         ["unknown"]
     );
-    // Caused by a retry after the latency objective: its timeout is 400 ms instead of the usual 2
-    // s.
+    // Caused by a retry after the latency objective: its timeout is 400 ms, the usual one is 2 s.
     for n in 0..8 {
         let actions = ask(&mut bench, &format!("usual{n}"), 2, 1, 2_000_000, 2);
         for (id, server) in sends(&actions) {
