--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -1,8 +1,9 @@
-//! What all limiters together send to servers that have just started stays within what these can take.
+//! The load that all limiters together put on freshly started servers stays within the capacity of these servers.
 //!
-//! Many instances of the module before one set of servers, attempts answered at once: a slow answer would only keep
-//! further requests away. The bound is that of the acceptance: in any window of the time in which a cold server falls
-//! over, the budget that the settings allow and twice the root of it for chance, and two.
+//! Many engines share one set of servers. Every attempt is answered at once, the worst case, because slow answers would
+//! reduce the number of requests. The bound is the acceptance criterion: within any `overload_window`, the time in which
+//! an overloaded cold server fails, at most the number of requests that the settings allow, plus twice its square root
+//! for random variation, plus two.
 
 mod common;
 use common::*;
@@ -15,39 +16,39 @@
 const SECOND: Micros = 1_000_000;
 const START: Micros = 100 * SECOND;
 const SERVERS: usize = 12;
-/// Servers that start anew at [`RESTART`].
-const COLD: usize = 2;
-const RESTART: Micros = START + 8 * SECOND;
-const END: Micros = RESTART + 13 * SECOND;
-/// Requests a second that one warm server can do.
+/// Number of servers that restart at [`SERVER_RESTART`] and are cold afterwards.
+const COLD_SERVERS: usize = 2;
+const SERVER_RESTART: Micros = START + 8 * SECOND;
+const END: Micros = SERVER_RESTART + 13 * SECOND;
+/// Requests per second that one warm server can process.
 const WARM_RATE: f64 = 16.0;
-/// Requests a second that the whole fleet is sent: all that its warm servers can do.
-const ASKED: f64 = WARM_RATE * SERVERS as f64;
-/// Limiters told late hear of a start this much later.
-const LATE: Micros = SECOND;
-/// Between two steps of the restart of limiters, a tenth of them each.
-const RESTART_STEP: Micros = SECOND / 2;
+/// Requests per second sent to the whole fleet: the full capacity of the servers when all are warm.
+const REQUEST_RATE: f64 = WARM_RATE * SERVERS as f64;
+/// Delay after which limiters with delayed endpoint updates learn of the server restart.
+const UPDATE_DELAY: Micros = SECOND;
+/// Time between two steps of the limiter restart; each step restarts a tenth of the limiters.
+const LIMITER_RESTART_INTERVAL: Micros = SECOND / 2;
 
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
+struct Disturbance {
     limiters_restart: bool,
-    /// Traffic of limiter 0 as a multiple of the others'.
-    busiest: f64,
-    /// Every so many-th limiter hears of the start late.
-    late_one_in: Option<usize>,
+    /// Traffic of limiter 0 as a multiple of the traffic of each other limiter.
+    first_limiter_load: f64,
+    /// With `Some(n)`, every n-th limiter learns of the server restart [`UPDATE_DELAY`] later than the others.
+    delayed_update_every: Option<usize>,
 }
 
 /// A request that reached a cold server.
 struct Arrival {
     at: Micros,
     server: usize,
-    /// The limiter that sent it had been told of the start.
-    told: bool,
+    /// Whether the limiter that sent it had received the endpoint update about the restart.
+    informed: bool,
 }
 
 struct Fleet {
     settings: Settings,
-    gateways: Vec<Engine>,
+    engines: Vec<Engine>,
     rng: StdRng,
 }
 
@@ -74,8 +75,8 @@
 
 fn servers(restarted: bool) -> Vec<Endpoint> {
     let server = |number: usize| {
-        let started = if restarted && number < COLD {
-            RESTART
+        let started = if restarted && number < COLD_SERVERS {
+            SERVER_RESTART
         } else {
             0
         };
@@ -95,10 +96,10 @@
         };
         let mut fleet = Self {
             settings,
-            gateways: Vec::new(),
+            engines: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
         };
-        fleet.gateways = (0..limiters)
+        fleet.engines = (0..limiters)
             .map(|number| fleet.start_limiter(number, START, false))
             .collect();
         fleet
@@ -109,23 +110,28 @@
             limiter: number,
             ..self.settings.clone()
         };
-        let mut gateway = Engine::new(settings, self.rng.random());
+        let mut engine = Engine::new(settings, self.rng.random());
         let list = Event::EndpointUpdate {
             scope: UpdateScope::Snapshot,
             endpoints: servers(restarted),
         };
-        gateway.on_event(now, list, &mut Vec::new());
-        gateway
+        engine.on_event(now, list, &mut Vec::new());
+        engine
     }
 
-    /// Gives a limiter an event, answers its attempts at once, and returns the servers that it sent to.
-    fn give(&mut self, limiter: usize, now: Micros, event: Event) -> Vec<usize> {
+    /// Passes an event to the engine of a limiter, answers the attempts that result at once, and returns the servers of
+    /// these attempts.
+    fn handle_event(&mut self, limiter: usize, now: Micros, event: Event) -> Vec<usize> {
         let (mut events, mut sent) = (vec![event], Vec::new());
         while let Some(event) = events.pop() {
             let mut actions = Vec::new();
-            self.gateways[limiter].on_event(now, event, &mut actions);
+            self.engines[limiter].on_event(now, event, &mut actions);
             for (id, server) in sends(&actions) {
-                sent.push(server.0[1..].parse().expect("a number"));
+                sent.push(
+                    server.0[1..]
+                        .parse()
+                        .expect("server id is `s` and a number"),
+                );
                 events.push(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt: 0,
@@ -141,10 +147,10 @@
         sent
     }
 
-    fn pick(&mut self, weights: &[(usize, f64)]) -> usize {
+    fn pick_limiter(&mut self, weights: &[(usize, f64)]) -> usize {
         weights
             .choose_weighted(&mut self.rng, |(_, weight)| *weight)
-            .expect("limiters")
+            .expect("limiter weights are not empty and positive")
             .0
     }
 }
@@ -162,151 +168,167 @@
     }
 }
 
-/// Plays a restart of servers and returns what reached these while they were cold.
-fn arrivals(limiters: u32, trouble: Trouble, seed: u64) -> Vec<Arrival> {
+/// Simulates a restart of servers and returns the requests that reached them afterwards.
+fn simulate_server_restart(limiters: u32, disturbance: Disturbance, seed: u64) -> Vec<Arrival> {
     let mut fleet = Fleet::new(limiters, seed);
     let count = limiters as usize;
-    let weight = |limiter: usize| if limiter == 0 { trouble.busiest } else { 1.0 };
+    let weight = |limiter: usize| {
+        if limiter == 0 {
+            disturbance.first_limiter_load
+        } else {
+            1.0
+        }
+    };
     let weights: Vec<(usize, f64)> = (0..count)
         .map(|limiter| (limiter, weight(limiter)))
         .collect();
-    let late = |limiter: usize| {
-        trouble
-            .late_one_in
-            .is_some_and(|one_in| limiter % one_in == 0)
+    let delayed = |limiter: usize| {
+        disturbance
+            .delayed_update_every
+            .is_some_and(|every| limiter % every == 0)
     };
-    let mut told = vec![false; count];
+    let mut informed = vec![false; count];
     let mut arrivals = Vec::new();
-    let (mut now, mut number, mut tenth) = (START, 0, 0);
-    let gap = SECOND as f64 / ASKED;
-    let mut timers = START;
+    let (mut now, mut number, mut restart_step) = (START, 0, 0);
+    let mean_interval = SECOND as f64 / REQUEST_RATE;
+    let mut next_tick = START;
     while now < END {
-        now += (-gap * (1.0 - fleet.rng.random::<f64>()).ln()) as Micros;
+        now += (-mean_interval * (1.0 - fleet.rng.random::<f64>()).ln()) as Micros;
         number += 1;
-        while timers < now {
-            timers += SECOND / 20;
-            for (limiter, knows) in told.iter_mut().enumerate() {
-                let hears = RESTART + if late(limiter) { LATE } else { 0 };
-                if !*knows && timers >= hears {
-                    *knows = true;
-                    let members = servers(true)[..COLD].to_vec();
-                    fleet.give(
+        while next_tick < now {
+            next_tick += SECOND / 20;
+            for (limiter, is_informed) in informed.iter_mut().enumerate() {
+                let update_at = SERVER_RESTART + if delayed(limiter) { UPDATE_DELAY } else { 0 };
+                if !*is_informed && next_tick >= update_at {
+                    *is_informed = true;
+                    let members = servers(true)[..COLD_SERVERS].to_vec();
+                    fleet.handle_event(
                         limiter,
-                        timers,
+                        next_tick,
                         Event::EndpointUpdate {
                             scope: UpdateScope::Delta,
                             endpoints: members,
                         },
                     );
                 }
-                fleet.give(limiter, timers, Event::TimerExpired { token: 0 });
+                fleet.handle_event(limiter, next_tick, Event::TimerExpired { token: 0 });
             }
-            if trouble.limiters_restart && timers >= RESTART + RESTART_STEP * (tenth + 1) {
-                for limiter in (0..count).filter(|limiter| *limiter as u64 % 10 == tenth % 10) {
-                    fleet.gateways[limiter] =
-                        fleet.start_limiter(limiter as u32, timers, told[limiter]);
+            if disturbance.limiters_restart
+                && next_tick >= SERVER_RESTART + LIMITER_RESTART_INTERVAL * (restart_step + 1)
+            {
+                for limiter in
+                    (0..count).filter(|limiter| *limiter as u64 % 10 == restart_step % 10)
+                {
+                    fleet.engines[limiter] =
+                        fleet.start_limiter(limiter as u32, next_tick, informed[limiter]);
                 }
-                tenth += 1;
+                restart_step += 1;
             }
         }
-        let limiter = fleet.pick(&weights);
-        let sent = fleet.give(limiter, now, Event::Request(request(number, limiters)));
+        let limiter = fleet.pick_limiter(&weights);
+        let sent = fleet.handle_event(limiter, now, Event::Request(request(number, limiters)));
         let cold = sent
             .into_iter()
-            .filter(|server| *server < COLD && now >= RESTART);
+            .filter(|server| *server < COLD_SERVERS && now >= SERVER_RESTART);
         arrivals.extend(cold.map(|server| Arrival {
             at: now,
             server,
-            told: told[limiter],
+            informed: informed[limiter],
         }));
     }
     arrivals
 }
 
-/// Requests that the settings allow a server within the window of `safety.fall` that ends at `end`.
-fn budget(safety: &Safety, end: Micros) -> f64 {
-    let begin = end.saturating_sub(safety.overload_window).max(RESTART);
-    let middle = (begin + end) / 2 - RESTART;
+/// Returns the number of requests that the settings allow a cold server within the `overload_window` that ends at `end`.
+fn allowed_requests(safety: &Safety, end: Micros) -> f64 {
+    let begin = end
+        .saturating_sub(safety.overload_window)
+        .max(SERVER_RESTART);
+    let middle = (begin + end) / 2 - SERVER_RESTART;
     let capacity = safety.initial_capacity
         + (1.0 - safety.initial_capacity) * middle as f64 / safety.slow_start as f64;
     safety.overload_multiple * capacity * WARM_RATE * safety.overload_window as f64 / SECOND as f64
 }
 
-/// The most that a cold server got in a window, as a part of what topples it: by all, and by those told of the start.
-fn worst(arrivals: &[Arrival]) -> (f64, f64) {
+/// Returns the peak number of requests at a cold server in a window, as a fraction of the number that overloads it:
+/// from all limiters, and from those that had received the endpoint update about the restart.
+fn peak_load(arrivals: &[Arrival]) -> (f64, f64) {
     let safety = ramp_settings().safety;
-    let part = |of: &dyn Fn(&Arrival) -> bool, last: &Arrival| {
+    let load = |counts: &dyn Fn(&Arrival) -> bool, newest: &Arrival| {
         let window = arrivals.iter().filter(|other| {
-            other.server == last.server
-                && other.at <= last.at
-                && other.at + safety.overload_window > last.at
+            other.server == newest.server
+                && other.at <= newest.at
+                && other.at + safety.overload_window > newest.at
         });
-        let allowed = budget(&safety, last.at);
-        window.filter(|other| of(other)).count() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0)
+        let allowed = allowed_requests(&safety, newest.at);
+        window.filter(|other| counts(other)).count() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0)
     };
-    let most = |of: &dyn Fn(&Arrival) -> bool| {
+    let peak = |counts: &dyn Fn(&Arrival) -> bool| {
         arrivals
             .iter()
-            .map(|last| part(of, last))
+            .map(|newest| load(counts, newest))
             .fold(0.0, f64::max)
     };
-    (most(&|_| true), most(&|arrival| arrival.told))
+    (peak(&|_| true), peak(&|arrival| arrival.informed))
 }
 
-/// Sizes of the fleet that are played.
-const LIMITERS: [u32; 3] = [3, 30, 300];
+/// Simulated numbers of limiters.
+const FLEET_SIZES: [u32; 3] = [3, 30, 300];
 
-fn assert_within(trouble: Trouble) {
-    for (limiters, seed) in LIMITERS
+fn assert_within_capacity(disturbance: Disturbance) {
+    for (limiters, seed) in FLEET_SIZES
         .into_iter()
         .flat_map(|limiters| (0..3).map(move |seed| (limiters, seed)))
     {
-        let arrivals = arrivals(limiters, trouble, seed);
-        let (all, told) = worst(&arrivals);
-        println!("{limiters} limiters, seed {seed}, {trouble:?}: {all:.2} by all, {told:.2} by those told");
-        assert!(!arrivals.is_empty(), "cold servers get nothing");
+        let arrivals = simulate_server_restart(limiters, disturbance, seed);
+        let (all, informed) = peak_load(&arrivals);
+        println!("{limiters} limiters, seed {seed}, {disturbance:?}: load {all:.2} from all limiters, {informed:.2} from informed ones");
+        assert!(
+            !arrivals.is_empty(),
+            "{limiters} limiters, seed {seed}: no request reached a cold server"
+        );
         assert!(
-            told < 1.0,
-            "{limiters} limiters, seed {seed}: {told} of what topples a cold server"
+            informed < 1.0,
+            "{limiters} limiters, seed {seed}: informed limiters sent {informed} of the load that overloads a cold server, want < 1"
         );
         assert!(
             all < 1.0,
-            "{limiters} limiters, seed {seed}: {all} of what topples a cold server, late ones too"
+            "{limiters} limiters, seed {seed}: all limiters sent {all} of the load that overloads a cold server, want < 1"
         );
     }
 }
 
-const QUIET: Trouble = Trouble {
+const UNDISTURBED: Disturbance = Disturbance {
     limiters_restart: false,
-    busiest: 1.0,
-    late_one_in: None,
+    first_limiter_load: 1.0,
+    delayed_update_every: None,
 };
 
 #[test]
 fn all_limiters_together_stay_within_a_warming_server_s_capacity() {
-    assert_within(QUIET);
+    assert_within_capacity(UNDISTURBED);
 }
 
 #[test]
 fn warming_server_s_capacity_is_kept_while_limiters_restart() {
-    assert_within(Trouble {
+    assert_within_capacity(Disturbance {
         limiters_restart: true,
-        ..QUIET
+        ..UNDISTURBED
     });
 }
 
 #[test]
 fn warming_server_s_capacity_is_kept_with_uneven_traffic() {
-    assert_within(Trouble {
-        busiest: 3.0,
-        ..QUIET
+    assert_within_capacity(Disturbance {
+        first_limiter_load: 3.0,
+        ..UNDISTURBED
     });
 }
 
 #[test]
 fn warming_server_s_capacity_is_kept_with_late_endpoint_updates() {
-    assert_within(Trouble {
-        late_one_in: Some(3),
-        ..QUIET
+    assert_within_capacity(Disturbance {
+        delayed_update_every: Some(3),
+        ..UNDISTURBED
     });
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,53 +1,65 @@
-//! The rules, watched from outside over seeded random legal event sequences.
+//! Checks the limiter's rules on requests, attempts and replies over seeded random sequences of legal events.
+//!
+//! The checker sees only the events and actions of the engine, not its state.
 
 mod common;
 use common::*;
 use mossrill::decision::*;
 use std::collections::BTreeMap;
 
-struct Try {
+/// A request as the checker has seen it.
+struct TrackedRequest {
     class: usize,
-    customer: String,
+    account: String,
     deadline: Micros,
+    /// Server, send time and outcome of each attempt; the outcome is `None` while the attempt is open.
     attempts: Vec<(ServerId, Micros, Option<Outcome>)>,
     answered: bool,
-    gone: bool,
+    /// Whether the client closed its connection before the answer.
+    client_closed: bool,
 }
 
-/// Checks every action of a gateway against the rules.
+/// Checks every action of an engine against the rules.
 #[derive(Default)]
-struct Watch {
-    tries: BTreeMap<String, Try>,
-    ready: BTreeMap<ServerId, bool>,
-    ceiling: BTreeMap<String, (f64, Micros)>,
+struct RuleChecker {
+    requests: BTreeMap<String, TrackedRequest>,
+    server_ready: BTreeMap<ServerId, bool>,
+    /// Per account, the units in the token bucket of its ceiling, and when the bucket was last updated.
+    ceiling_buckets: BTreeMap<String, (f64, Micros)>,
     sends: usize,
-    refusals: usize,
+    rejections: usize,
 }
 
-impl Watch {
-    fn see(&mut self, now: Micros, acts: &[Action], settings: &Settings) {
-        for act in acts {
-            match act {
+impl RuleChecker {
+    fn check(&mut self, now: Micros, actions: &[Action], settings: &Settings) {
+        for action in actions {
+            match action {
                 Action::Send { id, server, .. } => self.send(now, &id.0, server, settings),
                 Action::Reject { id, .. } => {
-                    let t = self.tries.get_mut(&*id.0).expect("known");
-                    let maybe = t
+                    let tracked = self
+                        .requests
+                        .get_mut(&*id.0)
+                        .expect("answered request is tracked");
+                    let may_have_run = tracked
                         .attempts
                         .iter()
-                        .any(|(_, _, o)| !o.is_some_and(Outcome::never_ran));
+                        .any(|(_, _, outcome)| !outcome.is_some_and(Outcome::never_ran));
                     assert!(
-                        t.class == 0 || !maybe,
-                        "{} refused though it may have run",
+                        tracked.class == 0 || !may_have_run,
+                        "{} was rejected though an attempt may have run",
                         id.0
                     );
-                    assert!(!t.answered, "{} answered twice", id.0);
-                    t.answered = true;
-                    self.refusals += 1;
+                    assert!(!tracked.answered, "{} was answered twice", id.0);
+                    tracked.answered = true;
+                    self.rejections += 1;
                 }
                 Action::Fail { id } => {
-                    let t = self.tries.get_mut(&*id.0).expect("known");
-                    assert!(!t.answered, "{} answered twice", id.0);
-                    t.answered = true;
+                    let tracked = self
+                        .requests
+                        .get_mut(&*id.0)
+                        .expect("answered request is tracked");
+                    assert!(!tracked.answered, "{} was answered twice", id.0);
+                    tracked.answered = true;
                 }
                 _ => {}
             }
@@ -56,77 +68,99 @@
 
     fn send(&mut self, now: Micros, id: &str, server: &ServerId, settings: &Settings) {
         self.sends += 1;
-        let t = self.tries.get_mut(id).expect("known");
-        assert!(!t.answered && !t.gone, "{id} sent after its end");
+        let tracked = self
+            .requests
+            .get_mut(id)
+            .expect("request of the attempt is tracked");
+        assert!(
+            !tracked.answered && !tracked.client_closed,
+            "{id} was sent after its answer or after its client closed the connection"
+        );
         assert_eq!(
-            self.ready.get(server),
+            self.server_ready.get(server),
             Some(&true),
-            "{id} sent to a server that drains or is gone"
+            "{id} was sent to a draining or removed server"
+        );
+        let attempt_open = tracked
+            .attempts
+            .iter()
+            .any(|(_, _, outcome)| outcome.is_none());
+        assert!(
+            settings.limits.hedging || !attempt_open,
+            "{id} has two open attempts without hedging"
         );
-        let out = t.attempts.iter().any(|(_, _, o)| o.is_none());
-        assert!(settings.limits.hedging || !out, "{id} has two attempts out");
-        for (old, sent, outcome) in &t.attempts {
+        for (earlier_server, sent, outcome) in &tracked.attempts {
             if outcome.is_some_and(Outcome::never_ran) {
                 continue;
             }
-            let same_zone = old.0.as_bytes()[1] % 2 == server.0.as_bytes()[1] % 2;
+            let same_zone = earlier_server.0.as_bytes()[1] % 2 == server.0.as_bytes()[1] % 2;
             let in_time = now <= sent + 1_000_000;
-            let fine = match t.class {
+            // Class 0 is idempotent; classes 1 (one zone) and 3 (all servers) have an idempotency key that is
+            // valid for 1 s; class 2 is not idempotent.
+            let may_retry = match tracked.class {
                 0 => true,
                 1 => same_zone && in_time,
                 3 => in_time,
                 _ => false,
             };
-            assert!(fine, "{id} of class {} sent again", t.class);
+            assert!(
+                may_retry,
+                "{id} of class {} was retried against the rules of its class after an attempt that may have run",
+                tracked.class
+            );
         }
-        if t.attempts.is_empty() && t.customer.starts_with('z') {
-            // This gateway's half of a ceiling of 4 a second; the store opens empty.
-            let store = self.ceiling.get_mut(&t.customer).expect("known");
-            let filled = (store.0 + 2.0 * (now - store.1) as f64 / 1e6).min(4.0);
+        if tracked.attempts.is_empty() && tracked.account.starts_with('z') {
+            // This limiter's half of a ceiling of 4 units per second and a burst of 8; the bucket starts empty.
+            let bucket = self
+                .ceiling_buckets
+                .get_mut(&tracked.account)
+                .expect("account has a ceiling bucket");
+            let available = (bucket.0 + 2.0 * (now - bucket.1) as f64 / 1e6).min(4.0);
             assert!(
-                filled >= 1.0 - 1e-6,
-                "{id} passes the ceiling: {filled} left"
+                available >= 1.0 - 1e-6,
+                "{id} exceeds the ceiling: {available} units available, want 1"
             );
-            *store = (filled - 1.0, now);
+            *bucket = (available - 1.0, now);
         }
-        t.attempts.push((server.clone(), now, None));
+        tracked.attempts.push((server.clone(), now, None));
     }
 }
 
-fn step(
+/// Advances the clock by up to 12 ms, feeds one random event to the engine, and checks the actions that result.
+fn apply_random_event(
     bench: &mut Bench,
-    watch: &mut Watch,
+    checker: &mut RuleChecker,
     rng: &mut fastrand::Rng,
-    n: usize,
+    request_number: usize,
     settings: &Settings,
 ) {
     bench.now += rng.u64(0..12_000);
-    for t in watch.tries.values() {
+    for tracked in checker.requests.values() {
         assert!(
-            t.answered || t.gone || bench.now <= t.deadline + 12_000,
-            "a request is lost"
+            tracked.answered || tracked.client_closed || bench.now <= tracked.deadline + 12_000,
+            "a request has no answer 12 ms after its deadline"
         );
     }
-    let acts = match rng.u32(0..100) {
+    let actions = match rng.u32(0..100) {
         0..=29 => {
             let (class, plan) = (rng.usize(0..4), rng.usize(0..3));
-            let customer = format!("{}{}", ["x", "y", "z"][plan], rng.u32(0..4));
-            let (id, budget) = (format!("r{n}"), rng.u64(1_000..1_500_000));
-            watch
-                .ceiling
-                .entry(customer.clone())
+            let account = format!("{}{}", ["x", "y", "z"][plan], rng.u32(0..4));
+            let (id, timeout) = (format!("r{request_number}"), rng.u64(1_000..1_500_000));
+            checker
+                .ceiling_buckets
+                .entry(account.clone())
                 .or_insert((0.0, bench.now));
-            let deadline = bench.now + budget;
-            let (attempts, held) = (Vec::new(), customer.as_str().into());
-            watch.tries.insert(
+            let deadline = bench.now + timeout;
+            let (attempts, account_id) = (Vec::new(), account.as_str().into());
+            checker.requests.insert(
                 id.clone(),
-                Try {
+                TrackedRequest {
                     class,
-                    customer,
+                    account,
                     deadline,
                     attempts,
                     answered: false,
-                    gone: false,
+                    client_closed: false,
                 },
             );
             let units = 1.0;
@@ -135,8 +169,8 @@
                 id,
                 class,
                 plan,
-                account: held,
-                timeout: budget,
+                account: account_id,
+                timeout,
                 units,
                 limiter_count: 2,
                 first_limiter: 0,
@@ -144,18 +178,20 @@
             bench.on(Event::Request(request))
         }
         30..=64 => {
-            let open: Vec<(String, usize)> = watch
-                .tries
+            let open_attempts: Vec<(String, usize)> = checker
+                .requests
                 .iter()
-                .flat_map(|(id, t)| (0..t.attempts.len()).map(move |n| (id.clone(), n)))
-                .filter(|(id, n)| watch.tries[id].attempts[*n].2.is_none())
+                .flat_map(|(id, tracked)| {
+                    (0..tracked.attempts.len()).map(move |attempt| (id.clone(), attempt))
+                })
+                .filter(|(id, attempt)| checker.requests[id].attempts[*attempt].2.is_none())
                 .collect();
-            let Some((id, number)) =
-                (!open.is_empty()).then(|| open[rng.usize(0..open.len())].clone())
+            let Some((id, attempt)) = (!open_attempts.is_empty())
+                .then(|| open_attempts[rng.usize(0..open_attempts.len())].clone())
             else {
                 return;
             };
-            let kinds = [
+            let outcomes = [
                 Outcome::Ok,
                 Outcome::Ok,
                 Outcome::Error,
@@ -164,15 +200,18 @@
                 Outcome::ConnectFailed,
                 Outcome::Reset,
             ];
-            let outcome = kinds[rng.usize(0..kinds.len())];
-            let t = watch.tries.get_mut(&id).expect("known");
-            t.attempts[number].2 = Some(outcome);
-            t.answered |= outcome == Outcome::Ok && !t.gone;
-            let server = t.attempts[number].0.clone();
-            let acts = bench.end(&id, number, &server, outcome);
-            watch.see(bench.now, &acts, settings);
-            // The same event once more must change nothing that the rules see.
-            bench.end(&id, number, &server, outcome)
+            let outcome = outcomes[rng.usize(0..outcomes.len())];
+            let tracked = checker
+                .requests
+                .get_mut(&id)
+                .expect("request of the attempt is tracked");
+            tracked.attempts[attempt].2 = Some(outcome);
+            tracked.answered |= outcome == Outcome::Ok && !tracked.client_closed;
+            let server = tracked.attempts[attempt].0.clone();
+            let actions = bench.end(&id, attempt, &server, outcome);
+            checker.check(bench.now, &actions, settings);
+            // A duplicate of the event must not cause an action that breaks the rules.
+            bench.end(&id, attempt, &server, outcome)
         }
         65..=69 => {
             let scope = if rng.bool() {
@@ -181,25 +220,25 @@
                 UpdateScope::Snapshot
             };
             let mut members = Vec::new();
-            for s in 0..6 {
+            for server in 0..6 {
                 if rng.u32(0..10) < 7 {
-                    let mut m = member(&format!("s{s}"), &format!("z{}", s % 2));
-                    m.readiness = [
+                    let mut endpoint = member(&format!("s{server}"), &format!("z{}", server % 2));
+                    endpoint.readiness = [
                         Readiness::Ready,
                         Readiness::Ready,
                         Readiness::Draining,
                         Readiness::Removed,
                     ][rng.usize(0..4)];
-                    members.push(m);
+                    members.push(endpoint);
                 }
             }
             if scope == UpdateScope::Snapshot {
-                watch.ready.clear();
+                checker.server_ready.clear();
             }
-            for m in &members {
-                watch
-                    .ready
-                    .insert(m.id.clone(), m.readiness == Readiness::Ready);
+            for endpoint in &members {
+                checker
+                    .server_ready
+                    .insert(endpoint.id.clone(), endpoint.readiness == Readiness::Ready);
             }
             bench.on(Event::EndpointUpdate {
                 scope,
@@ -207,51 +246,63 @@
             })
         }
         70..=74 => {
-            let Some((id, t)) = watch.tries.iter_mut().find(|(_, t)| !t.answered && !t.gone) else {
+            let Some((id, tracked)) = checker
+                .requests
+                .iter_mut()
+                .find(|(_, tracked)| !tracked.answered && !tracked.client_closed)
+            else {
                 return;
             };
-            t.gone = true;
+            tracked.client_closed = true;
             let id = id.as_str().into();
             bench.on(Event::ClientDisconnected { id })
         }
         75..=79 => {
             let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][rng.usize(0..3)];
-            let acts = bench.acts.clone();
-            bench.count(&acts, rng.f64() * 50.0, outcome)
+            let actions = bench.acts.clone();
+            bench.count(&actions, rng.f64() * 50.0, outcome)
         }
         _ => bench.on(Event::TimerExpired {
             token: rng.u64(0..3),
         }),
     };
-    watch.see(bench.now, &acts, settings);
-    // A host's timer comes at least this often.
-    let acts = bench.on(Event::TimerExpired { token: 0 });
-    watch.see(bench.now, &acts, settings);
+    checker.check(bench.now, &actions, settings);
+    // The host of an engine fires its timer at least this often: after each event.
+    let actions = bench.on(Event::TimerExpired { token: 0 });
+    checker.check(bench.now, &actions, settings);
 }
 
 #[test]
 fn rules_hold_over_random_events() {
-    let (mut sent, mut refused) = (0, 0);
+    let (mut sent, mut rejected) = (0, 0);
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut settings = settings();
         settings.limits.hedging = seed % 2 == 0;
-        // Late answers still earn here, so attempts stay out until the client's time is up.
+        // Late answers have a positive weight here, so attempts stay open until the client's deadline.
         settings.classes[2].late_weight = 0.2;
         settings.classes[3].late_weight = 0.2;
         let mut bench = Bench::new(settings.clone(), 6);
-        let mut watch = Watch::default();
-        for s in 0..6 {
-            watch.ready.insert(format!("s{s}").as_str().into(), true);
+        let mut checker = RuleChecker::default();
+        for server in 0..6 {
+            checker
+                .server_ready
+                .insert(format!("s{server}").as_str().into(), true);
         }
-        for n in 0..1_500 {
-            step(&mut bench, &mut watch, &mut rng, n, &settings);
+        for request_number in 0..1_500 {
+            apply_random_event(
+                &mut bench,
+                &mut checker,
+                &mut rng,
+                request_number,
+                &settings,
+            );
         }
-        sent += watch.sends;
-        refused += watch.refusals;
+        sent += checker.sends;
+        rejected += checker.rejections;
     }
     assert!(
-        sent > 5_000 && refused > 1_000,
-        "{sent} sent, {refused} refused: too little to tell"
+        sent > 5_000 && rejected > 1_000,
+        "{sent} attempts, want more than 5000; {rejected} rejections, want more than 1000"
     );
 }
