--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -1,4 +1,4 @@
-//! Overload: several engines before simulated upstream servers with a bounded number of cores.
+//! Overload: several limiter engines share simulated upstream servers that have a fixed number of cores.
 
 #[path = "../common/mod.rs"]
 mod common;
