--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -1,4 +1,4 @@
-//! A client closes its connection while its requests wait.
+//! A client closes its connection while its requests wait: none of these may be forwarded to an upstream server.
 
 use crate::peers::{
     answer, asking, asking_for, counted, http_peer, limiter, next, quiet_list, resp_peer, serve,
@@ -15,13 +15,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request and what its client sends behind it, `many` requests with the one that holds them up, wait for a server; the
-/// client does something more and leaves, and the server is free again so much later: nothing of it is sent on.
+/// Checks that no request of a client is forwarded if the client closes while they are queued for a busy server.
+///
+/// The client sends a request and `sent_after`; there are then `in_flight` requests, including the one that occupies the
+/// server. The client runs `before_close` and closes its connection, and the server is released `gate_delay` later.
 fn check_close_while_queued(
-    behind: &str,
-    many: usize,
-    told: impl Fn(&mut Client),
-    free_after: Duration,
+    sent_after: &str,
+    in_flight: usize,
+    before_close: impl Fn(&mut Client),
+    gate_delay: Duration,
 ) {
     let (server, gate, seen) = gated_server("first");
     let limiter = limiter(&settings_with_long_deadlines(
@@ -31,12 +33,12 @@
     let mut first = Client::ready(&limiter);
     first.ask("look", "first", 20_000);
     next(&seen);
-    let mut left = Client::ready(&limiter);
-    left.say(&(asking("look", "left", 20_000) + behind));
-    wait_for_in_flight(&limiter, many);
-    told(&mut left);
-    close(left);
-    thread::sleep(free_after);
+    let mut closing_client = Client::ready(&limiter);
+    closing_client.say(&(asking("look", "left", 20_000) + sent_after));
+    wait_for_in_flight(&limiter, in_flight);
+    before_close(&mut closing_client);
+    close(closing_client);
+    thread::sleep(gate_delay);
     gate.open();
     assert_eq!(first.answer(), "first");
     first.ask("look", "after", 20_000);
@@ -52,35 +54,36 @@
 
 #[test]
 fn queued_request_is_not_forwarded_after_a_close_behind_unread_input() {
-    let told = |client: &mut Client| {
-        // What can't be read ends the reading; the rest of it is not read up to the client's end.
+    let before_close = |client: &mut Client| {
+        // The limiter stops reading at a malformed command, so it does not read up to the end of the connection.
         _ = client.0.get_mut().write_all(b"*x\r\n");
         _ = client.0.get_mut().write_all(&vec![b'x'; 512 * 1024]);
     };
-    check_close_while_queued("", 2, told, CLOSE_DETECTION_LIMIT);
+    check_close_while_queued("", 2, before_close, CLOSE_DETECTION_LIMIT);
 }
 
 #[test]
 fn pipelined_requests_are_not_forwarded_after_their_client_closed() {
-    let told = |client: &mut Client| {
+    let before_close = |client: &mut Client| {
         ["pay", "look", "hold"]
             .iter()
             .for_each(|class| client.ask(class, &format!("left-{class}"), 20_000));
     };
-    check_close_while_queued("", 2, told, CLOSE_DETECTION_LIMIT);
+    check_close_while_queued("", 2, before_close, CLOSE_DETECTION_LIMIT);
 }
 
 #[test]
 fn nothing_is_forwarded_after_a_close_while_the_reader_is_paused() {
-    // The reader rests, with nothing, further requests of the client or half of one behind the request that waits.
-    let further = asking("pay", "behind", 20_000) + &asking("hold", "last", 20_000);
-    let half = asking("pay", "half", 20_000).split_at(30).0.to_owned();
-    for (behind, many) in [
+    // The reader is paused by malformed commands, which follow the queued request directly, follow further requests, or
+    // precede a part of a request.
+    let further_requests = asking("pay", "behind", 20_000) + &asking("hold", "last", 20_000);
+    let partial_request = asking("pay", "half", 20_000).split_at(30).0.to_owned();
+    for (sent_after, in_flight) in [
         (malformed_commands(), 2),
-        (further + &malformed_commands(), 4),
-        (malformed_commands() + &half, 2),
+        (further_requests + &malformed_commands(), 4),
+        (malformed_commands() + &partial_request, 2),
     ] {
-        check_close_while_queued(&behind, many, |_| {}, Duration::ZERO);
+        check_close_while_queued(&sent_after, in_flight, |_| {}, Duration::ZERO);
     }
 }
 
@@ -107,29 +110,30 @@
     assert_eq!(request_ids(&seen), ["after"]);
 }
 
-/// A limiter whose part of a quota is less than a request takes, and a client whose request waits until the counter, which
-/// is held at the gate, has let it have the rest; what the server sees.
+/// Starts a limiter whose share of a quota is smaller than the units of a request, and a client whose request waits until
+/// the counter, which waits at the gate, grants the rest. Returns them with the gate and the commands that the server
+/// receives.
 fn limiter_waiting_for_counter() -> (Running, Client, Gate, Seen) {
-    let (gate, (tell, called)) = (Gate::default(), channel());
-    let (own, tell) = (gate.clone(), Mutex::new(tell));
+    let (gate, (call_sender, calls)) = (Gate::default(), channel());
+    let (counter_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
     let counter = http_peer(move |first, _, _| {
-        _ = tell.lock().expect("whole").send(());
-        own.pass();
+        _ = call_sender.lock().expect("lock is not poisoned").send(());
+        counter_gate.wait();
         answer("200 OK", &counted(first).1.to_string())
     });
     let (server, seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut told = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
-    told["counter"] = counter.to_string().into();
-    told["settings"]["balancers"] = 4.into();
+    let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
+    config["counter"] = counter.to_string().into();
+    config["settings"]["balancers"] = 4.into();
     (
-        told["settings"]["tariffs"][0]["refill"],
-        told["settings"]["tariffs"][0]["peakUnits"],
+        config["settings"]["tariffs"][0]["refill"],
+        config["settings"]["tariffs"][0]["peakUnits"],
     ) = (0.5.into(), 4.0.into());
-    told["settings"]["specifics"]["counterTimeout"] = 20_000_000.into();
-    let limiter = limiter(&told);
+    config["settings"]["specifics"]["counterTimeout"] = 20_000_000.into();
+    let limiter = limiter(&config);
     let mut client = Client::ready(&limiter);
     client.say(&asking_for("00000000b4d65521", 4, "pay", "claimed", 20_000));
-    called.recv().expect("a call");
+    calls.recv().expect("the limiter calls the counter");
     wait_for_in_flight(&limiter, 1);
     (limiter, client, gate, seen)
 }
@@ -154,14 +158,14 @@
         &[("s-1", server)],
     ));
     let mut client = Client::ready(&limiter);
-    // Whoever sends nonsense is read from more slowly; the client is gone before its request's turn.
-    let bad = |times| asking("dance", "bad", 500).repeat(times);
-    client.say(&(bad(8) + &asking("look", "left", 20_000) + &bad(2)));
+    // The limiter pauses after each malformed command, so that the client has closed before its request is read.
+    let malformed = |times| asking("dance", "bad", 500).repeat(times);
+    client.say(&(malformed(8) + &asking("look", "left", 20_000) + &malformed(2)));
     client
         .0
         .get_ref()
         .shutdown(Shutdown::Write)
-        .expect("an end");
+        .expect("the write side of the connection is shut down");
     while !client.line().is_empty() {}
     client = Client::ready(&limiter);
     client.ask("look", "after", 20_000);
@@ -172,10 +176,10 @@
 #[test]
 fn request_is_not_written_if_its_client_closed_before_the_upstream_connection_was_established() {
     let server = UnresponsiveServer::new();
-    let mut told = settings_with_long_deadlines(quiet_list(), &[("s-1", server.at)]);
-    // Also where nothing that is out may be called back.
-    told["settings"]["limits"]["mayCancel"] = false.into();
-    let limiter = limiter(&told);
+    let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server.at)]);
+    // The rule also applies where open attempts may not be cancelled.
+    config["settings"]["limits"]["mayCancel"] = false.into();
+    let limiter = limiter(&config);
     let mut client = Client::ready(&limiter);
     client.ask("look", "left", 20_000);
     server.wait_for_connect();
@@ -186,11 +190,11 @@
 
 #[test]
 fn claimed_request_is_not_forwarded_after_its_client_closed() {
-    for stays in [true, false] {
+    for client_stays in [true, false] {
         let (limiter, mut client, gate, seen) = limiter_waiting_for_counter();
         client.say(&malformed_commands());
         thread::sleep(Duration::from_millis(40));
-        let client = match stays {
+        let client = match client_stays {
             true => Some(client),
             false => {
                 close(client);
@@ -199,7 +203,7 @@
         };
         gate.open();
         wait_for_in_flight(&limiter, 0);
-        // What is claimed is sent on, but for a client that has left.
+        // A request with granted units is forwarded unless its client has closed.
         assert_eq!(request_ids(&seen).len(), usize::from(client.is_some()));
     }
 }
@@ -212,20 +216,23 @@
         &[("s-1", server)],
     ));
     let mut first = Client::ready(&limiter);
-    // A round in which the client left too late, as on a busy machine, says nothing.
+    // A round in which the client closed too late, as on a busy machine, is not counted.
     let round = |number: &usize| {
-        let mut left = Client::ready(&limiter);
+        let mut closing_client = Client::ready(&limiter);
         let began = Instant::now();
         first.ask("look", "first", 20_000);
         assert_eq!(first.answer(), "first");
-        // On the connection of the first, which may be used again 20 ms after its answer.
-        left.say(&(asking("look", &format!("left-{number}"), 20_000) + &malformed_commands()));
+        // This request waits for the connection of the first one, which may be reused 20 ms after its answer.
+        closing_client
+            .say(&(asking("look", &format!("left-{number}"), 20_000) + &malformed_commands()));
         thread::sleep(Duration::from_millis(4));
-        close(left);
+        close(closing_client);
         began.elapsed() < Duration::from_millis(18)
     };
-    let good = (0..500).find(round).expect("a good round");
+    let valid_round = (0..500)
+        .find(round)
+        .expect("one of 500 rounds closes the client within 18 ms");
     wait_for_in_flight(&limiter, 0);
     let seen = request_ids(&seen);
-    assert!(!seen.contains(&format!("left-{good}")), "{seen:?}");
+    assert!(!seen.contains(&format!("left-{valid_round}")), "{seen:?}");
 }
--- a/tests/races/client_close_http.rs
+++ b/tests/races/client_close_http.rs
@@ -1,4 +1,4 @@
-//! A client of the OpenAPI front closes its connection while its request waits.
+//! A client of the OpenAPI front closes its connection while its request waits: the request may not be forwarded.
 
 use crate::peers::{answer, http_peer, openapi_limiter, until, Client, Program};
 use crate::support::{close, wait_for_in_flight, Gate};
@@ -11,22 +11,23 @@
 
 const FERRY: &str = include_str!("../../deploy/ferry.openapi.json");
 
-/// The file of a limiter with an OpenAPI front, whose server keeps reports waiting at a gate; what the server has seen.
+/// Returns the configuration of a limiter with an OpenAPI front, the gate at which its upstream server holds requests for
+/// reports back, and the paths that the server receives.
 fn gated_openapi_limiter() -> (Value, Gate, std::sync::mpsc::Receiver<String>) {
-    let (gate, (tell, seen)) = (Gate::default(), channel());
-    let (own, tell) = (gate.clone(), Mutex::new(tell));
+    let (gate, (path_sender, seen)) = (Gate::default(), channel());
+    let (server_gate, path_sender) = (gate.clone(), Mutex::new(path_sender));
     let server = http_peer(move |first, _, _| {
-        _ = tell
+        _ = path_sender
             .lock()
-            .expect("whole")
+            .expect("lock is not poisoned")
             .send(first.split(' ').nth(1).unwrap_or_default().to_owned());
         if first.contains("reports") {
-            own.pass();
+            server_gate.wait();
         }
         answer("200 OK", "{}")
     });
-    let mut file: Value =
-        serde_json::from_str(include_str!("../../deploy/openapi.json")).expect("JSON");
+    let mut file: Value = serde_json::from_str(include_str!("../../deploy/openapi.json"))
+        .expect("deploy/openapi.json is JSON");
     (file["listen"], file["control"]) = ("127.0.0.1:0".into(), "127.0.0.1:0".into());
     (file["store"], file["ticket_nodes"]) = (
         serde_json::json!({}),
@@ -45,19 +46,24 @@
 
 #[test]
 fn http_request_is_not_forwarded_after_a_close_while_the_limiter_was_stopped() {
-    // It is stopped while the attempt waits for the server's connection, which may be used again 20 ms after its last answer.
-    // As the limiter goes on, that time has passed and the client has left. A round in which it was stopped too late says
-    // nothing.
+    // The limiter is stopped while the attempt waits for the upstream connection, which may be reused 20 ms after its last
+    // answer. When the limiter continues, that time has passed and the client has closed. A round in which the limiter was
+    // stopped too late is not counted.
     let round = |number: &usize| {
         let (file, gate, seen) = gated_openapi_limiter();
-        let folder =
-            std::env::temp_dir().join(format!("mossrill-still-{number}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let program = Program::start_openapi("still", &file, FERRY, &folder);
+        let folder = std::env::temp_dir().join(format!(
+            "mossrill-stopped-limiter-{number}-{}",
+            std::process::id()
+        ));
+        std::fs::create_dir_all(&folder).expect("temporary folder is created");
+        let program = Program::start_openapi("stopped-limiter", &file, FERRY, &folder);
         program.call_until("ready", "YES");
         let mut first = send_http(program.at, "GET /v1/reports/daily");
-        assert_eq!(seen.recv().expect("a request"), "/v1/reports/daily");
-        let left = send_http(program.at, "POST /v1/tickets");
+        assert_eq!(
+            seen.recv().expect("the server receives a request"),
+            "/v1/reports/daily"
+        );
+        let closing_client = send_http(program.at, "POST /v1/tickets");
         until(
             || program.call("show-stat"),
             |stat| stat.contains("limiter.in_flight=2\n"),
@@ -68,7 +74,7 @@
         program.stands_still();
         let in_time = began.elapsed() < Duration::from_millis(15);
         thread::sleep(Duration::from_millis(30));
-        close(left);
+        close(closing_client);
         program.goes_on();
         until(
             || program.call("show-stat"),
@@ -77,28 +83,31 @@
         _ = std::fs::remove_dir_all(&folder);
         in_time.then(|| seen.try_iter().collect::<Vec<_>>())
     };
-    let good: Vec<_> = (0..100)
+    let valid_rounds: Vec<_> = (0..100)
         .filter_map(|number| round(&number))
         .take(5)
         .collect();
-    assert_eq!(good, vec![Vec::<String>::new(); 5]);
+    assert_eq!(valid_rounds, vec![Vec::<String>::new(); 5]);
 }
 
 #[test]
 fn queued_http_request_is_not_forwarded_after_its_client_closed() {
     let (file, gate, seen) = gated_openapi_limiter();
     let limiter = openapi_limiter(&file, FERRY);
-    let ask = |line: &str| send_http(limiter.at, line);
-    let mut first = ask("GET /v1/reports/daily");
-    assert_eq!(seen.recv().expect("a request"), "/v1/reports/daily");
-    let left = ask("POST /v1/tickets");
+    let send = |line: &str| send_http(limiter.at, line);
+    let mut first = send("GET /v1/reports/daily");
+    assert_eq!(
+        seen.recv().expect("the server receives a request"),
+        "/v1/reports/daily"
+    );
+    let closing_client = send("POST /v1/tickets");
     wait_for_in_flight(&limiter, 2);
-    drop(left);
+    drop(closing_client);
     wait_for_in_flight(&limiter, 1);
     gate.open();
     assert_eq!(first.line(), "HTTP/1.1 200 OK");
     assert_eq!(
-        ask("GET /v1/sailings/KMP-7/seats").line(),
+        send("GET /v1/sailings/KMP-7/seats").line(),
         "HTTP/1.1 200 OK"
     );
     assert_eq!(
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -1,4 +1,4 @@
-//! Measures the time from the close of a client to the last attempt of its requests.
+//! Measures the time from the close of a client's connection to the last attempt of its requests.
 
 use crate::peers::{asking, quiet_list, resp_peer, serve, Client, Program};
 use crate::support::{close, malformed_commands, settings_with_long_deadlines};
@@ -7,57 +7,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A process that runs for 10 ms of each 100 ms, for at most so long.
-fn throttle_to_a_tenth_of_a_core(program: &Program, longest: Duration) -> std::process::Child {
-    let turns = longest.as_millis() / 100;
-    let turn = "kill -CONT $0 && sleep 0.01 && kill -STOP $0 && sleep 0.09 || exit 0";
-    let script = format!("for turn in $(seq {turns}); do {turn}; done; kill -CONT $0");
-    let number = program.number().to_string();
+/// Starts a shell that lets the program run for only 10 ms of each 100 ms, for at most `max_time`.
+fn throttle_to_a_tenth_of_a_core(program: &Program, max_time: Duration) -> std::process::Child {
+    let cycles = max_time.as_millis() / 100;
+    let cycle = "kill -CONT $0 && sleep 0.01 && kill -STOP $0 && sleep 0.09 || exit 0";
+    let script = format!("for cycle in $(seq {cycles}); do {cycle}; done; kill -CONT $0");
+    let process_id = program.number().to_string();
     std::process::Command::new("sh")
-        .args(["-c", &script, &number])
+        .args(["-c", &script, &process_id])
         .spawn()
-        .expect("a shell")
+        .expect("sh is started")
 }
 
-/// A measurement, not a test: `cargo test --release --test races -- --ignored --nocapture after_the_close`.
+/// A measurement, not a test: `cargo test --release --test races -- --ignored --nocapture time_from_client_close`.
 #[test]
 #[ignore = "a measurement"]
 fn time_from_client_close_to_last_attempt_at_a_tenth_of_a_core() {
     let arrived: Arc<Mutex<HashMap<String, Instant>>> = Arc::default();
-    let own = arrived.clone();
+    let server_arrived = arrived.clone();
     let (server, _seen) = resp_peer(move |_, words| {
-        own.lock()
-            .expect("whole")
+        server_arrived
+            .lock()
+            .expect("lock is not poisoned")
             .insert(words[2].clone(), Instant::now());
         thread::sleep(Duration::from_millis(15));
         serve(&words[2])
     });
     let servers = ["s-1", "s-2", "s-3"].map(|name| (name, server));
-    let mut told = settings_with_long_deadlines(quiet_list(), &servers);
+    let mut config = settings_with_long_deadlines(quiet_list(), &servers);
     (
-        told["settings"]["tariffs"][0]["refill"],
-        told["settings"]["tariffs"][0]["peakUnits"],
+        config["settings"]["tariffs"][0]["refill"],
+        config["settings"]["tariffs"][0]["peakUnits"],
     ) = (1e6.into(), 1e6.into());
-    let program = Program::start("after-the-close", &told);
+    let program = Program::start("after-the-close", &config);
     program.call_until("ready", "YES");
-    let mut slowed = throttle_to_a_tenth_of_a_core(&program, Duration::from_secs(30));
+    let mut throttle = throttle_to_a_tenth_of_a_core(&program, Duration::from_secs(30));
     let (at, began) = (program.at, Instant::now());
-    let clients = (0..80).map(|own| {
+    let clients = (0..80).map(|client_number| {
         thread::spawn(move || {
-            let (mut closed, mut rng) = (Vec::new(), fastrand::Rng::with_seed(own));
-            for number in 0.. {
+            let (mut closed, mut rng) = (Vec::new(), fastrand::Rng::with_seed(client_number));
+            for request_number in 0.. {
                 if began.elapsed() > Duration::from_secs(20) {
                     break;
                 }
-                let id = format!("left-{own}-{number}");
+                let id = format!("left-{client_number}-{request_number}");
                 let mut client = Client::connect_at(at);
-                // Half of them are not read from when they leave.
-                let behind = if number % 2 == 0 {
+                // For half of the clients the limiter's reader is paused when they close.
+                let sent_after = if request_number % 2 == 0 {
                     String::new()
                 } else {
                     malformed_commands()
                 };
-                client.say(&(asking("look", &id, 5_000) + &behind));
+                client.say(&(asking("look", &id, 5_000) + &sent_after));
                 thread::sleep(Duration::from_millis(rng.u64(0..600)));
                 close(client);
                 closed.push((id, Instant::now()));
@@ -68,28 +69,29 @@
     let clients: Vec<_> = clients.collect();
     let closed: Vec<_> = clients
         .into_iter()
-        .flat_map(|client| client.join().expect("an end"))
+        .flat_map(|client| client.join().expect("client thread does not panic"))
         .collect();
     thread::sleep(Duration::from_secs(3));
-    slowed.wait().expect("an end");
-    let arrived = arrived.lock().expect("whole");
-    let late = closed
+    throttle.wait().expect("the throttling shell ends");
+    let arrived = arrived.lock().expect("lock is not poisoned");
+    let latencies = closed
         .iter()
         .filter_map(|(id, at)| arrived.get(id)?.checked_duration_since(*at));
-    let mut late: Vec<_> = late.collect();
-    late.sort();
-    let part = |part: f64| {
-        late.get((late.len() as f64 * part) as usize)
-            .or(late.last())
+    let mut latencies: Vec<_> = latencies.collect();
+    latencies.sort();
+    let percentile = |fraction: f64| {
+        latencies
+            .get((latencies.len() as f64 * fraction) as usize)
+            .or(latencies.last())
     };
     println!(
-        "{} left, {} attempts came before and {} after: 50th {:?}, 99th {:?}, worst {:?}, {} after 0.1 s",
+        "{} clients closed, {} attempts arrived before and {} after the close: 50th percentile {:?}, 99th {:?}, maximum {:?}, {} later than 0.1 s",
         closed.len(),
-        arrived.len() - late.len(),
-        late.len(),
-        part(0.5),
-        part(0.99),
-        late.last(),
-        late.iter().filter(|late| **late > Duration::from_millis(100)).count()
+        arrived.len() - latencies.len(),
+        latencies.len(),
+        percentile(0.5),
+        percentile(0.99),
+        latencies.last(),
+        latencies.iter().filter(|latency| **latency > Duration::from_millis(100)).count()
     );
 }
--- a/tests/races/counter.rs
+++ b/tests/races/counter.rs
@@ -1,4 +1,4 @@
-//! A call of the quota counter takes longer than usual.
+//! A call of the quota counter takes longer than usual: its connection stays in use.
 
 use crate::peers::{answer, counted, http_peer};
 use crate::support::Gate;
@@ -12,44 +12,48 @@
 
 #[test]
 fn slow_counter_call_keeps_its_connection() {
-    let (gate, (come, called)) = (Gate::default(), channel());
-    let (own, come) = (gate.clone(), Mutex::new(come));
+    let (gate, (call_sender, calls)) = (Gate::default(), channel());
+    let (counter_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
     let counter = http_peer(move |first, _, _| {
-        _ = come.lock().expect("whole").send(());
-        own.pass();
+        _ = call_sender.lock().expect("lock is not poisoned").send(());
+        counter_gate.wait();
         answer("200 OK", &counted(first).1.to_string())
     });
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
-    let ends = Arc::new(move |call, outcome, total: f64| {
-        _ = tell
-            .lock()
-            .expect("whole")
-            .send((call, format!("{outcome:?}"), total));
+    let (reply_sender, replies) = channel();
+    let reply_sender = Mutex::new(reply_sender);
+    let on_reply = Arc::new(move |call, outcome, total: f64| {
+        _ = reply_sender.lock().expect("lock is not poisoned").send((
+            call,
+            format!("{outcome:?}"),
+            total,
+        ));
     });
     let log = Logger::root(Discard, o!());
-    let lines = CounterClient::start(
+    let client = CounterClient::start(
         counter,
         Duration::from_secs(20),
         HttpCounterProtocol,
-        ends,
+        on_reply,
         &log,
     )
-    .expect("lines");
-    let add = |call| {
-        lines.add(Addition {
+    .expect("counter client starts");
+    let send_addition = |call| {
+        client.add(Addition {
             call_number: call,
             counter: 4,
             amount: call as f64,
             ttl: Duration::from_secs(4),
         })
     };
-    add(1);
-    called.recv().expect("a call");
-    // Where calls are given up after 50 ms, so old a one holds up all behind it.
+    send_addition(1);
+    calls.recv().expect("the counter receives a call");
+    // With a call timeout of 50 ms, a call that is unanswered for this long blocks the replies behind it, and the connection
+    // is replaced. Here the call timeout is 20 s.
     thread::sleep(Duration::from_millis(400));
-    add(2);
+    send_addition(2);
     gate.open();
-    let ends: Vec<_> = (0..2).map(|_| told.recv().expect("an end")).collect();
-    assert_eq!(ends, [(1, "Ok".into(), 1.0), (2, "Ok".into(), 2.0)]);
+    let outcomes: Vec<_> = (0..2)
+        .map(|_| replies.recv().expect("the call is completed"))
+        .collect();
+    assert_eq!(outcomes, [(1, "Ok".into(), 1.0), (2, "Ok".into(), 2.0)]);
 }
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -1,4 +1,4 @@
-//! Events at the connection to service discovery: resets, silence, split and malformed messages.
+//! Events on the connection to service discovery: resets, silence, split and malformed messages.
 
 use crate::peers::{
     entry, http, limiter, peer, quota_counter, resp_peer, serve, settings, until, whole_list,
@@ -14,219 +14,263 @@
 use std::thread;
 use std::time::Duration;
 
-/// A list whose first watch says this in two chunks cut in the middle, and later callers get `then`. What was asked.
+/// Starts a service discovery server. It answers the first connection's watch with `event`, split in the middle into two
+/// chunks, later watches with an empty stream, and full reads with `full_list`. Returns its address and the request lines
+/// that it receives.
 fn discovery_with_split_event(
-    text: String,
-    then: String,
+    event: String,
+    full_list: String,
 ) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
-    let (tell, asked) = channel();
-    let tell = Mutex::new(tell);
+    let (request_sender, received) = channel();
+    let request_sender = Mutex::new(request_sender);
     let at = peer(move |number, stream| {
-        let mut from = BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut from, false) else {
+        let mut reader = BufReader::new(stream);
+        let Ok((first, ..)) = http(&mut reader, false) else {
             return;
         };
-        _ = tell.lock().expect("whole").send(first.clone());
+        _ = request_sender
+            .lock()
+            .expect("lock is not poisoned")
+            .send(first.clone());
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         if first.contains("watch") {
-            let (one, two) = text.split_at(text.len() / 2);
-            let chunks = [one, two]
-                .map(|part| format!("{:x}\r\n{part}\r\n", part.len()))
+            let (first_half, second_half) = event.split_at(event.len() / 2);
+            let chunks = [first_half, second_half]
+                .map(|half| format!("{:x}\r\n{half}\r\n", half.len()))
                 .concat();
             let chunks = if number == 0 { chunks } else { String::new() };
-            from.get_mut()
+            reader
+                .get_mut()
                 .write_all((head.to_owned() + &chunks).as_bytes())
-                .expect("written");
+                .expect("response is written");
         } else {
-            let whole = format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{then}",
-                then.len()
+            let response = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{full_list}",
+                full_list.len()
             );
-            from.get_mut().write_all(whole.as_bytes()).expect("written");
+            reader
+                .get_mut()
+                .write_all(response.as_bytes())
+                .expect("response is written");
         }
-        _ = http(&mut from, false);
+        _ = http(&mut reader, false);
     });
-    (at, asked)
+    (at, received)
 }
 
-fn serves_until(limiter: &Running, value: &str) {
+/// Sends requests to the limiter until one is answered with `value`.
+fn wait_until_served(limiter: &Running, value: &str) {
     let mut client = Client::ready(limiter);
     let client = Mutex::new(&mut client);
-    let ask = || {
-        let mut client = client.lock().expect("whole");
+    let send_request = || {
+        let mut client = client.lock().expect("lock is not poisoned");
         client.ask("look", "id", 1500);
         client.answer()
     };
-    until(ask, |answer| answer == value);
+    until(send_request, |answer| answer == value);
 }
 
 #[test]
 fn watch_event_on_many_lines_and_longer_than_a_buffer_is_applied() {
-    let (old, new) = (
+    let (old_server, new_server) = (
         resp_peer(|_, _| serve("old")).0,
         resp_peer(|_, _| serve("new")).0,
     );
     let mut servers: Vec<_> = (0..1_000)
-        .map(|n| entry(&format!("x-{n}"), old, "terminating"))
+        .map(|number| entry(&format!("x-{number}"), old_server, "terminating"))
         .collect();
     servers.extend([
-        entry("s-1", old, "terminating"),
-        entry("s-2", new, "in_service"),
+        entry("s-1", old_server, "terminating"),
+        entry("s-2", new_server, "in_service"),
     ]);
-    let news = serde_json::json!({"generation": 9, "reset": true, "instances": servers});
-    let text = format!("\n{}\n", serde_json::to_string_pretty(&news).expect("text"));
-    assert!(text.len() > 140_000);
-    let (list, asked) = discovery_with_split_event(text, String::new());
-    let limiter = limiter(&settings(list, quota_counter().0, &[("s-1", old)]));
-    serves_until(&limiter, "new");
-    assert_eq!(asked.try_iter().count(), 1, "on the one watch");
+    let update = serde_json::json!({"generation": 9, "reset": true, "instances": servers});
+    let event = format!(
+        "\n{}\n",
+        serde_json::to_string_pretty(&update).expect("update is serialized")
+    );
+    assert!(event.len() > 140_000);
+    let (discovery, received) = discovery_with_split_event(event, String::new());
+    let limiter = limiter(&settings(
+        discovery,
+        quota_counter().0,
+        &[("s-1", old_server)],
+    ));
+    wait_until_served(&limiter, "new");
+    assert_eq!(
+        received.try_iter().count(),
+        1,
+        "number of calls: the event is received on the first watch"
+    );
 }
 
 #[test]
 fn malformed_watch_event_keeps_the_last_list_and_causes_a_full_read() {
-    let (old, new) = (
+    let (old_server, new_server) = (
         resp_peer(|_, _| serve("old")).0,
         resp_peer(|_, _| serve("new")).0,
     );
-    let server = entry("s-2", new, "in_service");
-    let whole = serde_json::json!({"generation": 9, "reset": true, "instances": [server]});
-    for spoilt in [
+    let server = entry("s-2", new_server, "in_service");
+    let full_list = serde_json::json!({"generation": 9, "reset": true, "instances": [server]});
+    for malformed in [
         "{\"generation\":8,\"instances\":[}\n",
         "[]\n",
         "what\n",
         "{}\n",
     ] {
-        let (list, asked) = discovery_with_split_event(spoilt.into(), whole.to_string());
-        let limiter = limiter(&settings(list, quota_counter().0, &[("s-1", old)]));
-        let heard: Vec<_> = (0..3).map(|_| asked.recv().expect("a call")).collect();
-        let calls = ["?watch=1&from=7", "", "?watch=1&from=9"]
-            .map(|q| format!("GET /v1/endpoints{q} HTTP/1.1"));
-        assert_eq!(heard, calls, "{spoilt}");
-        serves_until(&limiter, "new");
+        let (discovery, received) =
+            discovery_with_split_event(malformed.into(), full_list.to_string());
+        let limiter = limiter(&settings(
+            discovery,
+            quota_counter().0,
+            &[("s-1", old_server)],
+        ));
+        let requests: Vec<_> = (0..3)
+            .map(|_| {
+                received
+                    .recv()
+                    .expect("the limiter calls service discovery")
+            })
+            .collect();
+        let expected = ["?watch=1&from=7", "", "?watch=1&from=9"]
+            .map(|query| format!("GET /v1/endpoints{query} HTTP/1.1"));
+        assert_eq!(requests, expected, "after the event {malformed:?}");
+        wait_until_served(&limiter, "new");
     }
 }
 
-/// A server that serves "old", and the news that it drains and another one, which serves "new", is there.
+/// Starts a server that answers "old" and one that answers "new". Returns the address of the first, and the endpoint update
+/// by which the first drains and the second is added.
 fn replaced_server() -> (SocketAddr, String) {
-    let (old, new) = (
+    let (old_server, new_server) = (
         resp_peer(|_, _| serve("old")).0,
         resp_peer(|_, _| serve("new")).0,
     );
-    let change = [
-        entry("s-1", old, "terminating"),
-        entry("s-2", new, "in_service"),
+    let changed_entries = [
+        entry("s-1", old_server, "terminating"),
+        entry("s-2", new_server, "in_service"),
     ];
     (
-        old,
-        serde_json::json!({"generation": 9, "reset": false, "instances": change}).to_string(),
+        old_server,
+        serde_json::json!({"generation": 9, "reset": false, "instances": changed_entries})
+            .to_string(),
     )
 }
 
 #[test]
 fn repeatedly_reset_watch_is_reopened_within_the_drain_grace() {
-    let (old, news) = replaced_server();
-    let list = peer(move |number, stream| {
-        let mut from = BufReader::new(stream);
-        _ = http(&mut from, false);
+    let (old_server, update) = replaced_server();
+    let discovery = peer(move |number, stream| {
+        let mut reader = BufReader::new(stream);
+        _ = http(&mut reader, false);
         let chunk = if number < 24 {
             String::new()
         } else {
-            format!("{:x}\r\n{news}\r\n", news.len())
+            format!("{:x}\r\n{update}\r\n", update.len())
         };
-        let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
-        from.get_mut().write_all(text.as_bytes()).expect("written");
+        let response = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
+        reader
+            .get_mut()
+            .write_all(response.as_bytes())
+            .expect("response is written");
         if number >= 24 {
-            _ = http(&mut from, false);
+            _ = http(&mut reader, false);
         }
-        SockRef::from(from.get_ref())
+        SockRef::from(reader.get_ref())
             .set_linger(Some(Duration::ZERO))
-            .expect("a socket");
+            .expect("linger is set on the socket");
     });
-    // One of many, that would wait for seconds each time if the list had turned it away: over a minute in all.
-    let mut told = settings(list, quota_counter().0, &[("s-1", old)]);
-    told["settings"]["balancers"] = 300.into();
-    told["settings"]["safety"]["drainGrace"] = 150_000.into();
-    let limiter = limiter(&told);
-    serves_until(&limiter, "new");
+    // In a fleet of 300, a limiter that treats a reset watch as a rejected poll waits for seconds each time: over a minute
+    // for the 24 resets.
+    let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
+    config["settings"]["balancers"] = 300.into();
+    config["settings"]["safety"]["drainGrace"] = 150_000.into();
+    let limiter = limiter(&config);
+    wait_until_served(&limiter, "new");
 }
 
 #[test]
 fn discovery_calls_without_or_with_endless_answers_time_out_early() {
-    let (old, news) = replaced_server();
-    let list = peer(move |number, stream| {
-        let mut from = BufReader::new(stream);
-        _ = http(&mut from, false);
-        let to = from.get_mut();
-        // Silent three times, and then a head that never ends, twice.
+    let (old_server, update) = replaced_server();
+    let discovery = peer(move |number, stream| {
+        let mut reader = BufReader::new(stream);
+        _ = http(&mut reader, false);
+        let writer = reader.get_mut();
+        // The first three calls get no response, the next two get a response head that never ends.
         if (3..5).contains(&number) {
-            to.write_all(b"HTTP/1.1 200 OK\r\nX: ").expect("written");
-            while to.write_all(b"x").is_ok() {
+            writer
+                .write_all(b"HTTP/1.1 200 OK\r\nX: ")
+                .expect("response is written");
+            while writer.write_all(b"x").is_ok() {
                 thread::sleep(Duration::from_millis(20));
             }
             return;
         }
         if number >= 5 {
-            let text = format!(
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{news}\r\n",
-                news.len()
+            let response = format!(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{update}\r\n",
+                update.len()
             );
-            to.write_all(text.as_bytes()).expect("written");
+            writer
+                .write_all(response.as_bytes())
+                .expect("response is written");
         }
-        _ = http(&mut from, false);
+        _ = http(&mut reader, false);
     });
-    let mut told = settings(list, quota_counter().0, &[("s-1", old)]);
-    told["settings"]["balancers"] = 300.into();
-    told["settings"]["safety"]["drainGrace"] = 1_000_000.into();
-    serves_until(&limiter(&told), "new");
+    let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
+    config["settings"]["balancers"] = 300.into();
+    config["settings"]["safety"]["drainGrace"] = 1_000_000.into();
+    wait_until_served(&limiter(&config), "new");
 }
 
 #[test]
 fn after_discovery_moves_events_of_the_old_address_are_ignored() {
-    let (old, new) = (
+    let (old_server, new_server) = (
         resp_peer(|_, _| serve("old")).0,
         resp_peer(|_, _| serve("new")).0,
     );
-    let list = peer(move |_, stream| {
-        let mut from = BufReader::new(stream);
-        _ = http(&mut from, false);
-        let to = from.get_mut();
-        to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            .expect("written");
-        // As fast as it is read: whenever it is sent elsewhere, something of this is on its way.
+    let discovery = peer(move |_, stream| {
+        let mut reader = BufReader::new(stream);
+        _ = http(&mut reader, false);
+        let writer = reader.get_mut();
+        writer
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .expect("response is written");
+        // Events follow each other as fast as the limiter reads them, so that some are in transit when it moves to the new
+        // address.
         for generation in 8.. {
-            let back = [
-                entry("s-1", old, "in_service"),
-                entry("s-2", new, "terminated"),
+            let stale_entries = [
+                entry("s-1", old_server, "in_service"),
+                entry("s-2", new_server, "terminated"),
             ];
-            let news =
-                serde_json::json!({"generation": generation, "reset": false, "instances": back})
+            let update =
+                serde_json::json!({"generation": generation, "reset": false, "instances": stale_entries})
                     .to_string();
-            if to
-                .write_all(format!("{:x}\r\n{news}\r\n", news.len()).as_bytes())
+            if writer
+                .write_all(format!("{:x}\r\n{update}\r\n", update.len()).as_bytes())
                 .is_err()
             {
                 return;
             }
         }
     });
-    let mut told = settings(list, quota_counter().0, &[("s-1", old)]);
-    let mut program = Program::start("old-speaks", &told);
+    let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
+    let mut program = Program::start("old-discovery", &config);
     program.logged("full: false");
-    told["discovery"] = whole_list(vec![entry("s-2", new, "in_service")])
+    config["discovery"] = whole_list(vec![entry("s-2", new_server, "in_service")])
         .to_string()
         .into();
-    program.reload(&told.to_string());
+    program.reload(&config.to_string());
     program.logged("full: true");
     let mut client = Client::ready_at(program.at);
     for number in 0..10 {
         client.ask("look", &number.to_string(), 1500);
         assert_eq!(client.answer(), "new");
     }
-    let after = program
+    let later_updates = program
         .log()
         .into_iter()
         .filter(|line| line.contains("endpoint update"));
-    assert_eq!(after.collect::<Vec<_>>(), Vec::<String>::new());
+    assert_eq!(later_updates.collect::<Vec<_>>(), Vec::<String>::new());
 }
 
 #[test]
@@ -238,58 +282,71 @@
 
 #[test]
 fn silent_watch_and_list_changed_during_a_full_read_are_polled_again() {
-    let (old, new) = (
+    let (old_server, new_server) = (
         resp_peer(|_, _| serve("old")).0,
         resp_peer(|_, _| serve("new")).0,
     );
-    let news = |generation, full, servers: Vec<Value>| {
+    let update = |generation, full, servers: Vec<Value>| {
         serde_json::json!({"generation": generation, "reset": full, "instances": servers})
             .to_string()
             + "\n"
     };
-    // The first watch says nothing, not even a head; the second can't be read. Between the whole list and the watch the
-    // old server begins to drain and another comes.
-    let whole = news(8, true, vec![entry("s-1", old, "in_service")]);
-    let change = news(
+    // The first watch gets no response at all, the second a malformed event. Between the full read and the next watch, the
+    // old server starts draining and a new one is added.
+    let full_list = update(8, true, vec![entry("s-1", old_server, "in_service")]);
+    let changed_entries = update(
         9,
         false,
         vec![
-            entry("s-1", old, "terminating"),
-            entry("s-2", new, "in_service"),
+            entry("s-1", old_server, "terminating"),
+            entry("s-2", new_server, "in_service"),
         ],
     );
-    let (tell, asked) = channel();
-    let tell = Mutex::new(tell);
-    let list = peer(move |number, stream| {
-        let mut from = BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut from, false) else {
+    let (request_sender, received) = channel();
+    let request_sender = Mutex::new(request_sender);
+    let discovery = peer(move |number, stream| {
+        let mut reader = BufReader::new(stream);
+        let Ok((first, ..)) = http(&mut reader, false) else {
             return;
         };
-        _ = tell.lock().expect("whole").send(first);
-        let chunked = |text: &str| {
+        _ = request_sender
+            .lock()
+            .expect("lock is not poisoned")
+            .send(first);
+        let chunked = |event: &str| {
             format!(
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{text}\r\n",
-                text.len()
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{event}\r\n",
+                event.len()
             )
         };
-        let text = match number {
+        let response = match number {
             0 => String::new(),
             1 => chunked("what\n"),
             2 => format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}",
-                whole.len()
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{full_list}",
+                full_list.len()
             ),
-            _ => chunked(&change),
+            _ => chunked(&changed_entries),
         };
-        _ = from.get_mut().write_all(text.as_bytes());
-        _ = http(&mut from, false);
+        _ = reader.get_mut().write_all(response.as_bytes());
+        _ = http(&mut reader, false);
     });
-    let limiter = limiter(&settings(list, quota_counter().0, &[("s-1", old)]));
-    let heard: Vec<_> = (0..4).map(|_| asked.recv().expect("a call")).collect();
-    let calls = ["?watch=1&from=7", "?watch=1&from=7", "", "?watch=1&from=8"];
+    let limiter = limiter(&settings(
+        discovery,
+        quota_counter().0,
+        &[("s-1", old_server)],
+    ));
+    let requests: Vec<_> = (0..4)
+        .map(|_| {
+            received
+                .recv()
+                .expect("the limiter calls service discovery")
+        })
+        .collect();
+    let expected = ["?watch=1&from=7", "?watch=1&from=7", "", "?watch=1&from=8"];
     assert_eq!(
-        heard,
-        calls.map(|q| format!("GET /v1/endpoints{q} HTTP/1.1"))
+        requests,
+        expected.map(|query| format!("GET /v1/endpoints{query} HTTP/1.1"))
     );
-    serves_until(&limiter, "new");
+    wait_until_served(&limiter, "new");
 }
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals and closed connections during requests.
+//! Signals and closed connections while requests are in flight.
 
 use crate::peers::{
     asking, command, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve, settings,
@@ -14,59 +14,65 @@
 
 #[test]
 fn shutdown_with_resetting_watches_does_not_raise_the_poll_rate() {
-    let (tell, asked) = channel();
-    let tell = Mutex::new(tell);
-    let list = peer(move |_, stream| {
-        _ = tell.lock().expect("whole").send(());
+    let (call_sender, calls) = channel();
+    let call_sender = Mutex::new(call_sender);
+    let discovery = peer(move |_, stream| {
+        _ = call_sender.lock().expect("lock is not poisoned").send(());
         SockRef::from(&stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("a socket");
+            .expect("linger is set on the socket");
     });
     let (server, seen) = resp_peer(|_, _| Act::Hang);
-    let mut told = settings(list, quota_counter().0, &[("s-1", server)]);
-    told["settings"]["safety"]["drainGrace"] = 1_000_000.into();
-    let program = Program::start("list-resets", &told);
+    let mut config = settings(discovery, quota_counter().0, &[("s-1", server)]);
+    config["settings"]["safety"]["drainGrace"] = 1_000_000.into();
+    let program = Program::start("list-resets", &config);
     let mut held = Client::ready_at(program.at);
     held.ask("pay", "held", 2000);
     next(&seen);
     program.signal("TERM");
     assert!(held.answer().starts_with('-'));
     program.ends();
-    // A tenth of 20 ms passes between two at the least; at once after each other they were thousands.
-    let many = asked.try_iter().count();
-    assert!(many < 500, "{many} calls");
+    // At least 2 ms, a tenth of the poll time of 20 ms, pass between two polls. Without a wait there are thousands of calls.
+    let call_count = calls.try_iter().count();
+    assert!(
+        call_count < 500,
+        "{call_count} calls of service discovery, want < 500"
+    );
 }
 
 #[test]
 fn shutdown_with_hanging_servers_answers_each_request_once() {
     let (server, seen) = resp_peer(|_, _| Act::Hang);
-    let mut told = settings(
+    let mut config = settings(
         quiet_list(),
         quota_counter().0,
         &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
-    // Shorter than the time in which connections still come.
-    for class in told["settings"]["classes"].as_array_mut().expect("classes") {
+    // Shorter than the 0.45 s in which connections are still accepted after the request to stop.
+    for class in config["settings"]["classes"]
+        .as_array_mut()
+        .expect("classes are an array")
+    {
         (class["slo"], class["deadline"]) = (200_000.into(), 400_000.into());
     }
-    let program = Program::start("all-hang", &told);
-    let ask = |class: &str| {
+    let program = Program::start("all-hang", &config);
+    let send_request = |class: &str| {
         let mut client = Client::ready_at(program.at);
         client.ask(class, class, 400);
         client
     };
     let mut clients: Vec<_> = ["look", "hold", "pay"]
         .iter()
-        .map(|class| ask(class))
+        .map(|class| send_request(class))
         .collect();
     next(&seen);
     program.signal("TERM");
-    // On a kept connection, up to its end: each is answered, or the connection ends first.
+    // Further requests on the same connection are each answered, or the connection closes before the answer.
     for client in &mut clients {
-        let first = client.answer();
-        assert!(first.starts_with('-'), "{first}");
-        while let Some(more) = client.try_ask(&asking("look", "more", 400)) {
-            assert!(more.starts_with('-'), "{more}");
+        let first_answer = client.answer();
+        assert!(first_answer.starts_with('-'), "{first_answer}");
+        while let Some(further_answer) = client.try_ask(&asking("look", "more", 400)) {
+            assert!(further_answer.starts_with('-'), "{further_answer}");
         }
     }
     program.ends();
@@ -78,26 +84,27 @@
         thread::sleep(Duration::from_millis(5));
         serve(&words[2])
     });
-    let mut told = settings(
+    let mut config = settings(
         quiet_list(),
         quota_counter().0,
         &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
     (
-        told["settings"]["tariffs"][0]["refill"],
-        told["settings"]["tariffs"][0]["peakUnits"],
+        config["settings"]["tariffs"][0]["refill"],
+        config["settings"]["tariffs"][0]["peakUnits"],
     ) = (1e6.into(), 1e6.into());
-    let program = Program::start("send-on", &told);
+    let program = Program::start("request-during-shutdown", &config);
     let at = program.at;
-    // Each asks one after another on a kept connection, and on a new one once that ends, until nobody is there.
+    // Each client sends one request after another on a connection, and opens a new one once that closes, until the limiter
+    // no longer accepts connections.
     let clients: Vec<_> = (0..6)
-        .map(|own| {
+        .map(|client_number| {
             thread::spawn(move || {
                 let (mut number, mut unanswered) = (0, Vec::new());
                 while let Some(mut client) = Client::try_at(at) {
                     loop {
                         number += 1;
-                        let id = format!("{own}-{number}");
+                        let id = format!("{client_number}-{number}");
                         match client.try_ask(&asking("pay", &id, 2000)) {
                             Some(answer) => {
                                 assert!(
@@ -120,15 +127,22 @@
     program.signal("TERM");
     let unanswered: Vec<_> = clients
         .into_iter()
-        .flat_map(|client| client.join().expect("no wrong answer"))
+        .flat_map(|client| {
+            client
+                .join()
+                .expect("each answer is the request's id or an error")
+        })
         .collect();
     program.ends();
-    let sent = request_ids(&seen);
-    let lost: Vec<_> = unanswered.iter().filter(|id| sent.contains(id)).collect();
+    let forwarded = request_ids(&seen);
+    let lost_requests: Vec<_> = unanswered
+        .iter()
+        .filter(|id| forwarded.contains(id))
+        .collect();
     assert_eq!(
-        lost,
+        lost_requests,
         Vec::<&String>::new(),
-        "{} ended unanswered",
+        "forwarded requests without an answer; {} requests in total had none",
         unanswered.len()
     );
 }
@@ -143,33 +157,37 @@
     let mut client = Client::ready(&limiter);
     client.ask("look", "first", 20_000);
     assert_eq!(client.answer(), "first");
-    let stopped = thread::spawn(move || limiter.stop());
-    // Idle connections are closed 0.45 s after the word; nothing is owed on this one then, but its reader, held back for
-    // 0.36 s by nonsense, has the request in its hands.
+    let stop_thread = thread::spawn(move || limiter.stop());
+    // Idle connections are closed 0.45 s after the request to stop. No answer is pending on this connection then, but its
+    // reader, which malformed commands pause for 0.36 s, has received the request already.
     thread::sleep(Duration::from_millis(250));
     client.say(&(asking("dance", "bad", 500).repeat(8) + &asking("pay", "in-hand", 20_000)));
     let answers: Vec<_> = (0..9).map(|_| client.answer()).collect();
     assert_eq!(answers[8], "in-hand");
-    stopped.join().expect("an end");
+    stop_thread.join().expect("limiter stops without a panic");
 }
 
 #[test]
 fn request_accepted_after_the_core_ended_is_answered_and_its_connection_closed() {
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
-    // Shorter than the time in which connections still come: the core ends with it, 0.45 s after the word to stop.
-    for class in told["settings"]["classes"].as_array_mut().expect("classes") {
+    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    // Shorter than the time in which connections are still accepted, so the core ends with that time, 0.45 s after the request
+    // to stop.
+    for class in config["settings"]["classes"]
+        .as_array_mut()
+        .expect("classes are an array")
+    {
         (class["slo"], class["deadline"]) = (50_000.into(), 50_000.into());
     }
-    let limiter = limiter(&told);
+    let limiter = limiter(&config);
     let mut client = Client::ready(&limiter);
     client.ask("look", "first", 50);
     assert!(!client.answer().is_empty());
-    let stopped = thread::spawn(move || limiter.stop());
+    let stop_thread = thread::spawn(move || limiter.stop());
     thread::sleep(Duration::from_millis(300));
-    // The reader has all of it in its hands, and comes to the request once it has rested after the nonsense, for 0.36 s.
+    // The reader has received all of this, and gets to the request after the pauses of 0.36 s for the malformed commands.
     client.say(&(asking("dance", "bad", 500).repeat(8) + &asking("pay", "in-hand", 50)));
-    stopped.join().expect("an end");
+    stop_thread.join().expect("limiter stops without a panic");
     let answers: Vec<_> = (0..10).map(|_| client.answer()).collect();
     assert_eq!(answers[8..], ["-ERR failed", ""]);
 }
@@ -185,21 +203,21 @@
     let (mut idle, mut held) = (Client::ready_at(at), Client::ready_at(at));
     held.ask("look", "held", 20_000);
     next(&seen);
-    let stopped = thread::spawn(move || limiter.stop());
-    assert_eq!(idle.line(), "", "closed as idle");
+    let stop_thread = thread::spawn(move || limiter.stop());
+    assert_eq!(idle.line(), "", "idle connection is closed during shutdown");
     let mut late = Client::connect_at(at);
     late.ask("pay", "late", 20_000);
     assert_eq!(late.answer(), "late");
     gate.open();
     assert_eq!(held.answer(), "held");
-    stopped.join().expect("an end");
+    stop_thread.join().expect("limiter stops without a panic");
 }
 
 #[test]
 fn simultaneous_sigterm_and_sighup_still_serve_accepted_requests() {
     let (server, gate, seen) = gated_server("held");
     let program = Program::start(
-        "both-words",
+        "both-signals",
         &settings_with_long_deadlines(quiet_list(), &[("s-1", server)]),
     );
     let mut held = Client::ready_at(program.at);
@@ -208,7 +226,7 @@
     program.signal("HUP");
     program.signal("TERM");
     program.signal("HUP");
-    // Idle ones are closed: the word has been heard.
+    // The limiter closes the new connection as idle, so it has handled SIGTERM.
     assert_eq!(Client::ready_at(program.at).line(), "");
     gate.open();
     assert_eq!(held.answer(), "held");
@@ -217,19 +235,23 @@
 
 #[test]
 fn shutdown_during_a_partial_answer_delivers_the_complete_answer() {
-    let (half, gate) = (Gate::default(), Gate::default());
-    let (told, held) = (half.clone(), gate.clone());
+    let (first_half_sent, gate) = (Gate::default(), Gate::default());
+    let (server_first_half_sent, server_gate) = (first_half_sent.clone(), gate.clone());
     let server = peer(move |_, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = command(&mut stream, &mut bytes) {
-            let Act::Say(text) = serve(&words[2]) else {
-                unreachable!("it serves")
+            let Act::Say(response) = serve(&words[2]) else {
+                unreachable!("serve returns Act::Say")
             };
-            let (one, two) = text.split_at(text.len() / 2);
-            stream.write_all(one.as_bytes()).expect("written");
-            told.open();
-            held.pass();
-            stream.write_all(two.as_bytes()).expect("written");
+            let (first_half, second_half) = response.split_at(response.len() / 2);
+            stream
+                .write_all(first_half.as_bytes())
+                .expect("response is written");
+            server_first_half_sent.open();
+            server_gate.wait();
+            stream
+                .write_all(second_half.as_bytes())
+                .expect("response is written");
         }
     });
     let limiter = limiter(&settings_with_long_deadlines(
@@ -238,13 +260,13 @@
     ));
     let (mut idle, mut client) = (Client::ready(&limiter), Client::ready(&limiter));
     client.ask("pay", "pay-1", 20_000);
-    half.pass();
-    let stopped = thread::spawn(move || limiter.stop());
-    assert_eq!(idle.line(), "", "closed as idle");
+    first_half_sent.wait();
+    let stop_thread = thread::spawn(move || limiter.stop());
+    assert_eq!(idle.line(), "", "idle connection is closed during shutdown");
     gate.open();
     assert_eq!(
         (client.answer(), client.line()),
         ("pay-1".into(), String::new())
     );
-    stopped.join().expect("an end");
+    stop_thread.join().expect("limiter stops without a panic");
 }
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -1,4 +1,4 @@
-//! Servers, counters and clients whose progress the tests control.
+//! Upstream servers and clients whose progress the tests control.
 
 use crate::peers::{
     asking, call, quota_counter, resp_peer, serve, settings, until, Client, Running, Seen,
@@ -10,128 +10,155 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Well over the time in which a limiter is to find out that a client has left.
+/// Well above the time within which a limiter must detect that a client closed its connection.
 pub const CLOSE_DETECTION_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// A door that is opened once.
+/// A gate that is opened once; threads wait at it until then.
 #[derive(Clone, Default)]
 pub struct Gate(pub Arc<(Mutex<bool>, Condvar)>);
 
 impl Gate {
+    /// Opens the gate and wakes all threads that wait at it.
     pub fn open(&self) {
-        *self.0 .0.lock().expect("whole") = true;
+        *self.0 .0.lock().expect("gate lock is not poisoned") = true;
         self.0 .1.notify_all();
     }
 
-    pub fn pass(&self) {
+    /// Blocks until the gate is open.
+    pub fn wait(&self) {
         drop(
             self.0
                  .1
-                .wait_while(self.0 .0.lock().expect("whole"), |open| !*open)
-                .expect("whole"),
+                .wait_while(
+                    self.0 .0.lock().expect("gate lock is not poisoned"),
+                    |open| !*open,
+                )
+                .expect("gate lock is not poisoned"),
         );
     }
 }
 
-/// Clients wait long, and nothing is given up before its time.
+/// Returns a configuration with an admin address, and with deadlines and a connect timeout that are too long to pass
+/// during a race.
 pub fn settings_with_long_deadlines(list: SocketAddr, servers: &[(&str, SocketAddr)]) -> Value {
-    let mut told = settings(list, quota_counter().0, servers);
-    for class in told["settings"]["classes"].as_array_mut().expect("classes") {
+    let mut config = settings(list, quota_counter().0, servers);
+    for class in config["settings"]["classes"]
+        .as_array_mut()
+        .expect("classes are an array")
+    {
         (class["slo"], class["deadline"]) = (10_000_000.into(), 20_000_000.into());
     }
-    told["settings"]["limits"]["connectTimeout"] = 15_000_000.into();
-    told["control"] = "127.0.0.1:0".into();
-    told
+    config["settings"]["limits"]["connectTimeout"] = 15_000_000.into();
+    config["control"] = "127.0.0.1:0".into();
+    config
 }
 
-/// Waits until so many requests are open.
-pub fn wait_for_in_flight(limiter: &Running, many: usize) {
-    let line = format!("limiter.in_flight={many}\n");
+/// Waits until the limiter reports `count` in-flight requests.
+pub fn wait_for_in_flight(limiter: &Running, count: usize) {
+    let line = format!("limiter.in_flight={count}\n");
     until(
-        || call(limiter.control.expect("a line"), "show-stat\n"),
+        || {
+            call(
+                limiter.control.expect("limiter has an admin address"),
+                "show-stat\n",
+            )
+        },
         |stat| stat.contains(&line),
     );
 }
 
-/// A server that keeps `held` waiting at a gate and serves all else, the gate, and what it has seen.
-pub fn gated_server(held: &'static str) -> (SocketAddr, Gate, Seen) {
+/// Starts a server that holds the request with the id `held_id` back at a gate and serves all others. Returns its address, the
+/// gate and the commands that it receives.
+pub fn gated_server(held_id: &'static str) -> (SocketAddr, Gate, Seen) {
     let gate = Gate::default();
-    let own = gate.clone();
+    let server_gate = gate.clone();
     let (at, seen) = resp_peer(move |_, words| {
-        if words[2] == held {
-            own.pass();
+        if words[2] == held_id {
+            server_gate.wait();
         }
         serve(&words[2])
     });
     (at, gate, seen)
 }
 
-/// Ids of what a server has seen.
+/// Returns the ids of the requests that a server has received and that were not read from `seen` before.
 pub fn request_ids(seen: &Seen) -> Vec<String> {
     seen.try_iter()
         .filter_map(|(_, words)| Some(words?[2].clone()))
         .collect()
 }
 
-/// A server whose connections don't come up until it is let.
+/// A server whose listen backlog is full, so that further connections are not established until
+/// [`open`](Self::open).
 pub struct UnresponsiveServer {
     pub at: SocketAddr,
     pub listener: TcpListener,
-    pub full: Vec<TcpStream>,
+    /// Connections of the test that fill the backlog.
+    pub backlog_fillers: Vec<TcpStream>,
 }
 
 impl UnresponsiveServer {
+    /// Binds a listener and opens connections to it until one is no longer established within 200 ms.
     pub fn new() -> Self {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket is created");
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-            .expect("a port");
-        socket.listen(0).expect("a listener");
+            .expect("socket is bound to a free port");
+        socket.listen(0).expect("socket listens");
         let listener = TcpListener::from(socket);
-        let at = listener.local_addr().expect("an address");
-        let wait = Duration::from_millis(200);
-        let full = std::iter::from_fn(|| TcpStream::connect_timeout(&at, wait).ok()).collect();
-        Self { at, listener, full }
+        let at = listener.local_addr().expect("listener has a local address");
+        let timeout = Duration::from_millis(200);
+        let backlog_fillers =
+            std::iter::from_fn(|| TcpStream::connect_timeout(&at, timeout).ok()).collect();
+        Self {
+            at,
+            listener,
+            backlog_fillers,
+        }
     }
 
-    /// Waits until a connection that is not the test's own has been asked for, and does not come up.
+    /// Waits until the limiter tries to connect to this server and the connection is not established yet.
     pub fn wait_for_connect(&self) {
         let port = format!(":{:04X}", self.at.port());
-        let table = || std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
-        // Whom to, and 02: asked for, not answered.
-        let waits = |line: &str| {
-            let words: Vec<_> = line.split_whitespace().collect();
-            words[2].ends_with(&port) && words[3] == "02"
+        let table = || std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
+        // The third field is the remote address; state 02 is SYN_SENT.
+        let connecting = |line: &str| {
+            let fields: Vec<_> = line.split_whitespace().collect();
+            fields[2].ends_with(&port) && fields[3] == "02"
         };
-        until(table, |table| table.lines().any(waits));
+        until(table, |table| table.lines().any(connecting));
     }
 
-    /// Lets connections come up: what comes on the first that is not the test's own, up to its end.
+    /// Lets connections be established, and returns the bytes received on the first one that is not the test's own, until
+    /// it closes or is silent for [`CLOSE_DETECTION_LIMIT`].
     pub fn open(self) -> Vec<u8> {
-        self.listener.set_nonblocking(true).expect("a listener");
+        self.listener
+            .set_nonblocking(true)
+            .expect("listener is made non-blocking");
         let accept = || {
             until(|| self.listener.accept().ok(), Option::is_some)
-                .expect("a connection")
+                .expect("a connection is accepted")
                 .0
         };
-        for _ in &self.full {
+        for _ in &self.backlog_fillers {
             drop(accept());
         }
         let mut stream = accept();
-        let mut come = Vec::new();
+        let mut received = Vec::new();
         _ = stream.set_read_timeout(Some(CLOSE_DETECTION_LIMIT));
-        _ = stream.read_to_end(&mut come);
-        come
+        _ = stream.read_to_end(&mut received);
+        received
     }
 }
 
-/// A client closes its connection. A process that another test is just starting may hold a copy of the descriptor: to
-/// drop it alone would close the connection later.
+/// Closes the connection of a client with a shutdown of the socket. A process that another test is starting at the moment
+/// may have inherited the descriptor; dropping the client alone would then close the connection later.
 pub fn close(client: Client) {
     _ = client.0.get_ref().shutdown(Shutdown::Both);
 }
 
-/// What holds up the reader of a client that sends it: 0.36 s in all, from one command to the next.
+/// Returns eight commands of an unknown class. The limiter pauses reading from the client after each of them, for 0.36 s in
+/// total.
 pub fn malformed_commands() -> String {
     asking("dance", "bad", 500).repeat(8)
 }
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -1,4 +1,4 @@
-//! Events at upstream connections: resets, draining, late answers and connections that are established late.
+//! Events on upstream connections: resets, draining, late answers and connections that are established late.
 
 use crate::peers::{
     call, command, entry, http, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve,
@@ -16,72 +16,85 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Takes a hold to a server that answers with an error once it drains and another is there, which is shut: the
-/// repeat, if there is one, waits for its connection. What the client gets, and what comes to the other once `then` is done.
+/// Sends a keyed request to a server that starts draining and then answers with an error. The retry goes to another server,
+/// whose connection is not established until `before_open` has returned. `window` is the idempotency window.
+///
+/// Returns the client's answer, empty if `before_open` returns no client, and the bytes that the other server receives.
 fn retry_at_unresponsive_server(
     window: Duration,
-    then: impl FnOnce(Client) -> Option<Client>,
+    before_open: impl FnOnce(Client) -> Option<Client>,
 ) -> (String, Vec<u8>) {
-    let (gate, drained) = (Gate::default(), Gate::default());
-    let own = gate.clone();
+    let (gate, update_gate) = (Gate::default(), Gate::default());
+    let server_gate = gate.clone();
     let (server, seen) = resp_peer(move |_, _| {
-        own.pass();
+        server_gate.wait();
         Act::Say("-ERR failed\r\n".into())
     });
     let other = UnresponsiveServer::new();
-    let list = vec![
+    let entries = vec![
         entry("s-1", server, "terminating"),
         entry("s-2", other.at, "in_service"),
     ];
-    let news = serde_json::json!({"generation": 9, "reset": true, "instances": list}).to_string();
-    let own = drained.clone();
-    let list = peer(move |_, stream| {
-        let mut from = BufReader::new(stream);
-        _ = http(&mut from, false);
-        own.pass();
-        let chunk = format!("{:x}\r\n{news}\r\n", news.len());
+    let update =
+        serde_json::json!({"generation": 9, "reset": true, "instances": entries}).to_string();
+    let discovery_gate = update_gate.clone();
+    let discovery = peer(move |_, stream| {
+        let mut reader = BufReader::new(stream);
+        _ = http(&mut reader, false);
+        discovery_gate.wait();
+        let chunk = format!("{:x}\r\n{update}\r\n", update.len());
         let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
-        from.get_mut().write_all(text.as_bytes()).expect("written");
-        _ = http(&mut from, false);
+        reader
+            .get_mut()
+            .write_all(text.as_bytes())
+            .expect("response is written");
+        _ = http(&mut reader, false);
     });
-    let mut told = settings_with_long_deadlines(list, &[("s-1", server)]);
-    told["settings"]["classes"][1]["memorySpan"] = (window.as_micros() as u64).into();
-    let limiter = limiter(&told);
+    let mut config = settings_with_long_deadlines(discovery, &[("s-1", server)]);
+    config["settings"]["classes"][1]["memorySpan"] = (window.as_micros() as u64).into();
+    let limiter = limiter(&config);
     let mut client = Client::ready(&limiter);
     client.ask("hold", "id-1", 20_000);
     next(&seen);
-    drained.open();
-    let stat = || call(limiter.control.expect("a line"), "show-stat\n");
-    until(stat, |stat| stat.contains("limiter.servers_known=2\n"));
+    update_gate.open();
+    let statistics = || {
+        call(
+            limiter.control.expect("limiter has an admin address"),
+            "show-stat\n",
+        )
+    };
+    until(statistics, |statistics| {
+        statistics.contains("limiter.servers_known=2\n")
+    });
     gate.open();
-    // The end of the first attempt has been heard: the second is under way.
+    // The limiter has processed the end of the first attempt once it connects for the second.
     other.wait_for_connect();
-    let client = then(client);
-    let come = other.open();
+    let client = before_open(client);
+    let received = other.open();
     (
         client.map(|mut client| client.answer()).unwrap_or_default(),
-        come,
+        received,
     )
 }
 
 #[test]
 fn retry_is_not_written_if_its_connection_is_established_after_the_idempotency_window() {
     let window = Duration::from_secs(3);
-    let late = retry_at_unresponsive_server(window, |client| {
+    let outcome = retry_at_unresponsive_server(window, |client| {
         thread::sleep(window);
         Some(client)
     });
-    assert_eq!(late, ("-ERR failed".into(), Vec::new()));
+    assert_eq!(outcome, ("-ERR failed".into(), Vec::new()));
 }
 
 #[test]
 fn retry_is_not_written_if_its_client_closed_before_the_connection_was_established() {
-    let left = retry_at_unresponsive_server(Duration::from_secs(20), |client| {
+    let outcome = retry_at_unresponsive_server(Duration::from_secs(20), |client| {
         drop(client);
         thread::sleep(CLOSE_DETECTION_LIMIT);
         None
     });
-    assert_eq!(left, (String::new(), Vec::new()));
+    assert_eq!(outcome, (String::new(), Vec::new()));
 }
 
 #[test]
@@ -103,27 +116,32 @@
     let reset = |stream: &TcpStream| {
         SockRef::from(stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("a socket")
+            .expect("linger is set on the socket")
     };
-    let (tell, seen) = channel();
-    let tell = Mutex::new(tell);
+    let (id_sender, received_ids) = channel();
+    let id_sender = Mutex::new(id_sender);
     let server = peer(move |_, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = command(&mut stream, &mut bytes) {
             let id = words[2].clone();
-            _ = tell.lock().expect("whole").send(id.clone());
+            _ = id_sender
+                .lock()
+                .expect("lock is not poisoned")
+                .send(id.clone());
             let Act::Say(text) = serve(&id) else {
-                unreachable!("it serves")
+                unreachable!("serve returns Act::Say")
             };
             match id.split('-').next() {
                 Some("at") => return reset(&stream),
                 Some("half") => {
                     stream
                         .write_all(&text.as_bytes()[..text.len() / 2])
-                        .expect("written");
+                        .expect("response is written");
                     return reset(&stream);
                 }
-                _ => stream.write_all(text.as_bytes()).expect("written"),
+                _ => stream
+                    .write_all(text.as_bytes())
+                    .expect("response is written"),
             }
         }
     });
@@ -132,13 +150,13 @@
         &[("s-1", server), ("s-2", server)],
     ));
     let mut client = Client::ready(&limiter);
-    let mut told = Vec::new();
+    let mut answers = Vec::new();
     for id in ["at-1", "half-1", "at-2", "half-2", "well"] {
         client.ask("pay", id, 20_000);
-        told.push(client.answer());
+        answers.push(client.answer());
     }
     assert_eq!(
-        told,
+        answers,
         [
             "-ERR failed",
             "-ERR failed",
@@ -148,7 +166,7 @@
         ]
     );
     assert_eq!(
-        seen.try_iter().collect::<Vec<_>>(),
+        received_ids.try_iter().collect::<Vec<_>>(),
         ["at-1", "half-1", "at-2", "half-2", "well"]
     );
 }
@@ -156,90 +174,111 @@
 #[test]
 fn connection_with_a_short_idle_timeout_is_reused_within_it() {
     let (server, seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut told = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
-    told["settings"]["limits"]["connIdle"] = 2_000_000.into();
-    let limiter = limiter(&told);
+    let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
+    config["settings"]["limits"]["connIdle"] = 2_000_000.into();
+    let limiter = limiter(&config);
     let mut client = Client::ready(&limiter);
-    // With a rest between them, of which a server that is slow to be looked at only makes more.
+    // The pause exceeds the 20 ms after which a connection may be reused; a slow server only makes the pause longer.
     for number in 0..5 {
         client.ask("look", &number.to_string(), 20_000);
         assert_eq!(client.answer(), number.to_string());
         thread::sleep(Duration::from_millis(50));
     }
-    let lines: Vec<_> = seen
+    let connections: Vec<_> = seen
         .try_iter()
         .filter(|(_, words)| words.is_some())
-        .map(|(line, _)| line)
+        .map(|(connection, _)| connection)
         .collect();
-    assert!(lines.windows(2).any(|two| two[0] == two[1]), "{lines:?}");
+    assert!(
+        connections.windows(2).any(|pair| pair[0] == pair[1]),
+        "no two successive requests on one connection: {connections:?}"
+    );
 }
 
 #[test]
 fn attempt_waiting_for_a_connection_is_not_sent_to_a_server_that_starts_draining() {
-    for whole in [false, true] {
-        let (server, other) = (
+    for full_list in [false, true] {
+        let (server, spare_server) = (
             UnresponsiveServer::new(),
             resp_peer(|_, words| serve(&words[2])).0,
         );
-        let (gate, drained, spare) = (
+        let (gate, draining_entry, spare_entry) = (
             Gate::default(),
             entry("s-1", server.at, "terminating"),
-            entry("s-2", other, "in_service"),
+            entry("s-2", spare_server, "in_service"),
         );
-        let (own, list) = (
+        let (discovery_gate, entries) = (
             gate.clone(),
-            if whole {
-                vec![spare]
+            if full_list {
+                vec![spare_entry]
             } else {
-                vec![drained, spare]
+                vec![draining_entry, spare_entry]
             },
         );
-        let news =
-            serde_json::json!({"generation": 9, "reset": whole, "instances": list}).to_string();
-        let list = peer(move |_, stream| {
-            let mut from = BufReader::new(stream);
-            _ = http(&mut from, false);
-            let to = from.get_mut();
-            to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                .expect("written");
-            own.pass();
-            to.write_all(format!("{:x}\r\n{news}\r\n", news.len()).as_bytes())
-                .expect("written");
-            _ = http(&mut from, false);
+        let update = serde_json::json!({"generation": 9, "reset": full_list, "instances": entries})
+            .to_string();
+        let discovery = peer(move |_, stream| {
+            let mut reader = BufReader::new(stream);
+            _ = http(&mut reader, false);
+            let writer = reader.get_mut();
+            writer
+                .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .expect("response is written");
+            discovery_gate.wait();
+            writer
+                .write_all(format!("{:x}\r\n{update}\r\n", update.len()).as_bytes())
+                .expect("response is written");
+            _ = http(&mut reader, false);
         });
-        let limiter = limiter(&settings_with_long_deadlines(list, &[("s-1", server.at)]));
+        let limiter = limiter(&settings_with_long_deadlines(
+            discovery,
+            &[("s-1", server.at)],
+        ));
         let mut client = Client::ready(&limiter);
         client.ask("pay", "pay-1", 20_000);
         server.wait_for_connect();
         gate.open();
         let known = |known| format!("limiter.servers_known={known}\n");
-        let stat = || call(limiter.control.expect("a line"), "show-stat\n");
-        until(stat, |stat| {
-            stat.contains(&known(if whole { 1 } else { 2 }))
-                && stat.contains("limiter.in_flight=1\n")
+        let statistics = || {
+            call(
+                limiter.control.expect("limiter has an admin address"),
+                "show-stat\n",
+            )
+        };
+        until(statistics, |statistics| {
+            statistics.contains(&known(if full_list { 1 } else { 2 }))
+                && statistics.contains("limiter.in_flight=1\n")
         });
-        let (tell, come) = channel();
-        thread::spawn(move || tell.send(server.open()));
-        // It never ran, so that even a payment goes to the other.
+        let (bytes_sender, received) = channel();
+        thread::spawn(move || bytes_sender.send(server.open()));
+        // The first attempt was never sent, so even a request without idempotency is retried at the other server.
         assert_eq!(client.answer(), "pay-1");
-        assert_eq!(come.recv().expect("a connection"), b"", "whole: {whole}");
+        assert_eq!(
+            received.recv().expect("the first server gets a connection"),
+            b"",
+            "full list: {full_list}"
+        );
     }
 }
 
 #[test]
 fn late_second_answer_is_not_taken_for_the_answer_to_the_next_request() {
-    // Some milliseconds after the first, and before the next on the same connection.
-    let last: Mutex<HashMap<usize, (Instant, String)>> = Mutex::default();
+    // If the next request comes on the same connection within 10 ms, the server sends the previous answer once more before
+    // the new one.
+    let previous_answers: Mutex<HashMap<usize, (Instant, String)>> = Mutex::default();
     let (server, _seen) = resp_peer(move |number, words| {
-        let mut last = last.lock().expect("whole");
-        let before = last
+        let mut previous_answers = previous_answers.lock().expect("lock is not poisoned");
+        let repeated = previous_answers
             .get(&number)
             .filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
-        let Act::Say(own) = serve(&words[2]) else {
-            unreachable!("it serves")
+        let Act::Say(answer) = serve(&words[2]) else {
+            unreachable!("serve returns Act::Say")
         };
-        let text = before.map(|(_, again)| again.clone()).unwrap_or_default() + &own;
-        last.insert(number, (Instant::now(), own));
+        let text = repeated
+            .map(|(_, previous)| previous.clone())
+            .unwrap_or_default()
+            + &answer;
+        previous_answers.insert(number, (Instant::now(), answer));
         Act::Say(text)
     });
     let limiter = limiter(&settings(
@@ -256,23 +295,27 @@
 
 #[test]
 fn endless_answer_closes_its_connection_and_is_not_delivered() {
-    let (tell, ended) = channel();
-    let tell = Mutex::new(tell);
+    let (end_sender, write_ended) = channel();
+    let end_sender = Mutex::new(end_sender);
     let server = peer(move |number, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = command(&mut stream, &mut bytes) {
             if number == 0 {
-                // A line that goes on for as long as anybody reads it.
+                // A line without an end, written until the limiter closes the connection.
                 while stream.write_all(&[b'x'; 4_096]).is_ok() {}
-                return tell.lock().expect("whole").send(()).expect("the test");
+                return end_sender
+                    .lock()
+                    .expect("lock is not poisoned")
+                    .send(())
+                    .expect("the test still receives");
             }
             let Act::Say(text) = serve(&words[2]) else {
-                unreachable!("it serves")
+                unreachable!("serve returns Act::Say")
             };
             _ = stream.write_all(text.as_bytes());
         }
     });
-    // In the place of an answer's first byte, and of a simple string's text.
+    // The endless bytes come where the limiter expects the first byte of an answer or the text of a simple string.
     let limiter = limiter(&settings(
         quiet_list(),
         quota_counter().0,
@@ -281,7 +324,9 @@
     let mut client = Client::ready(&limiter);
     client.ask("pay", "pay-1", 1500);
     assert_eq!(client.answer(), "-ERR failed");
-    ended.recv().expect("an end of the writing");
+    write_ended
+        .recv()
+        .expect("writing fails once the connection is closed");
     client.ask("pay", "pay-2", 1500);
     assert_eq!(client.answer(), "pay-2");
 }
