--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -1,9 +1,11 @@
-//! The load that all limiters together put on freshly started servers stays within the capacity of these servers.
+//! The load that all limiters together put on freshly started servers stays within the capacity of
+//! these servers.
 //!
-//! Many engines share one set of servers. Every attempt is answered at once, the worst case, because slow answers would
-//! reduce the number of requests. The bound is the acceptance criterion: within any `overload_window`, the time in which
-//! an overloaded cold server fails, at most the number of requests that the settings allow, plus twice its square root
-//! for random variation, plus two.
+//! Many engines share one set of servers. Every attempt is answered at once, the worst case,
+//! because slow answers would reduce the number of requests. The bound is the acceptance criterion:
+//! within any `overload_window`, the time in which an overloaded cold server fails, at most the
+//! number of requests that the settings allow, plus twice its square root for random variation,
+//! plus two.
 
 mod common;
 use common::*;
@@ -34,7 +36,8 @@
     limiters_restart: bool,
     /// Traffic of limiter 0 as a multiple of the traffic of each other limiter.
     first_limiter_load: f64,
-    /// With `Some(n)`, every n-th limiter learns of the server restart [`UPDATE_DELAY`] later than the others.
+    /// With `Some(n)`, every n-th limiter learns of the server restart [`UPDATE_DELAY`] later than
+    /// the others.
     delayed_update_every: Option<usize>,
 }
 
@@ -46,6 +49,7 @@
     informed: bool,
 }
 
+/// Limiters that send to the same servers.
 struct Fleet {
     settings: Settings,
     engines: Vec<Engine>,
@@ -119,8 +123,8 @@
         engine
     }
 
-    /// Passes an event to the engine of a limiter, answers the attempts that result at once, and returns the servers of
-    /// these attempts.
+    /// Passes an event to the engine of a limiter, answers the attempts that result at once, and
+    /// returns the servers of these attempts.
     fn handle_event(&mut self, limiter: usize, now: Micros, event: Event) -> Vec<usize> {
         let (mut events, mut sent) = (vec![event], Vec::new());
         while let Some(event) = events.pop() {
@@ -239,7 +243,8 @@
     arrivals
 }
 
-/// Returns the number of requests that the settings allow a cold server within the `overload_window` that ends at `end`.
+/// Returns the number of requests that the settings allow a cold server within the
+/// `overload_window` that ends at `end`.
 fn allowed_requests(safety: &Safety, end: Micros) -> f64 {
     let begin = end
         .saturating_sub(safety.overload_window)
@@ -250,8 +255,9 @@
     safety.overload_multiple * capacity * WARM_RATE * safety.overload_window as f64 / SECOND as f64
 }
 
-/// Returns the peak number of requests at a cold server in a window, as a fraction of the number that overloads it:
-/// from all limiters, and from those that had received the endpoint update about the restart.
+/// Returns the peak number of requests at a cold server in a window, as a fraction of the number
+/// that overloads the server: from all limiters, and from those that had received the endpoint
+/// update about the restart.
 fn peak_load(arrivals: &[Arrival]) -> (f64, f64) {
     let safety = ramp_settings().safety;
     let load = |counts: &dyn Fn(&Arrival) -> bool, newest: &Arrival| {
@@ -282,18 +288,23 @@
     {
         let arrivals = simulate_server_restart(limiters, disturbance, seed);
         let (all, informed) = peak_load(&arrivals);
-        println!("{limiters} limiters, seed {seed}, {disturbance:?}: load {all:.2} from all limiters, {informed:.2} from informed ones");
+        println!(
+            "{limiters} limiters, seed {seed}, {disturbance:?}: load {all:.2} from all limiters, \
+             {informed:.2} from informed ones"
+        );
         assert!(
             !arrivals.is_empty(),
             "{limiters} limiters, seed {seed}: no request reached a cold server"
         );
         assert!(
             informed < 1.0,
-            "{limiters} limiters, seed {seed}: informed limiters sent {informed} of the load that overloads a cold server, want < 1"
+            "{limiters} limiters, seed {seed}: informed limiters sent {informed} of the load \
+             that overloads a cold server, want < 1"
         );
         assert!(
             all < 1.0,
-            "{limiters} limiters, seed {seed}: all limiters sent {all} of the load that overloads a cold server, want < 1"
+            "{limiters} limiters, seed {seed}: all limiters sent {all} of the load \
+             that overloads a cold server, want < 1"
         );
     }
 }
--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -1,4 +1,5 @@
-//! Overload: several limiter engines share simulated upstream servers that have a fixed number of cores.
+//! Overload: several limiter engines share simulated upstream servers that have a fixed number of
+//! cores.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/overload/overload.rs
+++ b/tests/overload/overload.rs
@@ -9,7 +9,8 @@
 
 #[test]
 fn overload_ends_within_seconds_of_its_cause() {
-    // Every server is four times slower for five seconds, in which the load far exceeds the capacity.
+    // Every server is four times slower for five seconds, in which the load far exceeds the
+    // capacity.
     for (limiters, servers) in [(3, 9), (48, 12), (300, 60)] {
         let served = World::new(limiters, servers, 3).run(18, 0.9, (4.0, 6..11));
         let (before, slow, after) = (
@@ -75,8 +76,8 @@
             "{limiters} limiters: fraction served by second {served:.2?}"
         );
         let server = &world.servers[0];
-        // Peak over all three-second windows of the arrivals, as a multiple of the requests that the server could process
-        // in the window with its capacity at the start of the window.
+        // Peak over all three-second windows of the arrivals, as a multiple of the requests that
+        // the server could process in the window with its capacity at the start of the window.
         let peak = (50..230).map(|step| {
             let start = START + step * 100 * MS;
             let arrivals = server
@@ -94,7 +95,8 @@
             .count();
         assert!(
             peak < 2.5 && arrivals_when_warm > 10,
-            "{limiters} limiters: peak arrivals {peak:.2} times the capacity, want < 2.5; {arrivals_when_warm} arrivals at the warm server, want > 10"
+            "{limiters} limiters: peak arrivals {peak:.2} times the capacity, want < 2.5; \
+             {arrivals_when_warm} arrivals at the warm server, want > 10"
         );
     }
 }
--- a/tests/overload/server.rs
+++ b/tests/overload/server.rs
@@ -5,14 +5,15 @@
 
 pub const MS: Micros = 1_000;
 
-/// Mean service time of a request on one core, in microseconds, as in the ferry division's settings.
+/// Mean service time of a request on one core, in microseconds, as in the ferry division's
+/// settings.
 pub const MEAN_SERVICE_MICROS: f64 = 100_000.0;
 
 /// Number of cores of a server, each of which processes one request at a time.
 pub const CORES: usize = 2;
 
-/// An upstream server with [`CORES`] cores and a bounded queue. Beyond three queued attempts per core, the service time
-/// grows with the length of the queue.
+/// An upstream server with [`CORES`] cores and a bounded queue. Beyond three queued attempts per
+/// core, the service time grows with the length of the queue.
 #[derive(Default)]
 pub struct SimulatedServer {
     /// Attempts that occupy a core, each as request number and attempt number.
@@ -28,8 +29,8 @@
 }
 
 impl SimulatedServer {
-    /// Returns the capacity as a fraction of that of a warm server of speed 1: it rises linearly from 0.16 at the start
-    /// to its full value after 18 s.
+    /// Returns the capacity as a fraction of that of a warm server of speed 1: it rises linearly
+    /// from 0.16 at the start to its full value after 18 s.
     pub fn capacity(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started_at) as f64 / 18e6;
         self.speed
--- a/tests/overload/world.rs
+++ b/tests/overload/world.rs
@@ -22,9 +22,11 @@
 /// Simulated time at which every world begins.
 pub const START: Micros = 100_000 * MS;
 
-/// An event of the simulation. An attempt is identified by its request number and its attempt number.
+/// An event of the simulation. An attempt is identified by its request number and its attempt
+/// number.
 pub enum SimulatedEvent {
-    /// A client sends a request. For a retry, `first_sent_at` is when the client first sent it; for a new request it is 0.
+    /// A client sends a request. For a retry, `first_sent_at` is when the client first sent it; for
+    /// a new request it is 0.
     Send {
         first_sent_at: Micros,
         retries_left: u32,
@@ -49,7 +51,8 @@
 /// The simulated limiters and servers, the requests of the clients, and the scheduled events.
 pub struct World {
     pub now: Micros,
-    /// Sequence number of the event that was scheduled last. Simultaneous events are handled in this order.
+    /// Sequence number of the event that was scheduled last. Simultaneous events are handled in
+    /// this order.
     pub sequence: u64,
     pub rng: StdRng,
     /// Time and sequence number of each scheduled event, the earliest first.
@@ -66,8 +69,8 @@
     pub first_limiter_load: usize,
     /// Number of requests by the second in which the client first sent them, retries not counted.
     pub first_sent: Vec<f64>,
-    /// Number of these requests that were answered within the latency objective, counted from when the client first sent
-    /// them.
+    /// Number of these requests that were answered within the latency objective, counted from when
+    /// the client first sent them.
     pub served: Vec<f64>,
 }
 
@@ -177,8 +180,9 @@
         ((at - START) / (1_000 * MS)) as usize
     }
 
-    /// Simulates `seconds` under a load of `load` times the capacity of the servers, and returns the fraction of requests
-    /// that were served in time, by second. All servers are `slowdown.0` times slower in the seconds `slowdown.1`.
+    /// Simulates `seconds` under a load of `load` times the capacity of the servers, and returns
+    /// the fraction of requests that were served in time, by second. All servers are `slowdown.0`
+    /// times slower in the seconds `slowdown.1`.
     pub fn run(
         &mut self,
         seconds: usize,
@@ -347,7 +351,8 @@
         }
     }
 
-    /// Cancels an attempt: it leaves the server's queue, but continues on the server if it already runs.
+    /// Cancels an attempt: it leaves the server's queue, but continues on the server if it already
+    /// runs.
     pub fn cancel_attempt(&mut self, number: usize, attempt: usize) {
         if let Some((server, _)) = self.requests[number].attempts[attempt].take() {
             self.servers[server]
@@ -377,7 +382,8 @@
         }
     }
 
-    /// Frees the core of a completed attempt, counts its request if served in time, and reports the outcome.
+    /// Frees the core of a completed attempt, counts its request if served in time, and reports the
+    /// outcome.
     pub fn complete_attempt(&mut self, server: usize, attempt: (usize, usize)) {
         self.servers[server]
             .running
@@ -422,8 +428,8 @@
         self.handle_event(self.requests[number].limiter, Event::AttemptEnded(ended));
     }
 
-    /// Finishes a request without an answer; the client retries it if retries and time are left. With equal chance the
-    /// client waits for `retry_after` or for 60 ms.
+    /// Finishes a request without an answer; the client retries it if retries and time are left.
+    /// With equal chance the client waits for `retry_after` or for 60 ms.
     pub fn retry_or_finish(&mut self, number: usize, retry_after: Micros) {
         let SimulatedRequest {
             first_sent_at,
--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -1,4 +1,5 @@
-//! A client closes its connection while its requests wait: none of these may be forwarded to an upstream server.
+//! A client closes its connection while its requests wait: none of these may be forwarded to an
+//! upstream server.
 
 use crate::peers::{
     answer, asking, asking_for, counted, http_peer, limiter, next, quiet_list, resp_peer, serve,
@@ -15,10 +16,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Checks that no request of a client is forwarded if the client closes while they are queued for a busy server.
+/// Checks that no request of a client is forwarded if the client closes while they are queued for a
+/// busy server.
 ///
-/// The client sends a request and `sent_after`; there are then `in_flight` requests, including the one that occupies the
-/// server. The client runs `before_close` and closes its connection, and the server is released `gate_delay` later.
+/// The client sends a request and `sent_after`; there are then `in_flight` requests, including the
+/// one that occupies the server. The client runs `before_close` and closes its connection, and the
+/// server is released `gate_delay` later.
 fn check_close_while_queued(
     sent_after: &str,
     in_flight: usize,
@@ -55,7 +58,8 @@
 #[test]
 fn queued_request_is_not_forwarded_after_a_close_behind_unread_input() {
     let before_close = |client: &mut Client| {
-        // The limiter stops reading at a malformed command, so it does not read up to the end of the connection.
+        // The limiter stops reading at a malformed command, so it does not read up to the end of
+        // the connection.
         _ = client.0.get_mut().write_all(b"*x\r\n");
         _ = client.0.get_mut().write_all(&vec![b'x'; 512 * 1024]);
     };
@@ -74,8 +78,8 @@
 
 #[test]
 fn nothing_is_forwarded_after_a_close_while_the_reader_is_paused() {
-    // The reader is paused by malformed commands, which follow the queued request directly, follow further requests, or
-    // precede a part of a request.
+    // The reader is paused by malformed commands, which follow the queued request directly, follow
+    // further requests, or precede a part of a request.
     let further_requests = asking("pay", "behind", 20_000) + &asking("hold", "last", 20_000);
     let partial_request = asking("pay", "half", 20_000).split_at(30).0.to_owned();
     for (sent_after, in_flight) in [
@@ -110,16 +114,16 @@
     assert_eq!(request_ids(&seen), ["after"]);
 }
 
-/// Starts a limiter whose share of a quota is smaller than the units of a request, and a client whose request waits until
-/// the counter, which waits at the gate, grants the rest. Returns them with the gate and the commands that the server
-/// receives.
+/// Starts a limiter whose share of a quota is smaller than the units of a request, and a client
+/// whose request waits until the counter, which waits at the gate, grants the rest. Returns them
+/// with the gate and the commands that the server receives.
 fn limiter_waiting_for_counter() -> (Running, Client, Gate, Seen) {
     let (gate, (call_sender, calls)) = (Gate::default(), channel());
     let (counter_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
-    let counter = http_peer(move |first, _, _| {
+    let counter = http_peer(move |request_line, _, _| {
         _ = call_sender.lock().expect("lock is not poisoned").send(());
         counter_gate.wait();
-        answer("200 OK", &counted(first).1.to_string())
+        answer("200 OK", &counted(request_line).1.to_string())
     });
     let (server, seen) = resp_peer(|_, words| serve(&words[2]));
     let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
@@ -158,7 +162,8 @@
         &[("s-1", server)],
     ));
     let mut client = Client::ready(&limiter);
-    // The limiter pauses after each malformed command, so that the client has closed before its request is read.
+    // The limiter pauses after each malformed command, so that the client has closed before its
+    // request is read.
     let malformed = |times| asking("dance", "bad", 500).repeat(times);
     client.say(&(malformed(8) + &asking("look", "left", 20_000) + &malformed(2)));
     client
@@ -217,20 +222,21 @@
     ));
     let mut first = Client::ready(&limiter);
     // A round in which the client closed too late, as on a busy machine, is not counted.
-    let round = |number: &usize| {
+    let closes_in_time = |number: &usize| {
         let mut closing_client = Client::ready(&limiter);
-        let began = Instant::now();
+        let round_started_at = Instant::now();
         first.ask("look", "first", 20_000);
         assert_eq!(first.answer(), "first");
-        // This request waits for the connection of the first one, which may be reused 20 ms after its answer.
+        // This request waits for the connection of the first one, which may be reused 20 ms after
+        // its answer.
         closing_client
             .say(&(asking("look", &format!("left-{number}"), 20_000) + &malformed_commands()));
         thread::sleep(Duration::from_millis(4));
         close(closing_client);
-        began.elapsed() < Duration::from_millis(18)
+        round_started_at.elapsed() < Duration::from_millis(18)
     };
     let valid_round = (0..500)
-        .find(round)
+        .find(closes_in_time)
         .expect("one of 500 rounds closes the client within 18 ms");
     wait_for_in_flight(&limiter, 0);
     let seen = request_ids(&seen);
--- a/tests/races/client_close_http.rs
+++ b/tests/races/client_close_http.rs
@@ -1,4 +1,5 @@
-//! A client of the OpenAPI front closes its connection while its request waits: the request may not be forwarded.
+//! A client of the OpenAPI front closes its connection while its request waits: the request may not
+//! be forwarded.
 
 use crate::peers::{answer, http_peer, openapi_limiter, until, Client, Program};
 use crate::support::{close, wait_for_in_flight, Gate};
@@ -9,54 +10,59 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const FERRY: &str = include_str!("../../deploy/ferry.openapi.json");
+const FERRY_DESCRIPTION: &str = include_str!("../../deploy/ferry.openapi.json");
 
-/// Returns the configuration of a limiter with an OpenAPI front, the gate at which its upstream server holds requests for
-/// reports back, and the paths that the server receives.
+/// Returns the configuration of a limiter with an OpenAPI front, the gate at which its upstream
+/// server holds requests for reports back, and the paths that the server receives.
 fn gated_openapi_limiter() -> (Value, Gate, std::sync::mpsc::Receiver<String>) {
     let (gate, (path_sender, seen)) = (Gate::default(), channel());
     let (server_gate, path_sender) = (gate.clone(), Mutex::new(path_sender));
-    let server = http_peer(move |first, _, _| {
-        _ = path_sender
-            .lock()
-            .expect("lock is not poisoned")
-            .send(first.split(' ').nth(1).unwrap_or_default().to_owned());
-        if first.contains("reports") {
+    let server = http_peer(move |request_line, _, _| {
+        _ = path_sender.lock().expect("lock is not poisoned").send(
+            request_line
+                .split(' ')
+                .nth(1)
+                .unwrap_or_default()
+                .to_owned(),
+        );
+        if request_line.contains("reports") {
             server_gate.wait();
         }
         answer("200 OK", "{}")
     });
-    let mut file: Value = serde_json::from_str(include_str!("../../deploy/openapi.json"))
+    let mut config: Value = serde_json::from_str(include_str!("../../deploy/openapi.json"))
         .expect("deploy/openapi.json is JSON");
-    (file["listen"], file["control"]) = ("127.0.0.1:0".into(), "127.0.0.1:0".into());
-    (file["store"], file["ticket_nodes"]) = (
+    (config["listen"], config["control"]) = ("127.0.0.1:0".into(), "127.0.0.1:0".into());
+    (config["store"], config["ticket_nodes"]) = (
         serde_json::json!({}),
         serde_json::json!([{"name": "node-0", "address": server.to_string()}]),
     );
-    (file, gate, seen)
+    (config, gate, seen)
 }
 
-fn send_http(at: SocketAddr, line: &str) -> Client {
+/// Connects to the limiter and sends a request with this method and path.
+fn send_http(at: SocketAddr, method_and_path: &str) -> Client {
     let mut client = Client::connect_at(at);
     client.say(&format!(
-        "{line} HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\nContent-Length: 0\r\n\r\n"
+        "{method_and_path} HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\nContent-Length: 0\r\n\r\n"
     ));
     client
 }
 
 #[test]
 fn http_request_is_not_forwarded_after_a_close_while_the_limiter_was_stopped() {
-    // The limiter is stopped while the attempt waits for the upstream connection, which may be reused 20 ms after its last
-    // answer. When the limiter continues, that time has passed and the client has closed. A round in which the limiter was
-    // stopped too late is not counted.
+    // The limiter is stopped while the attempt waits for the upstream connection, which may be
+    // reused 20 ms after its last answer. When the limiter continues, that time has passed and the
+    // client has closed. A round in which the limiter was stopped too late is not counted.
     let round = |number: &usize| {
-        let (file, gate, seen) = gated_openapi_limiter();
+        let (config, gate, seen) = gated_openapi_limiter();
         let folder = std::env::temp_dir().join(format!(
             "mossrill-stopped-limiter-{number}-{}",
             std::process::id()
         ));
         std::fs::create_dir_all(&folder).expect("temporary folder is created");
-        let program = Program::start_openapi("stopped-limiter", &file, FERRY, &folder);
+        let program =
+            Program::start_openapi("stopped-limiter", &config, FERRY_DESCRIPTION, &folder);
         program.call_until("ready", "YES");
         let mut first = send_http(program.at, "GET /v1/reports/daily");
         assert_eq!(
@@ -66,19 +72,19 @@
         let closing_client = send_http(program.at, "POST /v1/tickets");
         until(
             || program.call("show-stat"),
-            |stat| stat.contains("limiter.in_flight=2\n"),
+            |statistics| statistics.contains("limiter.in_flight=2\n"),
         );
-        let began = Instant::now();
+        let gate_opened_at = Instant::now();
         gate.open();
         assert_eq!(first.line(), "HTTP/1.1 200 OK");
         program.stands_still();
-        let in_time = began.elapsed() < Duration::from_millis(15);
+        let in_time = gate_opened_at.elapsed() < Duration::from_millis(15);
         thread::sleep(Duration::from_millis(30));
         close(closing_client);
         program.goes_on();
         until(
             || program.call("show-stat"),
-            |stat| stat.contains("limiter.in_flight=0\n"),
+            |statistics| statistics.contains("limiter.in_flight=0\n"),
         );
         _ = std::fs::remove_dir_all(&folder);
         in_time.then(|| seen.try_iter().collect::<Vec<_>>())
@@ -92,9 +98,9 @@
 
 #[test]
 fn queued_http_request_is_not_forwarded_after_its_client_closed() {
-    let (file, gate, seen) = gated_openapi_limiter();
-    let limiter = openapi_limiter(&file, FERRY);
-    let send = |line: &str| send_http(limiter.at, line);
+    let (config, gate, seen) = gated_openapi_limiter();
+    let limiter = openapi_limiter(&config, FERRY_DESCRIPTION);
+    let send = |method_and_path: &str| send_http(limiter.at, method_and_path);
     let mut first = send("GET /v1/reports/daily");
     assert_eq!(
         seen.recv().expect("the server receives a request"),
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -19,7 +19,8 @@
         .expect("sh is started")
 }
 
-/// A measurement, not a test: `cargo test --release --test races -- --ignored --nocapture time_from_client_close`.
+/// A measurement, not a test: `cargo test --release --test races -- --ignored --nocapture
+/// time_from_client_close`.
 #[test]
 #[ignore = "a measurement"]
 fn time_from_client_close_to_last_attempt_at_a_tenth_of_a_core() {
@@ -42,12 +43,12 @@
     let program = Program::start("after-the-close", &config);
     program.call_until("ready", "YES");
     let mut throttle = throttle_to_a_tenth_of_a_core(&program, Duration::from_secs(30));
-    let (at, began) = (program.at, Instant::now());
+    let (at, started_at) = (program.at, Instant::now());
     let clients = (0..80).map(|client_number| {
         thread::spawn(move || {
             let (mut closed, mut rng) = (Vec::new(), fastrand::Rng::with_seed(client_number));
             for request_number in 0.. {
-                if began.elapsed() > Duration::from_secs(20) {
+                if started_at.elapsed() > Duration::from_secs(20) {
                     break;
                 }
                 let id = format!("left-{client_number}-{request_number}");
@@ -85,13 +86,17 @@
             .or(latencies.last())
     };
     println!(
-        "{} clients closed, {} attempts arrived before and {} after the close: 50th percentile {:?}, 99th {:?}, maximum {:?}, {} later than 0.1 s",
+        "{} clients closed, {} attempts arrived before and {} after the close: \
+        50th percentile {:?}, 99th {:?}, maximum {:?}, {} later than 0.1 s",
         closed.len(),
         arrived.len() - latencies.len(),
         latencies.len(),
         percentile(0.5),
         percentile(0.99),
         latencies.last(),
-        latencies.iter().filter(|latency| **latency > Duration::from_millis(100)).count()
+        latencies
+            .iter()
+            .filter(|latency| **latency > Duration::from_millis(100))
+            .count()
     );
 }
--- a/tests/races/counter.rs
+++ b/tests/races/counter.rs
@@ -14,10 +14,10 @@
 fn slow_counter_call_keeps_its_connection() {
     let (gate, (call_sender, calls)) = (Gate::default(), channel());
     let (counter_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
-    let counter = http_peer(move |first, _, _| {
+    let counter = http_peer(move |request_line, _, _| {
         _ = call_sender.lock().expect("lock is not poisoned").send(());
         counter_gate.wait();
-        answer("200 OK", &counted(first).1.to_string())
+        answer("200 OK", &counted(request_line).1.to_string())
     });
     let (reply_sender, replies) = channel();
     let reply_sender = Mutex::new(reply_sender);
@@ -47,8 +47,8 @@
     };
     send_addition(1);
     calls.recv().expect("the counter receives a call");
-    // With a call timeout of 50 ms, a call that is unanswered for this long blocks the replies behind it, and the connection
-    // is replaced. Here the call timeout is 20 s.
+    // With a call timeout of 50 ms, a call that is unanswered for this long blocks the replies
+    // behind it, and the connection is replaced. Here the call timeout is 20 s.
     thread::sleep(Duration::from_millis(400));
     send_addition(2);
     gate.open();
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -14,31 +14,35 @@
 use std::thread;
 use std::time::Duration;
 
-/// Starts a service discovery server. It answers the first connection's watch with `event`, split in the middle into two
-/// chunks, later watches with an empty stream, and full reads with `full_list`. Returns its address and the request lines
-/// that it receives.
+/// Starts a service discovery server. It answers the first connection's watch with `event`, split
+/// in the middle into two chunks, later watches with an empty stream, and full reads with
+/// `full_list`. Returns its address and the request lines that it receives.
 fn discovery_with_split_event(
     event: String,
     full_list: String,
 ) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (request_sender, received) = channel();
     let request_sender = Mutex::new(request_sender);
-    let at = peer(move |number, stream| {
+    let at = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut reader, false) else {
+        let Ok((request_line, ..)) = http(&mut reader, false) else {
             return;
         };
         _ = request_sender
             .lock()
             .expect("lock is not poisoned")
-            .send(first.clone());
+            .send(request_line.clone());
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if first.contains("watch") {
+        if request_line.contains("watch") {
             let (first_half, second_half) = event.split_at(event.len() / 2);
             let chunks = [first_half, second_half]
                 .map(|half| format!("{:x}\r\n{half}\r\n", half.len()))
                 .concat();
-            let chunks = if number == 0 { chunks } else { String::new() };
+            let chunks = if connection_number == 0 {
+                chunks
+            } else {
+                String::new()
+            };
             reader
                 .get_mut()
                 .write_all((head.to_owned() + &chunks).as_bytes())
@@ -138,8 +142,8 @@
     }
 }
 
-/// Starts a server that answers "old" and one that answers "new". Returns the address of the first, and the endpoint update
-/// by which the first drains and the second is added.
+/// Starts a server that answers "old" and one that answers "new". Returns the address of the first,
+/// and the endpoint update by which the first drains and the second is added.
 fn replaced_server() -> (SocketAddr, String) {
     let (old_server, new_server) = (
         resp_peer(|_, _| serve("old")).0,
@@ -159,10 +163,10 @@
 #[test]
 fn repeatedly_reset_watch_is_reopened_within_the_drain_grace() {
     let (old_server, update) = replaced_server();
-    let discovery = peer(move |number, stream| {
+    let discovery = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         _ = http(&mut reader, false);
-        let chunk = if number < 24 {
+        let chunk = if connection_number < 24 {
             String::new()
         } else {
             format!("{:x}\r\n{update}\r\n", update.len())
@@ -172,15 +176,15 @@
             .get_mut()
             .write_all(response.as_bytes())
             .expect("response is written");
-        if number >= 24 {
+        if connection_number >= 24 {
             _ = http(&mut reader, false);
         }
         SockRef::from(reader.get_ref())
             .set_linger(Some(Duration::ZERO))
             .expect("linger is set on the socket");
     });
-    // In a fleet of 300, a limiter that treats a reset watch as a rejected poll waits for seconds each time: over a minute
-    // for the 24 resets.
+    // In a fleet of 300, a limiter that treats a reset watch as a rejected poll waits for seconds
+    // each time: over a minute for the 24 resets.
     let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
     config["settings"]["balancers"] = 300.into();
     config["settings"]["safety"]["drainGrace"] = 150_000.into();
@@ -191,12 +195,12 @@
 #[test]
 fn discovery_calls_without_or_with_endless_answers_time_out_early() {
     let (old_server, update) = replaced_server();
-    let discovery = peer(move |number, stream| {
+    let discovery = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         _ = http(&mut reader, false);
         let writer = reader.get_mut();
         // The first three calls get no response, the next two get a response head that never ends.
-        if (3..5).contains(&number) {
+        if (3..5).contains(&connection_number) {
             writer
                 .write_all(b"HTTP/1.1 200 OK\r\nX: ")
                 .expect("response is written");
@@ -205,7 +209,7 @@
             }
             return;
         }
-        if number >= 5 {
+        if connection_number >= 5 {
             let response = format!(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{update}\r\n",
                 update.len()
@@ -235,15 +239,15 @@
         writer
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .expect("response is written");
-        // Events follow each other as fast as the limiter reads them, so that some are in transit when it moves to the new
-        // address.
+        // Events follow each other as fast as the limiter reads them, so that some are in transit
+        // when it moves to the new address.
         for generation in 8.. {
-            let stale_entries = [
+            let entries = [
                 entry("s-1", old_server, "in_service"),
                 entry("s-2", new_server, "terminated"),
             ];
             let update =
-                serde_json::json!({"generation": generation, "reset": false, "instances": stale_entries})
+                serde_json::json!({"generation": generation, "reset": false, "instances": entries})
                     .to_string();
             if writer
                 .write_all(format!("{:x}\r\n{update}\r\n", update.len()).as_bytes())
@@ -291,8 +295,8 @@
             .to_string()
             + "\n"
     };
-    // The first watch gets no response at all, the second a malformed event. Between the full read and the next watch, the
-    // old server starts draining and a new one is added.
+    // The first watch gets no response at all, the second a malformed event. Between the full read
+    // and the next watch, the old server starts draining and a new one is added.
     let full_list = update(8, true, vec![entry("s-1", old_server, "in_service")]);
     let changed_entries = update(
         9,
@@ -304,22 +308,22 @@
     );
     let (request_sender, received) = channel();
     let request_sender = Mutex::new(request_sender);
-    let discovery = peer(move |number, stream| {
+    let discovery = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut reader, false) else {
+        let Ok((request_line, ..)) = http(&mut reader, false) else {
             return;
         };
         _ = request_sender
             .lock()
             .expect("lock is not poisoned")
-            .send(first);
+            .send(request_line);
         let chunked = |event: &str| {
             format!(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{event}\r\n",
                 event.len()
             )
         };
-        let response = match number {
+        let response = match connection_number {
             0 => String::new(),
             1 => chunked("what\n"),
             2 => format!(
--- a/tests/races/main.rs
+++ b/tests/races/main.rs
@@ -1,6 +1,8 @@
-//! Races: a request, an answer, an endpoint update or a signal arrives between two steps of the limiter.
+//! Races: a request, an answer, an endpoint update or a signal arrives between two steps of the
+//! limiter.
 //!
-//! Each race is forced by a peer that delays or splits what it sends, or that waits at a gate; no test relies on chance.
+//! Each race is forced by a peer that delays or splits what it sends, or that waits at a gate; no
+//! test relies on chance.
 
 #[path = "../peers/mod.rs"]
 mod peers;
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -32,7 +32,8 @@
     program.signal("TERM");
     assert!(held.answer().starts_with('-'));
     program.ends();
-    // At least 2 ms, a tenth of the poll time of 20 ms, pass between two polls. Without a wait there are thousands of calls.
+    // At least 2 ms, a tenth of the poll time of 20 ms, pass between two polls. Without a wait
+    // there are thousands of calls.
     let call_count = calls.try_iter().count();
     assert!(
         call_count < 500,
@@ -67,7 +68,8 @@
         .collect();
     next(&seen);
     program.signal("TERM");
-    // Further requests on the same connection are each answered, or the connection closes before the answer.
+    // Further requests on the same connection are each answered, or the connection closes before
+    // the answer.
     for client in &mut clients {
         let first_answer = client.answer();
         assert!(first_answer.starts_with('-'), "{first_answer}");
@@ -95,8 +97,8 @@
     ) = (1e6.into(), 1e6.into());
     let program = Program::start("request-during-shutdown", &config);
     let at = program.at;
-    // Each client sends one request after another on a connection, and opens a new one once that closes, until the limiter
-    // no longer accepts connections.
+    // Each client sends one request after another on a connection, and opens a new one once that
+    // closes, until the limiter no longer accepts connections.
     let clients: Vec<_> = (0..6)
         .map(|client_number| {
             thread::spawn(move || {
@@ -158,8 +160,9 @@
     client.ask("look", "first", 20_000);
     assert_eq!(client.answer(), "first");
     let stop_thread = thread::spawn(move || limiter.stop());
-    // Idle connections are closed 0.45 s after the request to stop. No answer is pending on this connection then, but its
-    // reader, which malformed commands pause for 0.36 s, has received the request already.
+    // Idle connections are closed 0.45 s after the request to stop. No answer is pending on this
+    // connection then, but its reader, which malformed commands pause for 0.36 s, has received the
+    // request already.
     thread::sleep(Duration::from_millis(250));
     client.say(&(asking("dance", "bad", 500).repeat(8) + &asking("pay", "in-hand", 20_000)));
     let answers: Vec<_> = (0..9).map(|_| client.answer()).collect();
@@ -171,8 +174,8 @@
 fn request_accepted_after_the_core_ended_is_answered_and_its_connection_closed() {
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
-    // Shorter than the time in which connections are still accepted, so the core ends with that time, 0.45 s after the request
-    // to stop.
+    // Shorter than the time in which connections are still accepted, so the core ends with that
+    // time, 0.45 s after the request to stop.
     for class in config["settings"]["classes"]
         .as_array_mut()
         .expect("classes are an array")
@@ -185,7 +188,8 @@
     assert!(!client.answer().is_empty());
     let stop_thread = thread::spawn(move || limiter.stop());
     thread::sleep(Duration::from_millis(300));
-    // The reader has received all of this, and gets to the request after the pauses of 0.36 s for the malformed commands.
+    // The reader has received all of this, and gets to the request after the pauses of 0.36 s for
+    // the malformed commands.
     client.say(&(asking("dance", "bad", 500).repeat(8) + &asking("pay", "in-hand", 50)));
     stop_thread.join().expect("limiter stops without a panic");
     let answers: Vec<_> = (0..10).map(|_| client.answer()).collect();
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -38,10 +38,13 @@
     }
 }
 
-/// Returns a configuration with an admin address, and with deadlines and a connect timeout that are too long to pass
-/// during a race.
-pub fn settings_with_long_deadlines(list: SocketAddr, servers: &[(&str, SocketAddr)]) -> Value {
-    let mut config = settings(list, quota_counter().0, servers);
+/// Returns a configuration with an admin address, and with deadlines and a connect timeout that are
+/// too long to pass during a race.
+pub fn settings_with_long_deadlines(
+    discovery: SocketAddr,
+    servers: &[(&str, SocketAddr)],
+) -> Value {
+    let mut config = settings(discovery, quota_counter().0, servers);
     for class in config["settings"]["classes"]
         .as_array_mut()
         .expect("classes are an array")
@@ -63,12 +66,12 @@
                 "show-stat\n",
             )
         },
-        |stat| stat.contains(&line),
+        |statistics| statistics.contains(&line),
     );
 }
 
-/// Starts a server that holds the request with the id `held_id` back at a gate and serves all others. Returns its address, the
-/// gate and the commands that it receives.
+/// Starts a server that holds the request with the id `held_id` back at a gate and serves all
+/// others. Returns its address, the gate and the commands that it receives.
 pub fn gated_server(held_id: &'static str) -> (SocketAddr, Gate, Seen) {
     let gate = Gate::default();
     let server_gate = gate.clone();
@@ -81,7 +84,8 @@
     (at, gate, seen)
 }
 
-/// Returns the ids of the requests that a server has received and that were not read from `seen` before.
+/// Returns the ids of the requests that a server has received and that were not read from `seen`
+/// before.
 pub fn request_ids(seen: &Seen) -> Vec<String> {
     seen.try_iter()
         .filter_map(|(_, words)| Some(words?[2].clone()))
@@ -98,7 +102,8 @@
 }
 
 impl UnresponsiveServer {
-    /// Binds a listener and opens connections to it until one is no longer established within 200 ms.
+    /// Binds a listener and opens connections to it until one is no longer established within 200
+    /// ms.
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket is created");
         socket
@@ -117,7 +122,8 @@
         }
     }
 
-    /// Waits until the limiter tries to connect to this server and the connection is not established yet.
+    /// Waits until the limiter tries to connect to this server and the connection is not
+    /// established yet.
     pub fn wait_for_connect(&self) {
         let port = format!(":{:04X}", self.at.port());
         let table = || std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
@@ -129,8 +135,8 @@
         until(table, |table| table.lines().any(connecting));
     }
 
-    /// Lets connections be established, and returns the bytes received on the first one that is not the test's own, until
-    /// it closes or is silent for [`CLOSE_DETECTION_LIMIT`].
+    /// Lets connections be established, and returns the bytes received on the first one that is not
+    /// the test's own, until it closes or is silent for [`CLOSE_DETECTION_LIMIT`].
     pub fn open(self) -> Vec<u8> {
         self.listener
             .set_nonblocking(true)
@@ -151,14 +157,15 @@
     }
 }
 
-/// Closes the connection of a client with a shutdown of the socket. A process that another test is starting at the moment
-/// may have inherited the descriptor; dropping the client alone would then close the connection later.
+/// Closes the connection of a client with a shutdown of the socket. A process that another test is
+/// starting at the moment may have inherited the descriptor; dropping the client alone would then
+/// close the connection later.
 pub fn close(client: Client) {
     _ = client.0.get_ref().shutdown(Shutdown::Both);
 }
 
-/// Returns eight commands of an unknown class. The limiter pauses reading from the client after each of them, for 0.36 s in
-/// total.
+/// Returns eight commands of an unknown class. The limiter pauses reading from the client after
+/// each of them, for 0.36 s in total.
 pub fn malformed_commands() -> String {
     asking("dance", "bad", 500).repeat(8)
 }
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -1,4 +1,5 @@
-//! Events on upstream connections: resets, draining, late answers and connections that are established late.
+//! Events on upstream connections: resets, draining, late answers and connections that are
+//! established late.
 
 use crate::peers::{
     call, command, entry, http, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve,
@@ -16,10 +17,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Sends a keyed request to a server that starts draining and then answers with an error. The retry goes to another server,
-/// whose connection is not established until `before_open` has returned. `window` is the idempotency window.
+/// Sends a keyed request to a server that starts draining and then answers with an error. The retry
+/// goes to another server, whose connection is not established until `before_open` has returned.
+/// `window` is the idempotency window.
 ///
-/// Returns the client's answer, empty if `before_open` returns no client, and the bytes that the other server receives.
+/// Returns the client's answer, empty if `before_open` returns no client, and the bytes that the
+/// other server receives.
 fn retry_at_unresponsive_server(
     window: Duration,
     before_open: impl FnOnce(Client) -> Option<Client>,
@@ -178,7 +181,8 @@
     config["settings"]["limits"]["connIdle"] = 2_000_000.into();
     let limiter = limiter(&config);
     let mut client = Client::ready(&limiter);
-    // The pause exceeds the 20 ms after which a connection may be reused; a slow server only makes the pause longer.
+    // The pause exceeds the 20 ms after which a connection may be reused; a slow server only makes
+    // the pause longer.
     for number in 0..5 {
         client.ask("look", &number.to_string(), 20_000);
         assert_eq!(client.answer(), number.to_string());
@@ -251,7 +255,8 @@
         });
         let (bytes_sender, received) = channel();
         thread::spawn(move || bytes_sender.send(server.open()));
-        // The first attempt was never sent, so even a request without idempotency is retried at the other server.
+        // The first attempt was never sent, so even a request without idempotency is retried at the
+        // other server.
         assert_eq!(client.answer(), "pay-1");
         assert_eq!(
             received.recv().expect("the first server gets a connection"),
@@ -263,13 +268,13 @@
 
 #[test]
 fn late_second_answer_is_not_taken_for_the_answer_to_the_next_request() {
-    // If the next request comes on the same connection within 10 ms, the server sends the previous answer once more before
-    // the new one.
+    // If the next request comes on the same connection within 10 ms, the server sends the previous
+    // answer once more before the new one.
     let previous_answers: Mutex<HashMap<usize, (Instant, String)>> = Mutex::default();
-    let (server, _seen) = resp_peer(move |number, words| {
+    let (server, _seen) = resp_peer(move |connection_number, words| {
         let mut previous_answers = previous_answers.lock().expect("lock is not poisoned");
         let repeated = previous_answers
-            .get(&number)
+            .get(&connection_number)
             .filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
         let Act::Say(answer) = serve(&words[2]) else {
             unreachable!("serve returns Act::Say")
@@ -278,7 +283,7 @@
             .map(|(_, previous)| previous.clone())
             .unwrap_or_default()
             + &answer;
-        previous_answers.insert(number, (Instant::now(), answer));
+        previous_answers.insert(connection_number, (Instant::now(), answer));
         Act::Say(text)
     });
     let limiter = limiter(&settings(
@@ -297,10 +302,10 @@
 fn endless_answer_closes_its_connection_and_is_not_delivered() {
     let (end_sender, write_ended) = channel();
     let end_sender = Mutex::new(end_sender);
-    let server = peer(move |number, mut stream| {
+    let server = peer(move |connection_number, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = command(&mut stream, &mut bytes) {
-            if number == 0 {
+            if connection_number == 0 {
                 // A line without an end, written until the limiter closes the connection.
                 while stream.write_all(&[b'x'; 4_096]).is_ok() {}
                 return end_sender
@@ -315,7 +320,8 @@
             _ = stream.write_all(text.as_bytes());
         }
     });
-    // The endless bytes come where the limiter expects the first byte of an answer or the text of a simple string.
+    // The endless bytes come where the limiter expects the first byte of an answer or the text of a
+    // simple string.
     let limiter = limiter(&settings(
         quiet_list(),
         quota_counter().0,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Checks the limiter's rules on requests, attempts and replies over seeded random sequences of legal events.
+//! Checks the limiter's rules on requests, attempts and replies over seeded random sequences of
+//! legal events.
 //!
 //! The checker sees only the events and actions of the engine, not its state.
 
@@ -12,7 +13,8 @@
     class: usize,
     account: String,
     deadline: Micros,
-    /// Server, send time and outcome of each attempt; the outcome is `None` while the attempt is open.
+    /// Server, send time and outcome of each attempt; the outcome is `None` while the attempt is
+    /// open.
     attempts: Vec<(ServerId, Micros, Option<Outcome>)>,
     answered: bool,
     /// Whether the client closed its connection before the answer.
@@ -24,7 +26,8 @@
 struct RuleChecker {
     requests: BTreeMap<String, TrackedRequest>,
     server_ready: BTreeMap<ServerId, bool>,
-    /// Per account, the units in the token bucket of its ceiling, and when the bucket was last updated.
+    /// Per account, the units in the token bucket of its ceiling, and when the bucket was last
+    /// updated.
     ceiling_buckets: BTreeMap<String, (f64, Micros)>,
     sends: usize,
     rejections: usize,
@@ -95,8 +98,8 @@
             }
             let same_zone = earlier_server.0.as_bytes()[1] % 2 == server.0.as_bytes()[1] % 2;
             let in_time = now <= sent + 1_000_000;
-            // Class 0 is idempotent; classes 1 (one zone) and 3 (all servers) have an idempotency key that is
-            // valid for 1 s; class 2 is not idempotent.
+            // Class 0 is idempotent; classes 1 (one zone) and 3 (all servers) have an idempotency
+            // key that is valid for 1 s; class 2 is not idempotent.
             let may_retry = match tracked.class {
                 0 => true,
                 1 => same_zone && in_time,
@@ -105,12 +108,13 @@
             };
             assert!(
                 may_retry,
-                "{id} of class {} was retried against the rules of its class after an attempt that may have run",
+                "{id} of class {} was retried against its class rules after a possible execution",
                 tracked.class
             );
         }
         if tracked.attempts.is_empty() && tracked.account.starts_with('z') {
-            // This limiter's half of a ceiling of 4 units per second and a burst of 8; the bucket starts empty.
+            // This limiter's half of a ceiling of 4 units per second and a burst of 8; the bucket
+            // starts empty.
             let bucket = self
                 .ceiling_buckets
                 .get_mut(&tracked.account)
@@ -126,7 +130,8 @@
     }
 }
 
-/// Advances the clock by up to 12 ms, feeds one random event to the engine, and checks the actions that result.
+/// Advances the clock by up to 12 ms, feeds one random event to the engine, and checks the actions
+/// that result.
 fn apply_random_event(
     bench: &mut Bench,
     checker: &mut RuleChecker,
@@ -279,7 +284,8 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut settings = settings();
         settings.limits.hedging = seed % 2 == 0;
-        // Late answers have a positive weight here, so attempts stay open until the client's deadline.
+        // Late answers have a positive weight here, so attempts stay open until the client's
+        // deadline.
         settings.classes[2].late_weight = 0.2;
         settings.classes[3].late_weight = 0.2;
         let mut bench = Bench::new(settings.clone(), 6);
