--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -193,12 +193,12 @@
     };
     let mut informed = vec![false; count];
     let mut arrivals = Vec::new();
-    let (mut now, mut number, mut restart_step) = (START, 0, 0);
+    let (mut now, mut request_number, mut restart_step) = (START, 0, 0);
     let mean_interval = SECOND as f64 / REQUEST_RATE;
     let mut next_tick = START;
     while now < END {
         now += (-mean_interval * (1.0 - fleet.rng.random::<f64>()).ln()) as Micros;
-        number += 1;
+        request_number += 1;
         while next_tick < now {
             next_tick += SECOND / 20;
             for (limiter, is_informed) in informed.iter_mut().enumerate() {
@@ -230,7 +230,11 @@
             }
         }
         let limiter = fleet.pick_limiter(&weights);
-        let sent = fleet.handle_event(limiter, now, Event::Request(request(number, limiters)));
+        let sent = fleet.handle_event(
+            limiter,
+            now,
+            Event::Request(request(request_number, limiters)),
+        );
         let cold = sent
             .into_iter()
             .filter(|server| *server < COLD_SERVERS && now >= SERVER_RESTART);
@@ -260,19 +264,20 @@
 /// update about the restart.
 fn peak_load(arrivals: &[Arrival]) -> (f64, f64) {
     let safety = ramp_settings().safety;
-    let load = |counts: &dyn Fn(&Arrival) -> bool, newest: &Arrival| {
+    let load = |is_counted: &dyn Fn(&Arrival) -> bool, newest: &Arrival| {
         let window = arrivals.iter().filter(|other| {
             other.server == newest.server
                 && other.at <= newest.at
                 && other.at + safety.overload_window > newest.at
         });
         let allowed = allowed_requests(&safety, newest.at);
-        window.filter(|other| counts(other)).count() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0)
+        window.filter(|other| is_counted(other)).count() as f64
+            / (allowed + 2.0 * allowed.sqrt() + 2.0)
     };
-    let peak = |counts: &dyn Fn(&Arrival) -> bool| {
+    let peak = |is_counted: &dyn Fn(&Arrival) -> bool| {
         arrivals
             .iter()
-            .map(|newest| load(counts, newest))
+            .map(|newest| load(is_counted, newest))
             .fold(0.0, f64::max)
     };
     (peak(&|_| true), peak(&|arrival| arrival.informed))
--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -240,5 +240,8 @@
         .expect("one of 500 rounds closes the client within 18 ms");
     wait_for_in_flight(&limiter, 0);
     let seen = request_ids(&seen);
-    assert!(!seen.contains(&format!("left-{valid_round}")), "{seen:?}");
+    assert!(
+        !seen.contains(&format!("left-{valid_round}")),
+        "request of the closed client was forwarded: {seen:?}"
+    );
 }
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -19,8 +19,8 @@
         .expect("sh is started")
 }
 
-/// A measurement, not a test: `cargo test --release --test races -- --ignored --nocapture
-/// time_from_client_close`.
+/// A measurement, not a test. Run it with
+/// `cargo test --release --test races -- --ignored --nocapture time_from_client_close`.
 #[test]
 #[ignore = "a measurement"]
 fn time_from_client_close_to_last_attempt_at_a_tenth_of_a_core() {
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -281,7 +281,10 @@
 fn body_with_endless_trailers_is_rejected() {
     let text = "0\r\n".to_owned() + &"x: y\r\n".repeat(100_000);
     let body = Reader::new(text.as_bytes()).body(Body::Chunked, 1_024);
-    assert!(matches!(body, Err(Broken::TooLarge)), "{body:?}");
+    assert!(
+        matches!(body, Err(Broken::TooLarge)),
+        "got {body:?}, want TooLarge"
+    );
 }
 
 #[test]
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -72,9 +72,15 @@
     // the answer.
     for client in &mut clients {
         let first_answer = client.answer();
-        assert!(first_answer.starts_with('-'), "{first_answer}");
+        assert!(
+            first_answer.starts_with('-'),
+            "got {first_answer}, want an error"
+        );
         while let Some(further_answer) = client.try_ask(&asking("look", "more", 400)) {
-            assert!(further_answer.starts_with('-'), "{further_answer}");
+            assert!(
+                further_answer.starts_with('-'),
+                "got {further_answer}, want an error"
+            );
         }
     }
     program.ends();
@@ -102,16 +108,16 @@
     let clients: Vec<_> = (0..6)
         .map(|client_number| {
             thread::spawn(move || {
-                let (mut number, mut unanswered) = (0, Vec::new());
+                let (mut request_number, mut unanswered) = (0, Vec::new());
                 while let Some(mut client) = Client::try_at(at) {
                     loop {
-                        number += 1;
-                        let id = format!("{client_number}-{number}");
+                        request_number += 1;
+                        let id = format!("{client_number}-{request_number}");
                         match client.try_ask(&asking("pay", &id, 2000)) {
                             Some(answer) => {
                                 assert!(
                                     answer == id || answer.starts_with('-'),
-                                    "{answer} for {id}"
+                                    "{id} got the answer {answer}, want the id or an error"
                                 )
                             }
                             None => {
