--- a/src/client/accept.rs
+++ b/src/client/accept.rs
@@ -12,17 +12,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Timeout of writes to a client; some clients stop reading for seconds.
+/// Write timeout of client connections. Some clients stop reading for several seconds.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Wait after a failed accept, as when descriptors run out.
+/// Delay before the next accept after one has failed, for example because file descriptors ran out.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A connection without open commands for this long may be closed if another needs its place.
+/// A connection without unanswered commands for this long may be closed to admit a new one.
 const EVICTABLE_AFTER: Duration = Duration::from_secs(2);
-/// The time that a new connection waits for another to end when all are busy.
-const ROOM_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a new connection waits for another one to close when none can be evicted.
+const CAPACITY_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<P: ClientProtocol> ClientListener<P> {
-    /// Accepts connections for as long as the process runs.
+    /// Accepts connections until the process ends.
     pub(super) fn run_accept_loop(self: &Arc<Self>, listener: &TcpListener) {
         loop {
             let paused = lock(&self.accept_paused);
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Serves a new connection, unless the limit is reached or it can be handed over: an accept that had begun before a
-    /// hand-over returns during it.
+    /// Serves a new connection, or hands it over if a hand-over is running: an accept that began
+    /// before the hand-over may return during it. The connection is closed if the limit is reached.
     fn start_or_hand_over(self: &Arc<Self>, stream: TcpStream) {
         let hand_over = lock(&self.hand_over_to).clone();
-        if hand_over.is_some_and(|hand_over| hand_over(&stream, &[])) || !self.make_room() {
+        if hand_over.is_some_and(|hand_over| hand_over(&stream, &[])) || !self.ensure_capacity() {
             return;
         }
         if let Err(error) = self.start_connection(stream, None) {
@@ -49,12 +49,14 @@
         }
     }
 
-    /// Makes room for a new connection within the limit, by evicting the first connection in eviction order where that is
-    /// needed. Returns false if all are busy: the new one is closed then, since waiting would delay all behind it.
+    /// Ensures that a new connection fits within the limit, by evicting the first connection in
+    /// eviction order if needed. Returns false if none can be evicted within [`CAPACITY_TIMEOUT`]:
+    /// the caller then closes the new connection, because waiting longer would delay all
+    /// connections that follow it.
     ///
-    /// Guards against floods of connections that send nothing, or an incomplete command: they evict each other rather than
-    /// a client that sends slowly.
-    pub(super) fn make_room(&self) -> bool {
+    /// Guards against floods of connections that send nothing or an incomplete command: these are
+    /// evicted before a client that sends slowly.
+    pub(super) fn ensure_capacity(&self) -> bool {
         let began = Instant::now();
         let mut connections = lock(&self.connections);
         while connections.len() >= self.max_connections.load(Ordering::Relaxed) {
@@ -63,22 +65,23 @@
                 .filter_map(|connection| Some((connection.eviction_order()?, connection)));
             if let Some((_, connection)) = evictable.min_by_key(|(order, _)| *order) {
                 connection.evict();
-            } else if began.elapsed() >= ROOM_TIMEOUT {
-                if let Some(suppressed) = self.full_log.permit() {
+            } else if began.elapsed() >= CAPACITY_TIMEOUT {
+                if let Some(suppressed) = self.connection_limit_log.permit() {
                     warn!(self.log, "client connection limit reached"; "open" => connections.len(), "suppressed" => suppressed);
                 }
                 return false;
             }
             connections = self
                 .connection_ended
-                .wait_timeout(connections, ROOM_TIMEOUT)
+                .wait_timeout(connections, CAPACITY_TIMEOUT)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
         true
     }
 
-    /// Starts the reader of a connection: a new one, or one of another process with the bytes that it has read (`read`).
+    /// Starts the reader of a connection. `read` is none for a new connection; for one that another
+    /// process hands over, it holds the bytes that the other process has read but not processed.
     pub(super) fn start_connection(
         self: &Arc<Self>,
         stream: TcpStream,
@@ -111,22 +114,24 @@
     }
 }
 
-/// Which connections are evicted first; of one rank, the one without activity for longest.
+/// Eviction rank of a connection. The lowest rank is evicted first; within a rank, the connection
+/// that has been inactive for longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     /// Never sent a request, and is not sending a command.
     Silent,
     /// Idle for [`EVICTABLE_AFTER`].
     Idle,
+    /// Is sending a command, or sent a request and was active within [`EVICTABLE_AFTER`].
     Active,
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// The place among connections that may be evicted; the least goes first. None if replies are pending or the connection
-    /// is closing.
+    /// Returns the position of this connection in eviction order; the lowest is evicted first. None
+    /// if the connection can't be evicted, because replies are pending or it is closing.
     fn eviction_order(&self) -> Option<(EvictionRank, Instant)> {
         let state = lock(&self.state);
-        if state.unanswered > 0 || state.closed || state.closing_when_read {
+        if state.unanswered > 0 || state.closed || state.close_after_reading {
             return None;
         }
         let idle = state.last_activity.elapsed();
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its pending replies, its activity and its end.
+//! The connection of a client: its pending replies, its activity and how it is closed.
 
 use super::protocol::{ClientProtocol, Reply, ValueOf};
 use crate::metrics::InFlightRequest;
@@ -10,20 +10,22 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// A client that has sent a part of a command within this time counts as sending it, slowly.
+/// A client that sent part of an incomplete command within this time counts as still sending it.
 const SENDING_WINDOW: Duration = Duration::from_millis(700);
-/// Above the limit of connections with requests, those without open commands for this long are closed.
-pub(super) const SHORT_IDLE: Duration = Duration::from_millis(300);
+/// Idle time after which a connection that has sent requests may be closed if there are too many of
+/// them. Also the time after its opening within which a connection is expected to send its first
+/// request.
+pub(super) const MIN_IDLE_TIME: Duration = Duration::from_millis(300);
 
-/// A command without a reply that was written.
+/// A command whose reply has not been written yet.
 pub(super) struct PendingReply<P: ClientProtocol> {
-    /// The number of its request; none for a direct reply.
+    /// Number of its request; none for a direct reply.
     pub(super) request: Option<u64>,
     /// What the protocol needs in order to write the reply.
     pub(super) context: P::ReplyContext,
-    /// The reply, once there is one.
+    /// The reply; none until it is available.
     pub(super) reply: Option<Reply<ValueOf<P>>>,
-    /// Counts the request at its end.
+    /// Counts the request in the metrics when it ends; none for a direct reply.
     pub(super) in_flight: Option<InFlightRequest>,
 }
 
@@ -31,14 +33,15 @@
 pub(super) struct ClientConnection<P: ClientProtocol> {
     pub(super) stream: TcpStream,
     pub(super) state: Mutex<ConnectionState<P>>,
-    /// Notified after a reply was written and when a thread of the connection or the connection ends.
+    /// Notified when a reply was written, when the reader has ended and when the connection is
+    /// closed.
     pub(super) progress: Condvar,
 }
 
 /// Where a connection comes from.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionOrigin {
-    /// It was accepted.
+    /// It was accepted by this process.
     Client,
     /// Another process served it before and handed it over.
     OtherProcess,
@@ -46,40 +49,47 @@
 
 /// The state that the reader, the writer and the watchdog of a connection share.
 pub(super) struct ConnectionState<P: ClientProtocol> {
-    /// Replies to be written, in the order of commands.
+    /// Pending replies, in the order of the commands.
     pub(super) replies: VecDeque<PendingReply<P>>,
-    /// A thread writes replies. Stays set once that thread closes the connection.
+    /// Whether a thread writes replies. Stays set once that thread is to close the connection.
     pub(super) writer_running: bool,
-    /// Further commands may be received.
+    /// Whether further commands may be received.
     pub(super) accepts_commands: bool,
-    /// A thread reads from the connection.
+    /// Whether a thread reads from the connection.
     pub(super) reader_running: bool,
-    /// The numbers of requests without a reply.
+    /// Numbers of the requests whose reply has not been written.
     pub(super) open_requests: Vec<u64>,
-    /// The number of commands without a written reply.
+    /// Number of commands whose reply has not been written.
     pub(super) unanswered: usize,
-    /// Commands that are read from now on are ignored.
+    /// Whether commands that are read from now on are ignored.
     pub(super) closed: bool,
-    /// The reader closes the connection once it has read all that was received and no reply is pending.
-    pub(super) closing_when_read: bool,
-    /// Bytes that are read next may have been received long ago, and the client may have disconnected since.
+    /// Whether the reader closes the connection once it has processed all bytes that were received.
+    pub(super) close_after_reading: bool,
+    /// Whether reading was paused: the bytes that are read next may have been received long ago,
+    /// and the client may have disconnected since.
     pub(super) reading_was_paused: bool,
-    /// Another process reads from the connection and writes to it.
+    /// Whether another process reads from the connection and writes to it.
     pub(super) handed_over: bool,
-    /// A request was received. Commands with a direct reply and malformed ones do not count.
+    /// Whether a request was received. Commands with a direct reply and malformed commands do not
+    /// count.
     pub(super) has_requested: bool,
-    /// Reads that did not complete the next command.
+    /// Number of reads since the last complete command; none of them completed the next command.
     pub(super) partial_reads: u32,
-    /// When the connection was accepted or the first byte of an incomplete command was received.
+    /// When the connection was accepted or, after its first command, when the first byte of an
+    /// incomplete command was received. None between commands.
     pub(super) incomplete_since: Option<Instant>,
-    /// When open requests are abandoned, as a malformed command was received.
-    pub(super) give_up_at: Option<Instant>,
+    /// When open requests are abandoned; set when the limiter closes the connection after a last
+    /// reply, as to a malformed command.
+    pub(super) abandon_at: Option<Instant>,
+    /// When the connection was accepted, or taken over from another process.
     pub(super) opened_at: Instant,
+    /// When part of a command was last read, a reply was last written or a hand-over last failed;
+    /// initially `opened_at`.
     pub(super) last_activity: Instant,
 }
 
 impl<P: ClientProtocol> ConnectionState<P> {
-    /// The state of a connection without pending commands.
+    /// Returns the state of a connection without pending commands.
     pub(super) fn new(origin: ConnectionOrigin) -> Self {
         let adopted = origin == ConnectionOrigin::OtherProcess;
         let now = Instant::now();
@@ -91,13 +101,13 @@
             open_requests: Vec::new(),
             unanswered: 0,
             closed: false,
-            closing_when_read: false,
+            close_after_reading: false,
             reading_was_paused: true,
             handed_over: false,
             has_requested: adopted,
             partial_reads: 0,
             incomplete_since: (!adopted).then_some(now),
-            give_up_at: None,
+            abandon_at: None,
             opened_at: now,
             last_activity: now,
         }
@@ -108,20 +118,22 @@
         self.writer_running || !self.replies.is_empty()
     }
 
-    /// Whether the client is sending a command and has sent at least two parts of it; floods send one.
+    /// Whether the client is sending a command and has sent at least two parts of it. Connections
+    /// of a flood send at most one part.
     pub(super) fn is_sending(&self) -> bool {
         self.partial_reads > 1 && self.last_activity.elapsed() < SENDING_WINDOW
     }
 
-    /// Whether a command may be received soon: the client is sending one, or has only just connected.
-    pub(super) fn command_may_be_coming(&self) -> bool {
-        self.is_sending() || (!self.has_requested && self.opened_at.elapsed() < SHORT_IDLE)
+    /// Whether a command may be received soon: the client is sending one, or has only just
+    /// connected.
+    pub(super) fn may_receive_command_soon(&self) -> bool {
+        self.is_sending() || (!self.has_requested && self.opened_at.elapsed() < MIN_IDLE_TIME)
     }
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Counts a command that was read. Returns the number of commands without a written reply, or none if the connection
-    /// is closing and the command is ignored.
+    /// Counts a command that was read. Returns the number of commands whose reply has not been
+    /// written, or none if the connection is closing and the command is ignored.
     pub(super) fn begin_command(&self) -> Option<usize> {
         let mut state = lock(&self.state);
         if state.closed {
@@ -133,7 +145,9 @@
         Some(state.unanswered)
     }
 
-    /// Records that the reply to the oldest command was written. Returns whether further replies may be written.
+    /// Records that the reply to the oldest unanswered command was written. If `closing` is set,
+    /// the connection is closed once no reply is pending. Returns whether further replies may be
+    /// written.
     pub(super) fn end_command(&self, request: Option<u64>, closing: bool) -> bool {
         let mut state = lock(&self.state);
         if let Some(request) = request {
@@ -142,29 +156,31 @@
         state.unanswered = state.unanswered.saturating_sub(1);
         state.last_activity = Instant::now();
         if closing {
-            self.close_if_settled(&mut state);
+            self.close_if_answered(&mut state);
         }
         self.progress.notify_all();
-        !state.closed || (state.give_up_at.is_some() && state.unanswered > 0)
+        !state.closed || (state.abandon_at.is_some() && state.unanswered > 0)
     }
 
-    /// Has the reader close the connection if no reply is pending; it processes what was received by then.
+    /// If no reply is pending, ends the stream for the reader, which closes the connection after it
+    /// has processed all bytes received so far.
     ///
-    /// Guards against a close between the read of a request and its processing: the client could not know that the request
-    /// was never executed.
-    pub(super) fn close_if_settled(&self, state: &mut ConnectionState<P>) {
+    /// Guards against closing the connection between the read of a request and its processing: the
+    /// client could not know that the request was never executed.
+    pub(super) fn close_if_answered(&self, state: &mut ConnectionState<P>) {
         if state.unanswered == 0 && !state.handed_over {
-            state.closing_when_read = true;
+            state.close_after_reading = true;
             _ = self.stream.shutdown(Shutdown::Read);
         }
     }
 
-    /// Whether the client disconnected while reading was paused. Checked before its next request is accepted.
-    pub(super) fn peer_left_while_paused(&self) -> bool {
+    /// Whether the client disconnected while reading was paused; if so, the connection ignores
+    /// further commands. Checked before the next request is accepted.
+    pub(super) fn disconnected_while_paused(&self) -> bool {
         let mut state = lock(&self.state);
         let left = std::mem::take(&mut state.reading_was_paused)
-            && !state.closing_when_read
-            && peer_hung_up(&self.stream);
+            && !state.close_after_reading
+            && peer_disconnected(&self.stream);
         state.closed |= left;
         left
     }
@@ -172,17 +188,18 @@
     /// Closes the connection if no reply is pending, unless a command may be received soon.
     pub(super) fn close_unless_busy(&self) {
         let mut state = lock(&self.state);
-        if !state.command_may_be_coming() {
-            self.close_if_settled(&mut state);
+        if !state.may_receive_command_soon() {
+            self.close_if_answered(&mut state);
         }
     }
 
     /// Closes the connection if no reply is pending.
     pub(super) fn evict(&self) {
-        self.close_if_settled(&mut lock(&self.state));
+        self.close_if_answered(&mut lock(&self.state));
     }
 
-    /// Closes the connection now; pending replies are dropped. The socket stays open if it was handed over.
+    /// Closes the connection now; pending replies are dropped. The socket stays open if it was
+    /// handed over.
     pub(super) fn close(&self) {
         let mut state = lock(&self.state);
         state.closed = true;
@@ -195,15 +212,17 @@
 }
 
 impl<P: ClientProtocol> ClientPresence for ClientConnection<P> {
-    /// While the limiter closes the connection, a disconnect by the client can't be recognized.
-    fn has_left(&self) -> bool {
-        let closing = lock(&self.state).closing_when_read;
-        !closing && peer_hung_up(&self.stream)
+    /// Returns false while the limiter closes the connection: a disconnect by the client can't be
+    /// recognized then.
+    fn has_disconnected(&self) -> bool {
+        let closing = lock(&self.state).close_after_reading;
+        !closing && peer_disconnected(&self.stream)
     }
 }
 
-/// Whether the client has closed its connection, whether or not all that it sent was read.
-pub(super) fn peer_hung_up(stream: &TcpStream) -> bool {
+/// Whether the client has closed its side of the connection, even if not all bytes that it sent
+/// were read.
+pub(super) fn peer_disconnected(stream: &TcpStream) -> bool {
     let mut one = [PollFd::new(stream, PollFlags::RDHUP)];
     let now = Timespec {
         tv_sec: 0,
--- a/src/client/event.rs
+++ b/src/client/event.rs
@@ -5,7 +5,7 @@
 use crate::upstream::UpstreamProtocol;
 use std::any::Any;
 
-/// A request of a client, with the slot that takes its reply.
+/// A request of a client, with the slot for its reply.
 pub type ClientRequest<P> = IncomingRequest<
     ReplySlot<ValueOf<P>>,
     <<P as ClientProtocol>::Upstream as UpstreamProtocol>::Call,
@@ -13,19 +13,20 @@
 
 /// An event of a client connection.
 pub enum ClientEvent<P: ClientProtocol> {
-    /// A request was received whole.
+    /// A complete request was received.
     Request(ClientRequest<P>),
     /// The client of the requests with these numbers has disconnected.
     Disconnected(Vec<u64>),
 }
 
-/// An event that was not delivered, as the limiter has ended. Dropping it answers its request as failed.
+/// An event that was not delivered because the limiter has ended. When it is dropped, its request
+/// is answered as failed.
 pub struct Undelivered {
     _event: Box<dyn Any>,
 }
 
 impl Undelivered {
-    /// Holds an undelivered event.
+    /// Wraps an event that was not delivered.
     pub fn new(event: impl Any) -> Self {
         Self {
             _event: Box::new(event),
@@ -33,5 +34,5 @@
     }
 }
 
-/// Receives the events of client connections, on the thread where each occurs. It must not block.
+/// Receives the events of client connections, on the thread where each occurs. Must not block.
 pub type ClientEventSink<P> = Box<dyn Fn(ClientEvent<P>) -> Result<(), Undelivered> + Send + Sync>;
--- a/src/client/hand_over.rs
+++ b/src/client/hand_over.rs
@@ -1,4 +1,4 @@
-//! Connections that are handed over to another process, or taken over from one.
+//! Hands client connections over to another process, and takes them over from one.
 
 use super::connection::ClientConnection;
 use super::protocol::ClientProtocol;
@@ -9,11 +9,13 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Instant;
 
-/// Hands a connection over to another process, with the bytes read from it. Returns false if it stays.
+/// Hands a connection over to another process, with the bytes that were read from it but not
+/// processed. Returns false if the connection stays with this process.
 pub type ConnectionHandOver = Arc<dyn Fn(&TcpStream, &[u8]) -> bool + Send + Sync>;
 
 impl<P: ClientProtocol> ClientListener<P> {
-    /// Hands over each connection as soon as no reply is pending on it; `None` ends that.
+    /// Hands over each connection through `to` as soon as no reply is pending on it. `None` ends
+    /// the hand-over.
     pub fn hand_over(&self, to: Option<ConnectionHandOver>) {
         let interrupts = to.is_some();
         *lock(&self.hand_over_to) = to;
@@ -23,7 +25,8 @@
         self.close_if_closing();
     }
 
-    /// Serves a connection of another process, with the bytes that it has read.
+    /// Serves a connection that another process handed over, with the bytes that the other process
+    /// has read but not processed.
     pub fn adopt(self: &Arc<Self>, stream: TcpStream, read: Vec<u8>) {
         if let Err(error) = self.start_connection(stream, Some(read)) {
             warn!(self.log, "client connection dropped"; "error" => %error);
@@ -32,20 +35,22 @@
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Waits until no reply is pending, and reserves the connection for the caller. Returns false if it is closing.
-    pub(super) fn detach_when_settled(&self) -> bool {
+    /// Waits until no reply is pending, and marks the connection as handed over. Returns false if
+    /// it is closing.
+    pub(super) fn detach_once_answered(&self) -> bool {
         let state = lock(&self.state);
         let mut state = self
             .progress
             .wait_while(state, |state| state.unanswered > 0 && !state.closed)
             .unwrap_or_else(PoisonError::into_inner);
-        let is_open = !state.closed && !state.closing_when_read;
+        let is_open = !state.closed && !state.close_after_reading;
         state.closed = true;
         state.handed_over = is_open;
         is_open
     }
 
-    /// Continues to serve a connection that could not be handed over. Returns false if it is closing.
+    /// Continues to serve a connection that could not be handed over. Returns false if it is
+    /// closing.
     pub(super) fn reattach(&self) -> bool {
         let mut state = lock(&self.state);
         if !std::mem::take(&mut state.handed_over) {
--- a/src/client/interruptible.rs
+++ b/src/client/interruptible.rs
@@ -9,13 +9,14 @@
 
 /// Interrupts all readers of client connections at once.
 pub struct ReadInterrupt {
-    /// Readable while readers are to be interrupted.
+    /// Readable while the interrupt is set.
     signal: UnixStream,
+    /// The other end of `signal`.
     signal_writer: Mutex<UnixStream>,
 }
 
 impl ReadInterrupt {
-    /// An interrupt that is not set.
+    /// Returns an interrupt that is not set.
     ///
     /// # Errors
     ///
@@ -29,7 +30,7 @@
         })
     }
 
-    /// Sets or clears the interrupt. While set, it ends reads that wait now or begin to wait.
+    /// Sets or clears the interrupt. While it is set, reads that are waiting or begin to wait fail.
     pub fn set(&self, interrupts: bool) {
         let mut signal_writer = lock(&self.signal_writer);
         while (&self.signal).read(&mut [0; 8]).is_ok_and(|read| read > 0) {}
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Waits until the stream is readable. Returns false if interrupted, which takes precedence.
+    /// Waits until the stream is readable. Returns false if the interrupt is set, even if the
+    /// stream is readable too.
     fn wait_readable(&self, stream: &TcpStream) -> bool {
         let mut polled = [
             PollFd::new(&self.signal, PollFlags::IN),
@@ -49,18 +51,21 @@
     }
 }
 
-/// Reads from a client, beginning with bytes that were read before.
+/// Reads from a client, starting with bytes that were read earlier.
 pub struct InterruptibleReader<'a> {
     stream: &'a TcpStream,
     interrupt: Option<&'a ReadInterrupt>,
-    /// Bytes that were read before.
+    /// Bytes that were read from the stream earlier and not returned yet.
     unread: Vec<u8>,
+    /// Whether the interrupt is ignored.
     uninterruptible: bool,
+    /// Whether a read failed because of the interrupt.
     interrupted: bool,
 }
 
 impl<'a> InterruptibleReader<'a> {
-    /// A reader of a stream, after the bytes in `unread`; `interrupt` ends its waits.
+    /// Returns a reader of the bytes in `unread` and then of the stream; `interrupt` ends its waits
+    /// for the stream.
     pub fn new(
         stream: &'a TcpStream,
         interrupt: Option<&'a ReadInterrupt>,
@@ -85,7 +90,7 @@
         self.interrupted
     }
 
-    /// The bytes that were read before and not returned.
+    /// Returns the bytes that were read from the stream earlier and not returned by this reader.
     pub fn into_unread(self) -> Vec<u8> {
         self.unread
     }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,9 +1,11 @@
-//! A front: accepts connections of clients and writes replies in the order of the commands.
+//! The front: accepts connections of clients and writes replies in the order of the commands.
 //!
-//! Each connection has a thread that reads and, while replies can be written, one that writes: a slow or failed client
-//! delays its own connection alone. A [`ClientProtocol`] reads commands and writes replies.
+//! Each connection has a thread that reads and, while replies can be written, one that writes, so
+//! that a slow or failed client delays only its own connection. A [`ClientProtocol`] reads commands
+//! and writes replies.
 //!
-//! One more thread, the watchdog, closes connections with an incomplete command or without commands after a timeout.
+//! One more thread, the watchdog, closes connections that send an incomplete command or no command
+//! within a timeout.
 
 mod accept;
 mod connection;
@@ -40,28 +42,36 @@
     max_connections: AtomicUsize,
     /// Interrupts readers for a hand-over; none if connections are never handed over.
     read_interrupt: Option<ReadInterrupt>,
-    /// Hands a connection over, while a hand-over runs.
+    /// Hands a connection over; none while no hand-over runs.
     hand_over_to: Mutex<Option<ConnectionHandOver>>,
     /// Whether accepting is paused.
     accept_paused: Mutex<bool>,
+    /// Notified when accepting is paused or resumed.
     accept_resumed: Condvar,
     events: ClientEventSink<P>,
     metrics: Arc<Metrics>,
+    /// Whether the limiter has an endpoint list.
     ready: AtomicBool,
+    /// Whether the limiter is stopping: connections are closed once no reply is pending on them.
     closing: AtomicBool,
+    /// The next number of a connection or request.
     next_number: AtomicU64,
+    /// The open connections, by number.
     connections: Mutex<HashMap<u64, Arc<ClientConnection<P>>>>,
     /// Notified when a connection was closed.
     connection_ended: Condvar,
     /// Notified when a connection was opened, for the watchdog.
     connection_opened: Condvar,
     log: Logger,
+    /// Limits the rate of log lines about malformed commands.
     malformed_log: LogThrottle,
-    full_log: LogThrottle,
+    /// Limits the rate of log lines about the connection limit.
+    connection_limit_log: LogThrottle,
 }
 
 impl<P: ClientProtocol> ClientListener<P> {
-    /// A front for at most `max_connections`, which passes requests to `events` and counts them in `metrics`.
+    /// Returns a front for at most `max_connections` connections that passes requests to `events`
+    /// and counts them in `metrics`.
     pub fn new(
         protocol: P,
         max_connections: usize,
@@ -87,11 +97,11 @@
             connection_opened: Condvar::new(),
             log,
             malformed_log: LogThrottle::default(),
-            full_log: LogThrottle::default(),
+            connection_limit_log: LogThrottle::default(),
         })
     }
 
-    /// Starts the threads that accept connections and watch them.
+    /// Starts the thread that accepts connections and the watchdog thread.
     ///
     /// # Errors
     ///
@@ -103,13 +113,14 @@
         spawn("clients-watch", move || front.run_watchdog())
     }
 
-    /// Resumes or pauses accepting. Meanwhile connections wait for another process that accepts from the listener.
+    /// Resumes or pauses accepting. While it is paused, new connections wait until another process
+    /// accepts them from the listener.
     pub fn set_accepting(&self, accepts: bool) {
         *lock(&self.accept_paused) = !accepts;
         self.accept_resumed.notify_all();
     }
 
-    /// Sets the most connections.
+    /// Sets the maximum number of connections.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections
             .store(max_connections, Ordering::Relaxed);
@@ -120,7 +131,8 @@
         lock(&self.connections).is_empty()
     }
 
-    /// Records that the limiter has an endpoint list; clients that ask get that as the reply.
+    /// Records that the limiter has an endpoint list. From now on clients that ask whether it is
+    /// ready get a positive reply.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Relaxed);
     }
@@ -130,13 +142,15 @@
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Closes every connection once no reply is pending on it; none while they are handed over.
+    /// Closes each connection once no reply is pending on it, except while connections are handed
+    /// over.
     pub fn close_idle(&self) {
         self.closing.store(true, Ordering::SeqCst);
         self.close_if_closing();
     }
 
-    /// Closes connections without a pending reply and without a command that may be received soon, if all are to be closed.
+    /// If connections are to be closed, closes those on which no reply is pending and no command is
+    /// expected soon.
     fn close_if_closing(&self) {
         if self.is_closing() {
             for connection in lock(&self.connections).values() {
@@ -145,7 +159,8 @@
         }
     }
 
-    /// Whether connections are to be closed once no reply is pending, rather than handed over.
+    /// Whether connections are to be closed once no reply is pending on them, rather than handed
+    /// over.
     fn is_closing(&self) -> bool {
         self.closing.load(Ordering::SeqCst) && lock(&self.hand_over_to).is_none()
     }
@@ -154,10 +169,10 @@
     pub fn has_partial_command(&self) -> bool {
         lock(&self.connections)
             .values()
-            .any(|connection| lock(&connection.state).command_may_be_coming())
+            .any(|connection| lock(&connection.state).may_receive_command_soon())
     }
 
-    /// Waits until every connection is closed, at most for `timeout`.
+    /// Waits for at most `timeout` until every connection is closed.
     pub fn wait_closed(&self, timeout: Duration) {
         let connections = lock(&self.connections);
         _ = self
@@ -165,7 +180,8 @@
             .wait_timeout_while(connections, timeout, |connections| !connections.is_empty());
     }
 
-    /// Closes a connection and removes it.
+    /// Reports the open requests of a connection as abandoned, closes the connection and removes
+    /// it.
     fn close_connection(&self, number: u64, connection: &ClientConnection<P>) {
         self.abandon_requests(connection);
         connection.close();
@@ -173,7 +189,7 @@
         self.connection_ended.notify_all();
     }
 
-    /// Reports the open requests of a connection as abandoned: the client has disconnected.
+    /// Reports the open requests of a connection as abandoned, as the client has disconnected.
     fn abandon_requests(&self, connection: &ClientConnection<P>) {
         let mut state = lock(&connection.state);
         state.closed = true;
@@ -182,8 +198,9 @@
         self.report_abandoned(abandoned);
     }
 
-    /// Reports abandoned requests in one event: with one each, the core would forward a waiting request in place of the one
-    /// that was abandoned before it.
+    /// Reports abandoned requests in a single event. With one event for each, the core would
+    /// forward a queued request in place of the first abandoned one, although the next event may
+    /// abandon that queued request too.
     fn report_abandoned(&self, numbers: Vec<u64>) {
         if !numbers.is_empty() {
             _ = (self.events)(ClientEvent::Disconnected(numbers));
--- a/src/client/protocol.rs
+++ b/src/client/protocol.rs
@@ -12,21 +12,21 @@
 pub trait ClientProtocol: Send + Sync + Sized + 'static {
     /// The protocol of the upstream servers behind it.
     type Upstream: UpstreamProtocol;
-    /// What [`ClientProtocol::write`] needs of a command.
+    /// What [`ClientProtocol::write`] needs to know of a command.
     type ReplyContext: Send + 'static;
 
-    /// Reads commands until the client disconnects, the session refuses a command or the read is interrupted for a
-    /// hand-over. Returns the bytes of the incomplete command that were read by then.
+    /// Reads commands until the client disconnects, the session refuses a command or the read is
+    /// interrupted for a hand-over. Returns the bytes that were read of an incomplete command.
     fn read(&self, from: &mut InterruptibleReader, session: &Session<Self>) -> Vec<u8>;
 
-    /// The last reply on a connection that the limiter closes.
+    /// Returns the last reply on a connection that the limiter closes for this reason.
     fn closing_reply(&self, reason: CloseReason) -> (Self::ReplyContext, Vec<u8>);
 
     /// Writes an answer. Returns false if the connection is to be closed after it.
     ///
     /// # Errors
     ///
-    /// If the client can't be written to, or the answer broke off; the connection is closed.
+    /// If the write to the client fails, or the answer is cut off. The connection is closed then.
     fn write(
         &self,
         to: &TcpStream,
@@ -38,14 +38,14 @@
 /// Why the limiter closes a connection whose client may still read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseReason {
-    /// No command was complete in time.
+    /// A command was not complete in time.
     TooSlow,
     /// More commands were pipelined than allowed.
     TooMany,
 }
 
 impl CloseReason {
-    /// The reason as text, for the client and the log.
+    /// Returns the reason as text, for the client and the log.
     pub fn description(self) -> &'static str {
         match self {
             Self::TooSlow => "no whole command in time",
@@ -54,7 +54,8 @@
     }
 }
 
-/// Receives the reply to a request. Dropped without one, it replies that the request failed.
+/// Receives the reply to a request. If it is dropped without one, the reply is that the request
+/// failed.
 pub struct ReplySlot<V> {
     fill: Option<Box<dyn FnOnce(Reply<V>) + Send>>,
     client: Arc<dyn ClientPresence>,
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Whether the client is still connected.
+    /// Returns a handle that checks whether the client is still connected.
     pub fn presence(&self) -> Arc<dyn ClientPresence> {
         self.client.clone()
     }
 
-    /// Replies.
+    /// Sets the reply.
     pub fn fill(mut self, reply: Reply<V>) {
         if let Some(fill) = self.fill.take() {
             fill(reply);
@@ -94,9 +95,9 @@
 
 /// A reply to a client.
 pub enum Reply<V> {
-    /// The answer of a request.
+    /// The answer to a request.
     Answer(Answer<V>),
-    /// A reply without an answer of the core.
+    /// A reply that the front sends without the core.
     Direct {
         /// The bytes to write.
         text: Vec<u8>,
@@ -106,7 +107,7 @@
 }
 
 impl<V> Reply<V> {
-    /// A direct reply that keeps the connection open.
+    /// Returns a direct reply that keeps the connection open.
     pub fn direct(text: &str) -> Self {
         Self::Direct {
             text: text.into(),
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -1,4 +1,4 @@
-//! The thread that reads from a connection.
+//! The thread that reads commands from a connection.
 
 use super::accept::ACCEPT_RETRY_DELAY;
 use super::connection::ClientConnection;
@@ -14,36 +14,39 @@
 use std::thread;
 use std::time::Duration;
 
-/// The time that a client has for reading its last reply before the connection is closed.
+/// How long the limiter waits before it closes a connection, so that the client can read its last
+/// reply.
 pub(super) const CLOSE_LINGER: Duration = Duration::from_millis(300);
-/// The most bytes that are read and ignored after the command that ended a connection, so that the last reply is not lost
-/// to a reset; some clients would send 60 MB.
+/// Maximum number of bytes that are read and ignored after the last accepted command. Ignoring them
+/// keeps the last reply from being lost to a connection reset; the bound is needed because some
+/// clients send 60 MB.
 const MAX_DRAINED_BYTES: usize = 128 * 1024;
 
-/// Bytes that are ignored at a time.
-const DRAIN_PIECE_BYTES: usize = 4 * 1024;
+/// Size of the buffer for ignored bytes.
+const DRAIN_BUFFER_BYTES: usize = 4 * 1024;
 
-/// How the reading of commands ended.
+/// Why the reader stopped reading commands.
 #[derive(PartialEq)]
 enum ReadEnd {
     /// No further command is accepted, or the client has disconnected.
     Ended,
-    /// Another process reads from it now.
+    /// Another process now reads from the connection.
     HandedOver,
 }
 
-/// How a connection ends after its last read.
+/// How a connection ends after its last command was read.
 enum Ending {
-    /// No reply is pending: it is closed at once.
-    Settled,
-    /// The limiter closes it, and its last reply was written.
+    /// The limiter closes the connection, and no reply is pending: it is closed at once.
+    Answered,
+    /// The limiter closes the connection after a last reply, which was written.
     LastReplyWritten,
-    /// The client closes it, or replies are pending.
+    /// The client closes the connection, or replies are pending.
     Other,
 }
 
 impl<P: ClientProtocol> ClientListener<P> {
-    /// Reads commands until the connection ends or is handed over, beginning with the bytes in `unread`.
+    /// Reads commands until the connection ends or is handed over, starting with the bytes in
+    /// `unread`.
     pub(super) fn run_reader(
         self: &Arc<Self>,
         number: u64,
@@ -58,13 +61,13 @@
         if self.read_commands(&session, unread) == ReadEnd::HandedOver {
             return self.reader_ended(number, connection);
         }
-        // The watchdog shuts down the connection after that time.
+        // The watchdog has ended the stream because of an incomplete command.
         if connection.command_timed_out() && connection.begin_command().is_some() {
-            session.dismiss(CloseReason::TooSlow);
+            session.close_with_reason(CloseReason::TooSlow);
         }
         match connection.stop_accepting() {
-            // All that was received has been processed. The client retries later commands elsewhere.
-            Ending::Settled => return self.reader_ended(number, connection),
+            // All received bytes were processed. The client retries later commands elsewhere.
+            Ending::Answered => return self.reader_ended(number, connection),
             Ending::LastReplyWritten => {
                 _ = connection.stream.shutdown(Shutdown::Write);
                 _ = connection.stream.set_read_timeout(Some(CLOSE_LINGER));
@@ -72,12 +75,13 @@
             Ending::Other => {}
         }
         drain(&connection.stream);
-        // After this many bytes, a disconnect behind them would not be noticed.
+        // If draining stopped at its bound, a later disconnect would not be noticed.
         self.abandon_requests(connection);
         self.reader_ended(number, connection);
     }
 
-    /// Reads commands until the protocol accepts no more or the connection is handed over.
+    /// Reads commands until the protocol accepts no further command or the connection is handed
+    /// over.
     fn read_commands(&self, session: &Session<P>, mut unread: Vec<u8>) -> ReadEnd {
         let connection = session.connection;
         loop {
@@ -89,8 +93,8 @@
             if !interrupted {
                 return ReadEnd::Ended;
             }
-            // Commands up to here are answered by this process, later ones by the other.
-            if connection.detach_when_settled() {
+            // This process has answered all commands read so far; the other one answers later ones.
+            if connection.detach_once_answered() {
                 let hand_over = lock(&self.hand_over_to).clone();
                 if hand_over.is_some_and(|hand_over| hand_over(&connection.stream, &unread)) {
                     return ReadEnd::HandedOver;
@@ -99,17 +103,18 @@
             if !connection.reattach() {
                 return ReadEnd::Ended;
             }
-            // Guards against a busy loop until this process learns that the other one has ended.
+            // Guards against a busy loop until this process notices that the other one has ended.
             thread::sleep(ACCEPT_RETRY_DELAY);
         }
     }
 
-    /// Records the end of the reader. The connection is closed, by the writer if replies are pending.
+    /// Records that the reader has ended. The connection is closed now, or by the writer if replies
+    /// are pending.
     pub(super) fn reader_ended(&self, number: u64, connection: &ClientConnection<P>) {
         let mut state = lock(&connection.state);
         state.accepts_commands = false;
         state.reader_running = false;
-        // Each request has a reply by its deadline.
+        // The writer does not wait forever: each request has a reply by its deadline.
         let has_replies = state.has_replies_to_write();
         drop(state);
         connection.progress.notify_all();
@@ -120,20 +125,21 @@
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Whether a command was not complete in time.
+    /// Whether a command was not complete within [`COMMAND_TIMEOUT`].
     fn command_timed_out(&self) -> bool {
         lock(&self.state)
             .incomplete_since
             .is_some_and(|since| since.elapsed() >= COMMAND_TIMEOUT)
     }
 
-    /// Stops accepting commands: the writer ends after the pending replies.
+    /// Stops accepting commands, so that the writer closes the connection after the pending
+    /// replies.
     fn stop_accepting(&self) -> Ending {
         let mut state = lock(&self.state);
         state.accepts_commands = false;
-        if state.closing_when_read {
-            Ending::Settled
-        } else if state.give_up_at.is_some() && !state.has_replies_to_write() {
+        if state.close_after_reading {
+            Ending::Answered
+        } else if state.abandon_at.is_some() && !state.has_replies_to_write() {
             Ending::LastReplyWritten
         } else {
             Ending::Other
@@ -141,9 +147,10 @@
     }
 }
 
-/// Reads and ignores bytes up to the end: a close with unread bytes resets the connection, and its last reply is lost.
+/// Reads and ignores bytes until the end of the stream or the bound. Closing a connection with
+/// unread bytes would reset it and lose the last reply.
 fn drain(mut stream: &TcpStream) {
-    let mut bytes = [0; DRAIN_PIECE_BYTES];
+    let mut bytes = [0; DRAIN_BUFFER_BYTES];
     let mut drained = 0;
     while drained <= MAX_DRAINED_BYTES {
         match stream.read(&mut bytes) {
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,4 +1,5 @@
-//! Processes the commands of one connection: reserves replies, submits requests and replies directly.
+//! Processes the commands of one connection: reserves replies, submits requests and sends direct
+//! replies.
 
 use super::connection::{ClientConnection, PendingReply};
 use super::event::{ClientEvent, ClientRequest};
@@ -13,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The most commands of one connection without a written reply.
-const MAX_PIPELINED: usize = 64;
+/// Maximum number of commands of one connection whose reply has not been written.
+const MAX_PIPELINED_COMMANDS: usize = 64;
 
 /// Receives the commands that a [`ClientProtocol`] reads from one connection.
 pub struct Session<'a, P: ClientProtocol> {
@@ -24,21 +25,22 @@
 }
 
 impl<P: ClientProtocol> Session<'_, P> {
-    /// Reserves the next reply for a request of this class. Returns the number of the request and the slot of its reply, or
-    /// none if the connection is closing and the command is to be ignored.
+    /// Reserves the next reply for a request of this class. Returns the number of the request and
+    /// the slot for its reply, or none if the connection is closing and the command is to be
+    /// ignored.
     pub fn reserve_reply(
         &self,
         context: P::ReplyContext,
         class: usize,
     ) -> Option<(u64, ReplySlot<ValueOf<P>>)> {
-        if self.connection.peer_left_while_paused() {
+        if self.connection.disconnected_while_paused() {
             return None;
         }
         let number = self.front.next_number.fetch_add(1, Ordering::Relaxed);
         let unanswered = self.connection.begin_command()?;
         let in_flight = Some(self.front.metrics.begin_request(class));
-        if unanswered > MAX_PIPELINED {
-            self.dismiss(CloseReason::TooMany);
+        if unanswered > MAX_PIPELINED_COMMANDS {
+            self.close_with_reason(CloseReason::TooMany);
             return None;
         }
         let mut state = lock(&self.connection.state);
@@ -53,7 +55,7 @@
         Some((number, self.reply_slot(number)))
     }
 
-    /// The slot of the pending reply to this request.
+    /// Returns the slot for the pending reply to this request.
     fn reply_slot(&self, request: u64) -> ReplySlot<ValueOf<P>> {
         let front = self.front.clone();
         let connection = self.connection.clone();
@@ -69,28 +71,29 @@
         ReplySlot::new(self.connection.clone(), fill)
     }
 
-    /// Replies without the core, in the order of commands. Returns false if the connection is closing.
+    /// Sends a reply without the core, in the order of the commands. Returns false if the
+    /// connection is closing.
     pub fn reply_directly(&self, context: P::ReplyContext, reply: Reply<ValueOf<P>>) -> bool {
         match self.connection.begin_command() {
             None => false,
-            Some(unanswered) if unanswered > MAX_PIPELINED => {
-                self.dismiss(CloseReason::TooMany);
+            Some(unanswered) if unanswered > MAX_PIPELINED_COMMANDS => {
+                self.close_with_reason(CloseReason::TooMany);
                 false
             }
             Some(_) => self.write_or_queue(context, reply),
         }
     }
 
-    /// Sends the last reply and closes the connection; `error` is logged. Earlier commands are answered first, and abandoned
-    /// at the command timeout.
+    /// Sends a last reply and closes the connection; `error` is logged. Earlier commands are
+    /// answered first; those without an answer at the command timeout are abandoned.
     pub fn reply_and_close(&self, context: P::ReplyContext, text: Vec<u8>, error: &str) {
         if self.connection.begin_command().is_some() {
             self.send_last_reply(context, text, error);
         }
     }
 
-    /// Closes the connection with the reply for this reason.
-    pub(super) fn dismiss(&self, reason: CloseReason) {
+    /// Closes the connection after the reply that the protocol has for this reason.
+    pub(super) fn close_with_reason(&self, reason: CloseReason) {
         let (context, text) = self.front.protocol.closing_reply(reason);
         self.send_last_reply(context, text, reason.description());
     }
@@ -99,12 +102,13 @@
         self.log_malformed(error);
         let mut state = lock(&self.connection.state);
         state.closed = true;
-        state.give_up_at = Some(state.opened_at + COMMAND_TIMEOUT);
+        state.abandon_at = Some(state.opened_at + COMMAND_TIMEOUT);
         drop(state);
         self.write_or_queue(context, Reply::Direct { text, last: true });
     }
 
-    /// Writes a direct reply at once if no other is pending, else queues it. Returns false if the connection is closing.
+    /// Writes a direct reply at once if no other is pending, else queues it. Returns false if the
+    /// connection is closing.
     fn write_or_queue(&self, context: P::ReplyContext, reply: Reply<ValueOf<P>>) -> bool {
         let closing = self.front.is_closing();
         let mut state = lock(&self.connection.state);
@@ -136,26 +140,27 @@
         state.incomplete_since.get_or_insert_with(Instant::now);
     }
 
-    /// Blocks the reader for this long.
+    /// Pauses reading from the connection for this long.
     pub fn pause_reading(&self, wait: Duration) {
         thread::sleep(wait);
         lock(&self.connection.state).reading_was_paused = true;
     }
 
-    /// Counts a request of this class that was never submitted as failed.
+    /// Counts as failed a request of this class that was never submitted.
     pub fn count_failed(&self, class: usize) {
         drop(self.front.metrics.begin_request(class));
     }
 
     /// Passes a request to the core.
     pub fn submit(&self, request: ClientRequest<P>) {
-        // Under one lock: reported between the two, a disconnect would be of a request that the core does not know.
+        // Both steps are under one lock. A disconnect reported between them would name a request
+        // that the core doesn't know.
         let mut state = lock(&self.connection.state);
         state.open_requests.push(request.number);
-        let unsent = (self.front.events)(ClientEvent::Request(request));
-        // An undelivered request replies when it is dropped, which takes the same lock.
+        let undelivered = (self.front.events)(ClientEvent::Request(request));
+        // Dropping an undelivered request sends its reply, which takes the same lock.
         drop(state);
-        drop(unsent);
+        drop(undelivered);
     }
 
     /// Whether the limiter has an endpoint list.
@@ -163,7 +168,7 @@
         self.front.is_ready()
     }
 
-    /// Logs what is wrong with a client's command, at a limited rate.
+    /// Logs at a limited rate what is wrong with a client's command.
     pub fn log_malformed(&self, error: &str) {
         if let Some(suppressed) = self.front.malformed_log.permit() {
             info!(self.front.log, "malformed command"; "error" => error, "suppressed" => suppressed);
--- a/src/client/watchdog.rs
+++ b/src/client/watchdog.rs
@@ -1,7 +1,8 @@
-//! The thread that watches all connections: it closes those with an incomplete command or without commands after a
-//! timeout, evicts idle ones above the limit, and abandons requests before a malformed command.
+//! The thread that checks all connections: it closes those that send an incomplete command or no
+//! command within a timeout, evicts idle ones above a limit, and abandons requests that precede a
+//! malformed command.
 
-use super::connection::{peer_hung_up, ClientConnection, SHORT_IDLE};
+use super::connection::{peer_disconnected, ClientConnection, MIN_IDLE_TIME};
 use super::protocol::ClientProtocol;
 use super::ClientListener;
 use crate::threads::lock;
@@ -12,21 +13,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The time within which a command has to be complete, from the accept of the connection or from the first byte of a later
-/// command; also the time, from the accept, until requests before a malformed command are abandoned. Clients may take 2 s,
-/// and have to get a reply within 3 s of connecting.
+/// Time within which a command has to be complete: the first one counted from the accept of its
+/// connection, later ones from their first byte. Also the time from the accept until requests that
+/// precede a malformed command are abandoned. Clients may take 2 s to send a command, and have to
+/// get a reply within 3 s of connecting.
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// The same for a client that is still sending, slowly.
+/// Time within which a command has to be complete if its client is still sending it slowly.
 const SLOW_COMMAND_TIMEOUT: Duration = Duration::from_secs(6);
-/// A connection without a pending reply or an incomplete command is closed after this time; clients expect 2 s at least.
+/// A connection without a pending reply or an incomplete command is closed after this time. Clients
+/// expect at least 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// The interval of checks while connections are open.
+/// Interval of the checks while connections are open.
 const WATCHDOG_INTERVAL: Duration = Duration::from_millis(200);
-/// Connections on which requests were received, in fifths of all.
-const REQUESTING_FIFTHS: usize = 3;
+/// Maximum number of connections on which requests were received, in fifths of the connection
+/// limit.
+const MAX_REQUESTING_FIFTHS: usize = 3;
 
 impl<P: ClientProtocol> ClientListener<P> {
-    /// Checks all connections in an interval for as long as the process runs.
+    /// Checks all connections every [`WATCHDOG_INTERVAL`] until the process ends.
     pub(super) fn run_watchdog(&self) {
         let mut connections = lock(&self.connections);
         loop {
@@ -45,14 +49,16 @@
         }
     }
 
-    /// Limits connections on which requests were received to three fifths of all: those without activity for longest are
-    /// closed. Clients may hold four fifths, and the rest is for floods, so a quarter of the clients' part stays free.
+    /// Limits the connections on which requests were received to three fifths of the connection
+    /// limit, by closing idle ones that have been inactive for longest. Clients may hold four
+    /// fifths of the limit, and the rest is for floods, so a quarter of the clients' share stays
+    /// free.
     ///
-    /// Guards against clients that send one request and hold their connection: once they hold all that they may, no further
-    /// one of theirs reaches the limiter.
+    /// Guards against clients that send one request and then hold their connection: once they hold
+    /// as many connections as they may, no further connection of theirs reaches the limiter.
     pub(super) fn evict_idle(&self, connections: &HashMap<u64, Arc<ClientConnection<P>>>) {
         let max_connections = self.max_connections.load(Ordering::Relaxed);
-        let max_requesting = max_connections * REQUESTING_FIFTHS / 5;
+        let max_requesting = max_connections * MAX_REQUESTING_FIFTHS / 5;
         if connections.len() <= max_requesting {
             return;
         }
@@ -66,7 +72,7 @@
             requesting += 1;
             let is_idle = state.unanswered == 0
                 && !state.is_sending()
-                && state.last_activity.elapsed() >= SHORT_IDLE;
+                && state.last_activity.elapsed() >= MIN_IDLE_TIME;
             if is_idle {
                 idle.push((state.last_activity, connection));
             }
@@ -80,15 +86,18 @@
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Closes the connection after a timeout. Returns the requests that are abandoned: the client has disconnected, or the
-    /// reply to a malformed command after them is due.
+    /// Closes the connection if it has timed out. Returns the requests to abandon, because the
+    /// client has disconnected or the reply to a malformed command that follows them is due.
     fn check_timeouts(&self, now: Instant) -> Vec<u64> {
         let mut state = lock(&self.state);
-        if state.give_up_at.is_some_and(|deadline| now >= deadline) {
+        if state.abandon_at.is_some_and(|deadline| now >= deadline) {
             return std::mem::take(&mut state.open_requests);
         }
-        // The reader may not notice the disconnect: it is paused, waits for a hand-over or has ended.
-        if !state.closing_when_read && !state.open_requests.is_empty() && peer_hung_up(&self.stream)
+        // The reader may not notice the disconnect because it is paused, waits for a hand-over or
+        // has ended.
+        if !state.close_after_reading
+            && !state.open_requests.is_empty()
+            && peer_disconnected(&self.stream)
         {
             state.closed = true;
             return std::mem::take(&mut state.open_requests);
@@ -103,10 +112,11 @@
         };
         match state.incomplete_since {
             Some(since) if now >= since + command_timeout => {
-                // The reader reaches the end of the stream, replies with the reason and closes.
+                // The reader then reaches the end of the stream, replies with the reason and closes
+                // the connection.
                 _ = self.stream.shutdown(Shutdown::Read);
             }
-            None if now >= state.last_activity + IDLE_TIMEOUT => self.close_if_settled(&mut state),
+            None if now >= state.last_activity + IDLE_TIMEOUT => self.close_if_answered(&mut state),
             _ => {}
         }
         Vec::new()
--- a/src/client/writer.rs
+++ b/src/client/writer.rs
@@ -12,17 +12,17 @@
 use std::net::Shutdown;
 use std::sync::{Arc, MutexGuard};
 
-/// The head of the pending replies.
+/// What the writer does next, by the first of the pending replies.
 enum NextReply<P: ClientProtocol> {
-    /// A reply.
+    /// Writes this reply.
     Ready(ReadyReply<P>),
-    /// No reply yet; the next one starts a writer.
-    Later,
-    /// No reply is pending and no command will be received: the writer closes the connection.
-    Never,
+    /// Ends, as the first reply is not available yet; it starts a writer once it is.
+    NotReady,
+    /// Closes the connection, as no reply is pending and no command will be received.
+    NoneLeft,
 }
 
-/// A reply that can be written.
+/// A pending reply that is available.
 struct ReadyReply<P: ClientProtocol> {
     request: Option<u64>,
     context: P::ReplyContext,
@@ -31,10 +31,11 @@
 }
 
 impl<P: ClientProtocol> ClientListener<P> {
-    /// Starts a writer thread if the next reply can be written and none runs.
+    /// Starts a writer thread if the next reply can be written and no writer runs.
     ///
-    /// Guards against a waiting thread for each connection or request: a system that suspends and resumes a process, as for a
-    /// CPU quota, does so with each of its threads.
+    /// There is no permanent writer thread for each connection or request, because a system that
+    /// suspends and resumes a process, for example to enforce a CPU quota, has to do so with each
+    /// of its threads.
     pub(super) fn start_writer(
         self: &Arc<Self>,
         number: u64,
@@ -57,13 +58,14 @@
         }
     }
 
-    /// Writes replies in order while the next can be written; closes the connection if it is to end.
+    /// Writes replies in order while the next one is available, and closes the connection after its
+    /// last reply.
     pub(super) fn run_writer(&self, number: u64, connection: &ClientConnection<P>) {
         loop {
             let ready = match connection.next_reply() {
                 NextReply::Ready(ready) => ready,
-                NextReply::Later => return,
-                NextReply::Never => break,
+                NextReply::NotReady => return,
+                NextReply::NoneLeft => break,
             };
             let request = ready.request;
             match self.write_reply(connection, ready) {
@@ -75,11 +77,12 @@
                 Err(_) => break,
             }
         }
-        // Ends the reader too, which reports requests that are still open.
+        // This also ends the reader, and reports requests that are still open as abandoned.
         self.close_connection(number, connection);
     }
 
-    /// Writes a reply and counts its request. Returns false if the connection is to be closed after it.
+    /// Writes a reply and counts its request. Returns false if the connection is to be closed after
+    /// it.
     fn write_reply(
         &self,
         connection: &ClientConnection<P>,
@@ -105,7 +108,8 @@
 }
 
 impl<P: ClientProtocol> ClientConnection<P> {
-    /// Ends the sending and waits for the reader, so that the client can read the last reply before the connection is closed.
+    /// Shuts down the sending side and waits at most [`CLOSE_LINGER`] for the reader to end, so
+    /// that the client can read the last reply before the connection is closed.
     fn linger(&self) {
         _ = self.stream.shutdown(Shutdown::Write);
         let state = lock(&self.state);
@@ -115,7 +119,8 @@
         drop(wait);
     }
 
-    /// Takes the next reply, if it can be written; else records that no writer runs or that it closes the connection.
+    /// Takes the next reply if it is available. Otherwise records that no writer runs any more, or
+    /// that the writer is to close the connection.
     fn next_reply(&self) -> NextReply<P> {
         let mut state = lock(&self.state);
         match state.replies.pop_front() {
@@ -133,21 +138,21 @@
             Some(unanswered) => {
                 state.replies.push_front(unanswered);
                 state.writer_running = false;
-                NextReply::Later
+                NextReply::NotReady
             }
             None if state.accepts_commands => {
                 state.writer_running = false;
-                NextReply::Later
+                NextReply::NotReady
             }
             None => {
                 state.writer_running = true;
-                NextReply::Never
+                NextReply::NoneLeft
             }
         }
     }
 }
 
-/// How a request with this answer is counted once the answer is written.
+/// Returns how a request with this answer is counted once the answer was written.
 fn outcome<V>(answer: &Answer<V>) -> RequestOutcome {
     match answer {
         Answer::Served(_) => RequestOutcome::Served,
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to upstream servers, and their number.
+//! Connections to upstream servers, and the count of open ones.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind, Read};
@@ -9,23 +9,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A connection is not used again within this time of the server's closing it, or within half of the time
-/// that it may be idle, where that is shorter.
+/// An idle connection is not reused in the last part of the server's idle time-out, so that the
+/// server does not close it meanwhile. That part is this long, but at most half of the time-out.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Time after a response before a connection is used again. A server that responds twice does so some
-/// milliseconds later, and the second response would be taken for that of the next request.
+/// Time after a response before a connection is reused. A server that responds twice does so
+/// some milliseconds later, and the second response would be taken for the response to the next
+/// request.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Linux's `MSG_PEEK | MSG_DONTWAIT`: one system call in place of three for each reuse of a connection.
-const PEEK_WITHOUT_WAITING: i32 = 0x02 | 0x40;
+/// Linux's `MSG_PEEK | MSG_DONTWAIT`. With these flags the check before each reuse of a connection
+/// takes one system call instead of three.
+const PEEK_NONBLOCKING: i32 = 0x02 | 0x40;
 
 /// A connection to an upstream server, counted as open until it is dropped.
 pub struct Connection {
-    /// What is read from and written to.
+    /// The socket.
     pub stream: TcpStream,
     pub(super) _slot: ConnectionSlot,
 }
 
-/// A reader of a connection that shares its ownership.
+/// Reads from a connection that it shares with other owners.
 pub struct ConnectionReader(pub Arc<Connection>);
 
 impl Read for ConnectionReader {
@@ -34,17 +36,17 @@
     }
 }
 
-/// The number of open connections, which a [`ConnectionSlot`] counts as one of.
+/// Number of connections that are open or being opened, one for each [`ConnectionSlot`].
 #[derive(Clone, Default)]
 pub(super) struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// Connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub(super) fn get(&self) -> usize {
         self.0.load(Ordering::SeqCst)
     }
 
-    /// Counts one more connection until the slot is dropped.
+    /// Counts one more connection until the returned slot is dropped.
     pub(super) fn reserve(&self) -> ConnectionSlot {
         self.0.fetch_add(1, Ordering::SeqCst);
         ConnectionSlot(self.clone())
@@ -61,14 +63,14 @@
     }
 }
 
-/// A connection that waits for its next attempt; no thread waits with it.
+/// A connection that is not in use. No thread is bound to it.
 pub(super) struct IdleConnection {
     connection: Arc<Connection>,
     since: Instant,
 }
 
 impl IdleConnection {
-    /// A connection that is idle from now on.
+    /// Returns a connection that is idle from now on.
     pub(super) fn new(connection: Arc<Connection>) -> Self {
         Self {
             connection,
@@ -81,16 +83,16 @@
         self.since
     }
 
-    /// Whether [`Self::reuse`] would not wait.
+    /// Whether [`Self::reuse`] would return without waiting.
     pub(super) fn is_reusable_now(&self) -> bool {
         self.since.elapsed() >= REUSE_DELAY
     }
 
-    /// Waits until the connection may be used again. None if the server has closed it meanwhile or sent
-    /// something unasked.
+    /// Waits until the connection may be used again. Returns none if the server has closed it
+    /// meanwhile or has sent unsolicited bytes.
     ///
-    /// Guards against a request on a connection that the server has closed: it would end as a reset, and a
-    /// request that is not idempotent would be lost with it.
+    /// Guards against a request on a connection that the server has closed: the connection would be
+    /// reset, and a request that is not idempotent would be lost with it, as it can't be retried.
     pub(super) fn reuse(self) -> Option<Arc<Connection>> {
         let usable_from = self.since + REUSE_DELAY;
         thread::sleep(usable_from.saturating_duration_since(Instant::now()));
@@ -98,14 +100,16 @@
     }
 }
 
-/// How long a connection may be idle and still be used, where the server closes it after `server_timeout`.
+/// Returns how long a connection may be idle and still be reused, if the server closes it after
+/// `server_timeout`.
 pub(super) fn max_idle_time(server_timeout: Duration) -> Duration {
     server_timeout - IDLE_MARGIN.min(server_timeout / 2)
 }
 
-/// Whether nothing was received on an idle connection: neither its end nor bytes that belong to no request.
+/// Whether an idle connection is open and nothing was received on it: such bytes belong to no
+/// request.
 pub fn is_open_and_silent(stream: &TcpStream) -> bool {
     let received =
-        SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], PEEK_WITHOUT_WAITING);
+        SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], PEEK_NONBLOCKING);
     received.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
--- a/src/upstream/event.rs
+++ b/src/upstream/event.rs
@@ -8,21 +8,21 @@
 /// An event of an upstream connection.
 #[derive(Debug)]
 pub enum UpstreamEvent<V> {
-    /// The first bytes of a value that is longer than a buffer were received; the attempt ends later,
-    /// without a value.
+    /// The first bytes of a value that is longer than a buffer were received. The later
+    /// [`UpstreamEvent::AttemptEnded`] has no value.
     ResponseStarted {
         /// The attempt.
         attempt: AttemptId,
         /// The value, whose remaining bytes are read from the connection.
         value: V,
     },
-    /// An attempt has ended by itself.
+    /// An attempt has ended.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
-        /// Load report of the server; empty if there was none.
+        /// Load report of the server; empty if it sent none.
         load: Vec<f64>,
         /// The value, with [`Outcome::Ok`].
         value: Option<V>,
@@ -33,12 +33,12 @@
         server: ServerId,
         /// How the check ended.
         outcome: Outcome,
-        /// Time that it took.
+        /// How long the check took.
         latency: Duration,
-        /// Load report of the server; empty if there was none.
+        /// Load report of the server; empty if it sent none.
         load: Vec<f64>,
     },
 }
 
-/// Receives the events of an upstream pool, on the thread where each occurs. It must not block.
+/// Receives the events of an upstream pool, on the thread where each occurs. Must not block.
 pub type UpstreamEventSink<V> = Arc<dyn Fn(UpstreamEvent<V>) + Send + Sync>;
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! Attempts at upstream servers: a pool of connections, one attempt at a time on each, a small thread for
-//! each attempt.
+//! Attempts at upstream servers. A pool of connections carries one attempt at a time on each
+//! connection, and each attempt runs on a thread with a small stack.
 //!
-//! Idle connections hold no thread: hundreds of limiters on one machine would need more than a system gives.
+//! Idle connections have no thread: hundreds of limiters on one machine would need more threads
+//! than the system allows.
 
 mod connection;
 mod event;
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The pool: starts attempts and health checks at upstream servers, each on a thread, and cancels them.
+//! The pool of upstream connections: starts attempts and health checks, each on a thread, and
+//! cancels attempts.
 
 use super::connection::{max_idle_time, ConnectionCount};
 use super::event::{UpstreamEvent, UpstreamEventSink};
@@ -19,23 +20,23 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What a pool of upstream connections is made of.
+/// Options of a pool of upstream connections.
 pub struct UpstreamPoolOptions<S: UpstreamProtocol> {
     /// Time-outs of connections.
     pub links: ConnectionSettings,
-    /// Most connections to all servers together.
+    /// Maximum number of connections to all servers together.
     pub max_connections: usize,
     /// The protocol of the servers.
     pub protocol: S,
-    /// Receives what becomes of attempts and health checks.
+    /// Receives the results of attempts and health checks.
     pub events: UpstreamEventSink<S::Value>,
     /// Counts attempts.
     pub metrics: Arc<Metrics>,
-    /// Where faults of this process are logged.
+    /// Log for faults of this process.
     pub log: Logger,
 }
 
-/// The upstream servers and the connections to them. Clones share these.
+/// The upstream servers and the connections to them. Clones share both.
 pub struct UpstreamPool<S: UpstreamProtocol> {
     shared: Arc<Shared<S>>,
 }
@@ -48,27 +49,28 @@
     }
 }
 
-/// What the pool and its workers share.
+/// State that the pool and its workers share.
 pub(super) struct Shared<S: UpstreamProtocol> {
     pub(super) table: Mutex<ServerTable>,
-    pub(super) links: ConnectionSettings,
+    pub(super) settings: ConnectionSettings,
     max_connections: AtomicUsize,
     pub(super) connections: ConnectionCount,
     pub(super) protocol: S,
     pub(super) events: UpstreamEventSink<S::Value>,
     pub(super) metrics: Arc<Metrics>,
     log: Logger,
-    full_log: LogThrottle,
+    /// Limits the rate of log lines about the connection limit.
+    connection_limit_log: LogThrottle,
 }
 
 impl<S: UpstreamProtocol> Shared<S> {
-    fn is_full(&self) -> bool {
+    fn is_at_limit(&self) -> bool {
         self.connections.get() >= self.max_connections.load(Ordering::Relaxed)
     }
 
-    /// Logs, but not every time, that no connection can be opened.
-    fn log_full(&self) {
-        let Some(suppressed) = self.full_log.permit() else {
+    /// Logs at a limited rate that no connection can be opened.
+    fn log_limit_reached(&self) {
+        let Some(suppressed) = self.connection_limit_log.permit() else {
             return;
         };
         warn!(self.log, "no file descriptor left for an upstream connection";
@@ -81,43 +83,43 @@
 enum DispatchError {
     #[error("unknown upstream server")]
     UnknownServer,
-    #[error("too many upstream connections")]
+    #[error("limit of upstream connections reached")]
     TooManyConnections,
-    #[error("no thread: {0}")]
+    #[error("no thread for an upstream job could be started: {0}")]
     NoThread(#[source] io::Error),
 }
 
 impl DispatchError {
-    /// How the attempt or health check ends.
+    /// Returns the outcome of the attempt or health check.
     fn outcome(&self) -> Outcome {
         match self {
             Self::UnknownServer => Outcome::ConnectFailed,
-            // No judgement on the server: the attempt never reached it.
+            // Must not count against the server: the attempt never reached it.
             Self::TooManyConnections | Self::NoThread(_) => Outcome::Superseded,
         }
     }
 }
 
 impl<S: UpstreamProtocol> UpstreamPool<S> {
-    /// A pool that knows no server yet.
+    /// Returns a pool without servers.
     pub fn new(options: UpstreamPoolOptions<S>) -> Self {
         let table = ServerTable::new(max_idle_time(options.links.idle_timeout));
         Self {
             shared: Arc::new(Shared {
                 table: Mutex::new(table),
-                links: options.links,
+                settings: options.links,
                 max_connections: AtomicUsize::new(options.max_connections),
                 connections: ConnectionCount::default(),
                 protocol: options.protocol,
                 events: options.events,
                 metrics: options.metrics,
                 log: options.log,
-                full_log: LogThrottle::default(),
+                connection_limit_log: LogThrottle::default(),
             }),
         }
     }
 
-    /// Sets the most connections from now on, and closes as many idle ones as there are above it.
+    /// Sets the maximum number of connections, and closes idle ones above it.
     pub fn set_max_connections(&self, max_connections: usize) {
         let shared = &self.shared;
         shared
@@ -132,14 +134,14 @@
         }
     }
 
-    /// Applies an update of the endpoint list. A server that was removed or is absent from a full list loses
-    /// its idle connections.
+    /// Applies an update of the endpoint list. A server that was removed or is absent from a full
+    /// list loses its idle connections.
     pub fn update(&self, update: &EndpointUpdate) {
         lock(&self.shared.table).update(update);
     }
 
-    /// Starts an attempt on an idle connection, or on a new one. [`UpstreamEvent::AttemptEnded`] follows
-    /// unless the attempt is cancelled.
+    /// Starts an attempt on an idle connection, or on a new one if none is idle. Its end is
+    /// reported as [`UpstreamEvent::AttemptEnded`].
     pub fn start(
         &self,
         attempt: AttemptId,
@@ -170,14 +172,14 @@
         }
     }
 
-    /// Cancels an attempt by closing its connection, which notifies the server. Returns false if nothing of
-    /// it was written: it can't have run.
+    /// Cancels an attempt by closing its connection, which tells the server. Returns false if
+    /// nothing of it was written, so that the request can't have run.
     pub fn cancel(&self, attempt: AttemptId) -> bool {
         let removed = lock(&self.shared.table).running.remove(&attempt);
         removed.is_none_or(|running| running.cancel())
     }
 
-    /// Cancels an attempt of which nothing is written yet; returns false if something is.
+    /// Cancels an attempt if nothing of it has been written yet. Returns whether it was cancelled.
     pub fn withdraw(&self, attempt: AttemptId) -> bool {
         let mut table = lock(&self.shared.table);
         let withdrawn = table
@@ -190,7 +192,7 @@
         withdrawn
     }
 
-    /// Keeps attempts at a server that wait for their connections from being written.
+    /// Prevents attempts at a server that still wait for their connections from being written.
     pub fn block_server(&self, server: &ServerId) {
         let table = lock(&self.shared.table);
         for running in table.running.values() {
@@ -200,7 +202,8 @@
         }
     }
 
-    /// Checks the health of a server and asks for its load. [`UpstreamEvent::HealthChecked`] follows.
+    /// Starts a health check of a server, which also reads its load report. The result is reported
+    /// as [`UpstreamEvent::HealthChecked`].
     pub fn check_health(&self, server: &ServerId) {
         if let Err(error) = self.dispatch(server, Job::HealthCheck) {
             (self.shared.events)(UpstreamEvent::HealthChecked {
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Has a worker carry out a job on a thread.
+    /// Reserves a connection for a job and runs the job on a thread.
     fn dispatch(&self, server: &ServerId, job: Job<S::Call>) -> Result<(), DispatchError> {
         let shared = &self.shared;
         let mut table = lock(&shared.table);
@@ -220,8 +223,8 @@
         let acquired = match table.take_idle(server) {
             Some(idle) => AcquiredConnection::Idle(idle),
             None => {
-                if shared.is_full() && !table.close_oldest_idle() {
-                    shared.log_full();
+                if shared.is_at_limit() && !table.close_oldest_idle() {
+                    shared.log_limit_reached();
                     return Err(DispatchError::TooManyConnections);
                 }
                 AcquiredConnection::New(shared.connections.reserve())
--- a/src/upstream/protocol.rs
+++ b/src/upstream/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol that upstream servers speak, and what it needs to know of a client.
+//! The protocol of upstream servers, and the presence of the client that an attempt is made for.
 
 use super::connection::Connection;
 use crate::decision::Outcome;
@@ -7,43 +7,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A protocol that upstream servers speak: how attempts are written and their responses read.
+/// A protocol of upstream servers: how attempts are written and responses are read.
 pub trait UpstreamProtocol: Send + Sync + Sized + 'static {
-    /// A request as it is forwarded.
+    /// A request in the form that is forwarded.
     type Call: Send + Sync + 'static;
-    /// What an upstream server serves.
+    /// The value in the response of an upstream server.
     type Value: Send + 'static;
-    /// Writes a whole request, which includes the time `left` that the limiter waits for the response.
+    /// Writes a request, which includes `time_left`, the time that the limiter still waits for the
+    /// response.
     ///
     /// # Errors
-    /// The request was not written whole.
-    fn write(&self, call: &Self::Call, to: &TcpStream, left: Duration) -> io::Result<()>;
-    /// Reads the response to a request that was written. A value that is longer than a buffer is passed to
-    /// `begins` at its first bytes, and was received whole or broken off when this returns.
+    /// If the request was not written completely.
+    fn write(&self, call: &Self::Call, to: &TcpStream, time_left: Duration) -> io::Result<()>;
+    /// Reads the response to a request that was written. A value that is longer than a buffer is
+    /// passed to `on_value_start` when its first bytes are received; it is complete or cut off when
+    /// this method returns.
     fn read(
         &self,
         call: &Self::Call,
         from: &Arc<Connection>,
-        begins: &dyn Fn(Self::Value),
+        on_value_start: &dyn Fn(Self::Value),
     ) -> Exchange<Self::Value>;
     /// Checks the health of the server and reads its load report.
     fn check_health(&self, stream: &TcpStream) -> Exchange<Self::Value>;
 }
 
-/// Result of an exchange on a connection. The connection is used again only after a whole response.
+/// Result of a request and its response on a connection.
 pub struct Exchange<V> {
-    /// How it ended.
+    /// How the exchange ended.
     pub outcome: Outcome,
-    /// Load report of the server; empty if there was none.
+    /// Load report of the server; empty if it sent none.
     pub load: Vec<f64>,
-    /// What the server served.
+    /// The value that the server sent, if any.
     pub value: Option<V>,
-    /// The connection can be used again.
+    /// Whether the connection can be reused, which requires a complete response.
     pub reusable: bool,
 }
 
 impl<V> Exchange<V> {
-    /// An exchange that failed without a response, and whose connection is closed.
+    /// Returns an exchange that failed without a response and whose connection can't be reused.
     pub fn failed(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -56,7 +58,7 @@
 
 /// The client that an attempt is made for.
 pub trait ClientPresence: Send + Sync {
-    /// Whether the client has closed its connection. Asks the connection itself, without waiting for the
-    /// thread that reads from it.
-    fn has_left(&self) -> bool;
+    /// Whether the client has closed its connection. Checks the socket itself, without waiting for
+    /// the thread that reads from it.
+    fn has_disconnected(&self) -> bool;
 }
--- a/src/upstream/running_attempt.rs
+++ b/src/upstream/running_attempt.rs
@@ -1,4 +1,4 @@
-//! The state of an attempt that its worker shares with whoever cancels it.
+//! The state of an attempt, which its worker shares with the threads that may cancel it.
 
 use super::connection::Connection;
 use crate::decision::{Outcome, ServerId};
@@ -15,19 +15,19 @@
 
 #[derive(Default)]
 enum AttemptState {
-    /// Waits for its connection; nothing is written.
+    /// The attempt waits for its connection; nothing was written.
     #[default]
     Connecting,
-    /// The server was taken out before anything was written: nothing will be.
+    /// The server was blocked before anything was written, so nothing will be written.
     Blocked,
-    /// Cancelled before anything was written: nothing will be.
+    /// The attempt was cancelled before anything was written, so nothing will be written.
     Cancelled,
-    /// Writing has begun on this connection.
+    /// The attempt has begun to be written to this connection.
     Writing(Arc<Connection>),
 }
 
 impl RunningAttempt {
-    /// An attempt at this server that waits for its connection.
+    /// Returns an attempt at this server that waits for its connection.
     pub(super) fn new(server: ServerId) -> Self {
         Self {
             server,
@@ -35,15 +35,16 @@
         }
     }
 
-    /// The server that it is sent to.
+    /// Returns the server that the attempt is sent to.
     pub(super) fn server(&self) -> &ServerId {
         &self.server
     }
 
-    /// Marks the attempt as written on this connection from now on.
+    /// Records that the attempt begins to be written to this connection.
     ///
     /// # Errors
-    /// How the attempt ends if it may not be written any more.
+    /// The outcome of the attempt if it must not be written any more: it was cancelled, its server
+    /// was blocked, or `write_before` has passed.
     pub(super) fn begin_writing(
         &self,
         connection: &Arc<Connection>,
@@ -55,7 +56,7 @@
             AttemptState::Blocked => return Err(Outcome::ConnectFailed),
             AttemptState::Connecting | AttemptState::Writing(_) => {}
         }
-        // The connection may have come up too late.
+        // The connection may have been established too late.
         if Instant::now() >= write_before {
             return Err(Outcome::ConnectFailed);
         }
@@ -63,8 +64,8 @@
         Ok(())
     }
 
-    /// Cancels the attempt by closing its connection, which notifies the server. Returns false if nothing
-    /// was written.
+    /// Cancels the attempt by closing its connection, which tells the server. Returns false if
+    /// nothing was written.
     pub(super) fn cancel(&self) -> bool {
         let mut state = lock(&self.state);
         if let AttemptState::Writing(connection) = &*state {
@@ -75,7 +76,7 @@
         false
     }
 
-    /// Cancels the attempt if nothing is written yet; returns whether it was cancelled.
+    /// Cancels the attempt if nothing of it has been written yet. Returns whether it was cancelled.
     pub(super) fn withdraw(&self) -> bool {
         let mut state = lock(&self.state);
         if matches!(*state, AttemptState::Writing(_)) {
@@ -85,7 +86,7 @@
         true
     }
 
-    /// Keeps the attempt from being written, if writing has not begun.
+    /// Prevents the attempt from being written, if writing has not begun.
     pub(super) fn block(&self) {
         let mut state = lock(&self.state);
         if matches!(*state, AttemptState::Connecting) {
--- a/src/upstream/servers.rs
+++ b/src/upstream/servers.rs
@@ -10,24 +10,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two sweeps of all idle connections.
+/// Minimum time between two sweeps of the idle connections of all servers.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Idle connections to one server.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 32;
 
-/// The upstream servers and what is under way to them; the pool has it behind a lock.
+/// The upstream servers, their idle connections and the running attempts; shared behind a mutex.
 pub(super) struct ServerTable {
     servers: HashMap<ServerId, Server>,
     /// Attempts that have neither ended nor been cancelled.
     pub(super) running: HashMap<AttemptId, Arc<RunningAttempt>>,
-    /// Idle connections that have been so for longer are closed.
+    /// Connections that have been idle for longer are closed.
     max_idle_time: Duration,
     last_sweep: Instant,
 }
 
 struct Server {
     address: SocketAddr,
-    /// In order of their last use, the latest last.
+    /// Idle connections, in the order in which they became idle.
     idle: Vec<IdleConnection>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl ServerTable {
-    /// A table without servers.
+    /// Returns a table without servers.
     pub(super) fn new(max_idle_time: Duration) -> Self {
         Self {
             servers: HashMap::new(),
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Applies an update of the endpoint list. A server that was removed or is absent from a full list loses
-    /// its idle connections.
+    /// Applies an update of the endpoint list. A server that was removed or is absent from a full
+    /// list loses its idle connections.
     pub(super) fn update(&mut self, update: &EndpointUpdate) {
         if update.is_snapshot {
             self.servers.retain(|id, _| {
@@ -82,13 +82,14 @@
         }
     }
 
-    /// The address of a server; none if the server is not known.
+    /// Returns the address of a server; none if the server is unknown.
     pub(super) fn address(&self, id: &ServerId) -> Option<SocketAddr> {
         self.servers.get(id).map(|server| server.address)
     }
 
-    /// Takes an idle connection to a server: of those that can be used at once the one used last, so that
-    /// the others can age and close, else the one that can be used first.
+    /// Takes an idle connection to a server. Prefers, of those that can be reused at once, the most
+    /// recently used one, so that the others can expire; if there is none, takes the one that can
+    /// be reused soonest.
     pub(super) fn take_idle(&mut self, id: &ServerId) -> Option<IdleConnection> {
         let server = self.servers.get_mut(id)?;
         server.close_expired(self.max_idle_time);
@@ -102,7 +103,8 @@
         Some(server.idle.remove(reusable.unwrap_or(0)))
     }
 
-    /// Closes the connection that has been idle for longest; returns false if none is idle.
+    /// Closes the connection that has been idle for longest. Returns false if no connection is
+    /// idle.
     pub(super) fn close_oldest_idle(&mut self) -> bool {
         let with_idle = self
             .servers
@@ -115,8 +117,9 @@
         true
     }
 
-    /// Adds a connection to the idle ones of its server, if the server is still known at this address and
-    /// has few.
+    /// Adds a connection to the idle ones of its server, unless the server is no longer known at
+    /// this address or has [`MAX_IDLE_PER_SERVER`] already. A connection that is not added is
+    /// closed.
     pub(super) fn add_idle(
         &mut self,
         id: &ServerId,
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Closes, now and then, what has been idle for too long: the servers close it on their side.
+    /// Closes connections of all servers that have been idle for too long, at most once per
+    /// [`SWEEP_INTERVAL`]: the servers close them on their side.
     fn sweep(&mut self) {
         if self.last_sweep.elapsed() < SWEEP_INTERVAL {
             return;
--- a/src/upstream/worker.rs
+++ b/src/upstream/worker.rs
@@ -1,4 +1,4 @@
-//! One attempt or health check, carried out on a thread of its own.
+//! Runs one attempt or health check on its own thread.
 
 use super::connection::{Connection, ConnectionSlot, IdleConnection};
 use super::event::UpstreamEvent;
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What a worker carries out.
+/// The job of a worker.
 pub(super) enum Job<C> {
     Attempt(Attempt<C>),
     HealthCheck,
 }
 
-/// An attempt that is to be written.
+/// An attempt to be written to its server.
 pub(super) struct Attempt<C> {
     pub(super) id: AttemptId,
     pub(super) call: Arc<C>,
@@ -29,25 +29,25 @@
     pub(super) client: Arc<dyn ClientPresence>,
 }
 
-/// The connection that a job is carried out on.
+/// The connection for a job.
 pub(super) enum AcquiredConnection {
-    /// An idle connection, which it may be too early to use.
+    /// An idle connection, which may have to wait before it can be reused.
     Idle(IdleConnection),
-    /// One that is to be opened, and counts already.
+    /// A connection that is yet to be opened and is already counted as open.
     New(ConnectionSlot),
 }
 
-/// Carries out one job.
+/// Runs one job.
 pub(super) struct Worker<S: UpstreamProtocol> {
     server: ServerId,
     address: SocketAddr,
-    /// The connection in use; counted as open until the end of the job is reported.
+    /// The connection in use. Counted as open until the end of the job was reported.
     connection: Option<Arc<Connection>>,
     shared: Arc<Shared<S>>,
 }
 
 impl<S: UpstreamProtocol> Worker<S> {
-    /// A worker for a job at this server.
+    /// Returns a worker for a job at this server.
     pub(super) fn new(server: ServerId, address: SocketAddr, shared: Arc<Shared<S>>) -> Self {
         Self {
             server,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Carries out a job and reports its end.
+    /// Runs a job and reports its result.
     pub(super) fn run(self, acquired: AcquiredConnection, job: Job<S::Call>) {
         match job {
             Job::Attempt(attempt) => self.run_attempt(acquired, &attempt),
@@ -69,7 +69,8 @@
         let exchange = self.exchange(acquired, attempt);
         {
             let mut table = lock(&self.shared.table);
-            // A cancelled attempt is not among the running ones, and its connection is closed.
+            // A cancelled attempt has been removed from the running ones, and its connection was
+            // closed.
             let was_running = table.running.remove(&attempt.id).is_some();
             self.release_connection(&mut table, was_running && exchange.reusable);
         }
@@ -93,14 +94,14 @@
         });
     }
 
-    /// Returns the connection to the idle ones, if it can be used again.
+    /// Adds the connection to the idle ones if it can be reused.
     fn release_connection(&self, table: &mut ServerTable, reusable: bool) {
         if let Some(connection) = self.connection.clone().filter(|_| reusable) {
             table.add_idle(&self.server, self.address, connection);
         }
     }
 
-    /// Writes an attempt and reads the response.
+    /// Connects to the server, writes an attempt and reads the response.
     fn exchange(
         &mut self,
         acquired: AcquiredConnection,
@@ -109,9 +110,10 @@
         let Ok(connection) = self.connect(acquired) else {
             return Exchange::failed(Outcome::ConnectFailed);
         };
-        // Guards against an attempt that begins after its client left: its reader may be paused, and the event
-        // may wait in a queue. No judgement on the server; its new connection was never used.
-        if attempt.client.has_left() {
+        // Guards against an attempt that begins after its client has disconnected: the reader of
+        // the client may be paused, or the event of the disconnect may wait in a queue. The outcome
+        // must not count against the server, and the connection is still unused.
+        if attempt.client.has_disconnected() {
             return Exchange {
                 reusable: true,
                 ..Exchange::failed(Outcome::Superseded)
@@ -152,14 +154,14 @@
         protocol.read(&attempt.call, connection, &report_start)
     }
 
-    /// Checks the health of the server. Nothing else ends a health check, as the core does an attempt, so
-    /// its reads and writes have a time-out.
+    /// Checks the health of the server. Reads and writes have a time-out, because the core, which
+    /// ends attempts at their deadline, does not end health checks.
     fn health_check(&mut self, acquired: AcquiredConnection) -> Exchange<S::Value> {
         let Ok(connection) = self.connect(acquired) else {
             return Exchange::failed(Outcome::ConnectFailed);
         };
         let stream = &connection.stream;
-        if set_timeouts(stream, Some(self.shared.links.connect_timeout)).is_err() {
+        if set_timeouts(stream, Some(self.shared.settings.connect_timeout)).is_err() {
             return Exchange::failed(Outcome::ConnectFailed);
         }
         let exchange = self.shared.protocol.check_health(stream);
@@ -169,7 +171,7 @@
         }
     }
 
-    /// The idle connection if it is still open, else a new one.
+    /// Returns the acquired idle connection if it can still be reused, otherwise a new one.
     fn connect(&mut self, acquired: AcquiredConnection) -> io::Result<Arc<Connection>> {
         let connection = match acquired {
             AcquiredConnection::New(slot) => self.open(slot)?,
@@ -183,7 +185,8 @@
     }
 
     fn open(&self, slot: ConnectionSlot) -> io::Result<Arc<Connection>> {
-        let stream = TcpStream::connect_timeout(&self.address, self.shared.links.connect_timeout)?;
+        let stream =
+            TcpStream::connect_timeout(&self.address, self.shared.settings.connect_timeout)?;
         stream.set_nodelay(true)?;
         Ok(Arc::new(Connection {
             stream,
@@ -192,7 +195,7 @@
     }
 }
 
-/// Sets the time-outs of reads and writes; none means that they may block for ever.
+/// Sets the read and write time-outs of a stream; `None` lets both block indefinitely.
 fn set_timeouts(stream: &TcpStream, timeout: Option<Duration>) -> io::Result<()> {
     stream.set_write_timeout(timeout)?;
     stream.set_read_timeout(timeout)
