--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -12,44 +12,56 @@
 fn service_discovery_is_followed_over_a_broken_watch() {
     let (old, _) = resp_peer(|_, _| serve("old"));
     let (new, _) = resp_peer(|_, _| serve("new"));
-    let (tell, asked) = std::sync::mpsc::channel();
-    let tell = std::sync::Mutex::new(tell);
-    // The first watch breaks at once; the second brings a list without the old server, in two pieces.
-    let list = peer(move |number, stream| {
+    let (request_sender, requests) = std::sync::mpsc::channel();
+    let request_sender = std::sync::Mutex::new(request_sender);
+    // The first watch is closed at once. The second one sends a list without the old server, in two
+    // chunks.
+    let discovery = peer(move |number, stream| {
         let mut from = std::io::BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut from, false) else {
+        let Ok((request_line, ..)) = http(&mut from, false) else {
             return;
         };
-        _ = tell.lock().expect("whole").send(first);
+        _ = request_sender
+            .lock()
+            .expect("lock poisoned by a panic of another connection")
+            .send(request_line);
         if number > 0 {
             let server = entry("s-2", new, "in_service");
             let line = serde_json::json!({"generation": 9, "reset": true, "instances": [server]})
                 .to_string()
                 + "\n";
-            let (one, two) = line.split_at(line.len() / 2);
-            let text = format!("{:x}\r\n{one}\r\n{:x}\r\n{two}\r\n", one.len(), two.len());
+            let (first_half, second_half) = line.split_at(line.len() / 2);
+            let chunks = format!(
+                "{:x}\r\n{first_half}\r\n{:x}\r\n{second_half}\r\n",
+                first_half.len(),
+                second_half.len()
+            );
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
             from.get_mut()
-                .write_all((head.to_owned() + &text).as_bytes())
-                .expect("written");
+                .write_all((head.to_owned() + &chunks).as_bytes())
+                .expect("the limiter closed the watch before the list was written");
             _ = http(&mut from, false);
         }
     });
-    let limiter = limiter(&settings(list, quota_counter().0, &[("s-1", old)]));
+    let limiter = limiter(&settings(discovery, quota_counter().0, &[("s-1", old)]));
     let mut client = Client::ready(&limiter);
-    let heard = [
-        asked.recv().expect("a watch"),
-        asked.recv().expect("another"),
+    let watch_requests = [
+        requests
+            .recv()
+            .expect("the discovery server got no first watch request"),
+        requests
+            .recv()
+            .expect("the discovery server got no second watch request"),
     ];
-    // Served by the old server until the news has come, and never by it again after that.
+    // The old server serves requests until the new list is applied, and none after that.
     let mut answers = Vec::new();
-    while answers.last().is_none_or(|last| last != "new") {
+    while answers.last().is_none_or(|answer| answer != "new") {
         client.ask("look", "id", 1500);
         answers.push(client.answer());
     }
     client.ask("look", "id", 1500);
     assert_eq!(client.answer(), "new");
-    insta::assert_snapshot!(heard.join("\n"));
+    insta::assert_snapshot!(watch_requests.join("\n"));
 }
 
 #[test]
@@ -71,7 +83,7 @@
 
 #[test]
 fn configuration_errors_name_the_key() {
-    let at = SocketAddr::from(([127, 0, 0, 1], 1));
+    let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let mut errors = Vec::new();
     for (path, value) in [
         ("/listen", serde_json::json!("nowhere")),
@@ -83,10 +95,14 @@
         ("/settings/classes/0/semantics", serde_json::json!("maybe")),
         ("/settings/limits/connIdle", serde_json::json!(-1)),
     ] {
-        let mut settings = settings(at, at, &[("s-1", at)]);
+        let mut settings = settings(address, address, &[("s-1", address)]);
         *settings.pointer_mut(path).expect(path) = value;
         let error = mossrill::config::platform(&settings.to_string(), |_| None).err();
-        errors.push(error.map_or(format!("{path} was taken"), |error| error.to_string()));
+        errors.push(
+            error.map_or(format!("a faulty {path} was accepted"), |error| {
+                error.to_string()
+            }),
+        );
     }
     insta::assert_snapshot!(errors.join("\n"));
 }
@@ -109,7 +125,8 @@
     let mut open = Client::ready_at(program.at);
     open.say(&asking("look", "open", 1500).replace("spread=1", "spread=2"));
     next(&seen);
-    // Its version is below the one known: it has nothing to do with the old list.
+    // The list of another discovery server is applied even though its generation is lower than that
+    // of the known list.
     settings["discovery"] = whole_list(vec![entry("s-2", new, "in_service")])
         .to_string()
         .into();
@@ -122,31 +139,40 @@
         (open.answer(), client.answer()),
         ("old".into(), "new".into())
     );
-    until(|| totals.lock().expect("whole").len(), |counts| *counts > 0);
+    until(
+        || {
+            totals
+                .lock()
+                .expect("lock poisoned by a panic of the counter")
+                .len()
+        },
+        |counters| *counters > 0,
+    );
     settings["counter"] = "nowhere".into();
     program.reload(&settings.to_string());
     let error = program
         .logged("configuration rejected")
         .split("error: ")
         .last()
-        .map(|f| f.split("key").last().map(str::to_owned));
+        .map(|text| text.split("key").last().map(str::to_owned));
     client.ask("look", "id", 1500);
     insta::assert_snapshot!(format!("{:?}\n{}", error.flatten(), client.answer()));
 }
 
 #[test]
-fn limiter_is_ready_by_its_configured_list_before_discovery_or_the_counter_answers() {
+fn limiter_is_ready_with_its_configured_list_before_discovery_or_the_counter_answers() {
+    /// What a peer does with a request, given its request line.
     type Script = fn(&str) -> Act;
     let silent: Script = |_| Act::Hang;
     let closing: Script = |_| Act::Close;
     let refusing: Script = |_| answer("503 Service Unavailable", "");
-    for (list, counter) in [(silent, closing), (closing, silent), (refusing, refusing)] {
+    for (discovery, counter) in [(silent, closing), (closing, silent), (refusing, refusing)] {
         let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
-        let list = http_peer(move |first, _, _| list(first));
-        let counter = http_peer(move |first, _, _| counter(first));
-        let mut told = settings(list, counter, &[("s-1", server)]);
-        told["control"] = "127.0.0.1:0".into();
-        let program = Program::start("own-list", &told);
+        let discovery = http_peer(move |request_line, _, _| discovery(request_line));
+        let counter = http_peer(move |request_line, _, _| counter(request_line));
+        let mut settings = settings(discovery, counter, &[("s-1", server)]);
+        settings["control"] = "127.0.0.1:0".into();
+        let program = Program::start("configured-list", &settings);
         program.call_until("ready", "YES");
         let ask = || Client::try_at(program.at)?.try_ask(&asking("look", "first", 1500));
         until(ask, |answer| answer.as_deref() == Some("first"));
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -1,4 +1,5 @@
-//! Limits on connections: idle, slow and silent clients.
+//! Limits on client connections: eviction of idle and silent connections, and service for slow
+//! clients.
 
 use crate::peers::{
     asking, entry, http_peer, quota_counter, resp_peer, serve, settings, until, Act, Client,
@@ -19,17 +20,17 @@
     let mut client = Client::ready(&limiter);
     client.ask("look", "id-0", 1500);
     assert_eq!(client.answer(), "id-0");
-    // Every other one writes a part of a command and no more.
-    let crowd = (0..200).map(|number| {
-        let mut crowd = Client::connect(&limiter);
-        _ = crowd.0.get_mut().write_all(if number % 2 == 0 {
+    // Every second connection sends part of a command, the others send nothing.
+    let silent = (0..200).map(|number| {
+        let mut connection = Client::connect(&limiter);
+        _ = connection.0.get_mut().write_all(if number % 2 == 0 {
             b"*5\r\n$9\r\nSVC."
         } else {
             b""
         });
-        crowd
+        connection
     });
-    let silent: Vec<Client> = crowd.collect();
+    let silent: Vec<Client> = silent.collect();
     client.ask("look", "id-1", 1500);
     let mut other = Client::connect(&limiter);
     other.ask("look", "id-2", 1500);
@@ -46,37 +47,41 @@
     let mut client = Client::ready(&limiter);
     client.ask("look", "id-1", 1500);
     assert_eq!(client.answer(), "id-1");
-    // Each is later than the client's last word.
-    let looks: Vec<Client> = (0..60).map(|_| Client::ready(&limiter)).collect();
+    // Each connection is active later than the client was last.
+    let ping_only: Vec<Client> = (0..60).map(|_| Client::ready(&limiter)).collect();
     client.ask("look", "id-2", 1500);
     assert_eq!(client.answer(), "id-2");
-    drop(looks);
+    drop(ping_only);
 }
 
-/// IdleClients clients that hold as many connections as they can, and open a new one for each that is older than all others.
+/// Threads that open connections without sending a request. Each thread holds up to 60 connections
+/// and closes its oldest one whenever it opens another.
 struct IdleClients {
     stop: Arc<AtomicBool>,
+    /// Number of connections opened so far by all threads.
     opened: Arc<AtomicUsize>,
     clients: Vec<thread::JoinHandle<()>>,
 }
 
 impl IdleClients {
-    fn at(at: SocketAddr) -> Self {
+    /// Starts the threads, which connect to `address`.
+    fn start(address: SocketAddr) -> Self {
         let (stop, opened) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        // Nothing, half of a command, or no more than whether it is ready.
-        let words = [&b""[..], b"*5\r\n$9\r\nSVC.", b"*1\r\n$4\r\nPING\r\n"];
-        let client = |own: usize| {
+        // A connection sends nothing, an incomplete command or a readiness check.
+        let texts = [&b""[..], b"*5\r\n$9\r\nSVC.", b"*1\r\n$4\r\nPING\r\n"];
+        let client = |index: usize| {
             let (stop, opened) = (stop.clone(), opened.clone());
             thread::spawn(move || {
                 let mut held = VecDeque::new();
                 while !stop.load(Ordering::SeqCst) {
-                    let Ok(mut stream) = TcpStream::connect(at) else {
+                    let Ok(mut stream) = TcpStream::connect(address) else {
                         continue;
                     };
-                    _ = stream.write_all(words[(own + opened.fetch_add(1, Ordering::SeqCst)) % 3]);
+                    _ = stream
+                        .write_all(texts[(index + opened.fetch_add(1, Ordering::SeqCst)) % 3]);
                     held.push_back(stream);
                     if held.len() > 60 {
                         held.pop_front();
@@ -93,20 +98,21 @@
         }
     }
 
-    /// Waits until they have taken all that they can.
-    fn goes_on(&self) {
-        let now = self.opened.load(Ordering::SeqCst);
+    /// Waits until the threads have opened over 300 more connections, which is more than they hold.
+    fn wait_for_more_connections(&self) {
+        let before = self.opened.load(Ordering::SeqCst);
         until(
             || self.opened.load(Ordering::SeqCst),
-            |opened| *opened > now + 300,
+            |opened| *opened > before + 300,
         );
     }
 
-    fn end(self) {
+    /// Stops the threads.
+    fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         self.clients
             .into_iter()
-            .for_each(|client| client.join().expect("an end"));
+            .for_each(|client| client.join().expect("a thread of idle clients panicked"));
     }
 }
 
@@ -120,49 +126,59 @@
         entry("s-1", old, "terminating"),
         entry("s-2", new, "in_service"),
     ];
-    let news =
+    let update =
         serde_json::json!({"generation": 9, "reset": false, "instances": change}).to_string();
-    let back = Arc::new(AtomicBool::new(false));
-    let is_back = back.clone();
-    // Takes every call and says nothing while it is down.
-    let list = http_peer(move |_, _, _| match is_back.load(Ordering::SeqCst) {
+    let available = Arc::new(AtomicBool::new(false));
+    let is_available = available.clone();
+    // While it is unavailable, service discovery accepts every request and sends no response.
+    let discovery = http_peer(move |_, _, _| match is_available.load(Ordering::SeqCst) {
         false => Act::Hang,
         true => {
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            Act::Say(format!("{head}{:x}\r\n{news}\r\n", news.len()))
+            Act::Say(format!("{head}{:x}\r\n{update}\r\n", update.len()))
         }
     });
     let (counter, totals) = quota_counter();
-    let mut told = settings(list, counter, &[("s-1", old)]);
-    told["control"] = "127.0.0.1:0".into();
-    told["limits"]["sockets"] = 128.into();
-    told["settings"]["balancers"] = 2.into();
-    let program = Program::start_bounded("idle-clients", &told);
-    let idle = IdleClients::at(program.at);
-    idle.goes_on();
-    // A new connection may be closed unread then; whoever asks again gets in.
+    let mut settings = settings(discovery, counter, &[("s-1", old)]);
+    settings["control"] = "127.0.0.1:0".into();
+    settings["limits"]["sockets"] = 128.into();
+    settings["settings"]["balancers"] = 2.into();
+    let program = Program::start_bounded("idle-clients", &settings);
+    let idle = IdleClients::start(program.at);
+    idle.wait_for_more_connections();
+    // At the limit a new connection may be closed before its request is read, so clients retry.
     let ask = |id: &str| {
         let text = asking("look", id, 1500).replace("spread=1", "spread=2");
         Client::try_at(program.at).and_then(|mut client| client.try_ask(&text))
     };
     for number in 0..10 {
         assert!(program.call("show-stat").ends_with("END\n"));
-        // Of 128, the rest is for upstream servers, discovery, the counter and operators.
-        let held = program.descriptors();
-        assert!(held < 100, "{held} descriptors are held");
+        // The other 28 of 128 descriptors are for upstream servers, discovery, the counter and the
+        // admin interface.
+        let descriptors = program.descriptors();
+        assert!(
+            descriptors < 100,
+            "{descriptors} file descriptors are open, expected fewer than 100 of 128"
+        );
         until(
-            || ask(&format!("down-{number}")),
+            || ask(&format!("unavailable-{number}")),
             |answer| answer.as_deref() == Some("old"),
         );
     }
-    idle.goes_on();
+    idle.wait_for_more_connections();
     assert!(
-        !totals.lock().expect("whole").is_empty(),
-        "the counter was not reached"
+        !totals
+            .lock()
+            .expect("lock poisoned by a panic of the counter")
+            .is_empty(),
+        "no call reached the counter while idle clients held connections"
+    );
+    available.store(true, Ordering::SeqCst);
+    until(
+        || ask("available"),
+        |answer| answer.as_deref() == Some("new"),
     );
-    back.store(true, Ordering::SeqCst);
-    until(|| ask("back"), |answer| answer.as_deref() == Some("new"));
-    idle.end();
+    idle.stop();
     program.ends();
 }
 
@@ -175,7 +191,8 @@
         client.ask("look", &format!("id-{number}"), 1500);
         assert_eq!(client.answer(), format!("id-{number}"));
     }
-    // Those idle longest go, down to three quarters of what clients may hold, long before a connection is too old.
+    // Clients may hold 32 connections. Those that have been idle for longest are closed until three
+    // quarters of 32 are open, well before the idle time-out of a connection.
     for client in &mut held[..6] {
         assert_eq!(client.line(), "");
     }
@@ -186,21 +203,25 @@
 }
 
 #[test]
-fn slowly_writing_client_is_not_evicted_by_connections_that_stopped_half_way() {
+fn slowly_writing_client_is_not_evicted_by_connections_with_incomplete_commands() {
     let limiter = limiter_with_40_connections();
     drop(Client::ready(&limiter));
-    // For longer than one that has stopped writing is waited for, the oldest that has not asked for anything, but not the one from which nothing has come for longest.
+    // The client takes longer for its command than the time-out of an incomplete command. Of the
+    // connections without a request it is the oldest, but not the one inactive for longest.
     let (mut slow, text) = (Client::connect(&limiter), asking("look", "slow", 1500));
-    let pieces: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(12)).collect();
-    let mut crowd = Vec::new();
-    for piece in pieces {
-        slow.0.get_mut().write_all(piece).expect("written");
+    let chunks: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(12)).collect();
+    let mut stalled_connections = Vec::new();
+    for chunk in chunks {
+        slow.0
+            .get_mut()
+            .write_all(chunk)
+            .expect("the limiter closed the slow connection");
         for _ in 0..10 {
-            let mut half = Client::connect(&limiter);
-            _ = half.0.get_mut().write_all(b"*5\r\n$9\r\nSVC.");
-            crowd.push(half);
+            let mut stalled = Client::connect(&limiter);
+            _ = stalled.0.get_mut().write_all(b"*5\r\n$9\r\nSVC.");
+            stalled_connections.push(stalled);
         }
-        // Their turn has come once another is served.
+        // Once a later connection is served, all of these have been accepted.
         drop(Client::ready(&limiter));
         std::thread::sleep(std::time::Duration::from_millis(250));
     }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,5 @@
-//! A limiter on the platform, over loopback against scripted peers; one test for each fault.
+//! Tests of a limiter with the platform protocol, over loopback against scripted peers. Most tests
+//! cover one fault of a client, an upstream server, service discovery or the counter.
 
 #[path = "../peers/mod.rs"]
 mod peers;
--- a/tests/platform/malformed.rs
+++ b/tests/platform/malformed.rs
@@ -10,7 +10,7 @@
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
     let mut good = Client::ready(&limiter);
-    let mut told = Vec::new();
+    let mut replies = Vec::new();
     for text in [
         "GET / HTTP/1.1\r\n\r\n".to_owned(),
         "*3\r\n$9\r\nSVC.QUERY\r\n$-1\r\n".into(),
@@ -19,7 +19,7 @@
     ] {
         let mut client = Client::connect(&limiter);
         client.say(&text);
-        told.push(format!("{} then {:?}", client.line(), client.line()));
+        replies.push(format!("{} then {:?}", client.line(), client.line()));
     }
     for text in [
         asking("dance", "id-1", 500),
@@ -29,9 +29,9 @@
         asking("look", "id-5", 500),
     ] {
         good.say(&text);
-        told.push(good.answer());
+        replies.push(good.answer());
     }
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(replies.join("\n"));
 }
 
 #[test]
@@ -47,8 +47,8 @@
     let mut open = Client::ready(&limiter);
     open.ask("pay", "open", 1500);
     next(&seen);
-    let mut told = Vec::new();
-    for (what, by) in [
+    let mut replies = Vec::new();
+    for (original, replacement) in [
         ("00000000b4d65521", "000000200000000"),
         ("00000000b4d65521", "0000000200000000"),
         ("00000000b4d65521", "+0000000b4d65521"),
@@ -66,24 +66,27 @@
         ("d=500", "d=inf"),
         ("d=500,", ""),
     ] {
-        let mut fields = asking("hold", "id", 500).replacen(what, by, 1);
-        // The lengths of the words changed are put right.
-        let words: Vec<String> = fields
+        let mut command = asking("hold", "id", 500).replacen(original, replacement, 1);
+        // Encodes the command anew, with the lengths of the changed words.
+        let words: Vec<String> = command
             .split("\r\n")
             .skip(2)
             .step_by(2)
             .map(str::to_owned)
             .collect();
-        fields = format!("*{}\r\n", words.len());
+        command = format!("*{}\r\n", words.len());
         words
             .iter()
-            .for_each(|w| fields += &format!("${}\r\n{w}\r\n", w.len()));
+            .for_each(|word| command += &format!("${}\r\n{word}\r\n", word.len()));
         let mut client = Client::connect(&limiter);
-        client.say(&fields);
-        told.push(format!("{by}: {}", client.answer()));
+        client.say(&command);
+        replies.push(format!("{replacement}: {}", client.answer()));
     }
-    assert!(seen.try_iter().next().is_none());
-    insta::assert_snapshot!(told.join("\n"));
+    assert!(
+        seen.try_iter().next().is_none(),
+        "the upstream server received an invalid request"
+    );
+    insta::assert_snapshot!(replies.join("\n"));
 }
 
 #[test]
@@ -94,40 +97,41 @@
         settings["settings"]["classes"][2][time] = 30_000_000.into();
     }
     let limiter = limiter(&settings);
-    // By now the pings below are answered as on any other day.
+    // Pings are answered with +PONG from now on.
     drop(Client::ready(&limiter));
-    let at = limiter.at;
-    let ends = |text: String| {
-        let mut client = Client::connect_at(at);
+    let address = limiter.at;
+    let last_lines = |text: String| {
+        let mut client = Client::connect_at(address);
         client.say(&text);
         let lines: Vec<String> =
-            std::iter::from_fn(|| Some(client.line()).filter(|l| !l.is_empty())).collect();
+            std::iter::from_fn(|| Some(client.line()).filter(|line| !line.is_empty())).collect();
         lines[lines.len().saturating_sub(2)..].join(" / ")
     };
     let open = |id: &str| asking("pay", id, 30_000);
     let texts = [
         String::new(),
         "*4\r\n$9\r\nSVC.Q".into(),
-        // Nothing open any more, and held for good.
+        // No command is pending after the reply, and the client keeps the connection open.
         "*1\r\n$4\r\nWHAT\r\n".into(),
-        // Behind a request that no server answers: its own client is not kept waiting for the rest.
+        // Malformed input or too many commands after a request that no server answers. The client
+        // does not have to wait for the deadline of the request.
         open("open-1") + "*x\r\n",
         open("open-2") + &"*1\r\n$4\r\nPING\r\n".repeat(100),
         asking("dance", "id", 500).repeat(20),
     ];
-    let told: Vec<String> = std::thread::scope(|scope| {
-        let asked = texts.map(|text| scope.spawn(|| ends(text)));
-        asked
+    let replies: Vec<String> = std::thread::scope(|scope| {
+        let clients = texts.map(|text| scope.spawn(|| last_lines(text)));
+        clients
             .into_iter()
-            .map(|client| client.join().expect("an end"))
+            .map(|client| client.join().expect("a client panicked"))
             .collect()
     });
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(replies.join("\n"));
 }
 
 #[test]
 fn malformed_answer_is_not_delivered_and_its_connection_not_reused() {
-    let spoilt = [
+    let malformed = [
         "+OK\r\n",
         ":12\r\n",
         "-\u{1}\u{2}\r\n",
@@ -138,34 +142,40 @@
         "*3\r\n$3000000000\r\nvalue",
         "$5\r\nvalue\r\n",
     ];
-    // Good ones, with figures that can't be read or with more behind them than belongs to them.
-    let good = [
+    // Valid responses, one with an unreadable load report and one followed by excess bytes.
+    let valid = [
         "*3\r\n$5\r\nvalue\r\n:x\r\n$9\r\nqueue=NaN\r\n",
         "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n",
     ];
-    let texts: Vec<String> = spoilt
+    let texts: Vec<String> = malformed
         .iter()
-        .chain(&good)
+        .chain(&valid)
         .map(|text| (*text).to_owned())
         .collect();
     let (count, script) = (texts.len(), std::sync::Mutex::new(texts.into_iter()));
-    let (server, seen) = resp_peer(move |_, words| match script.lock().expect("whole").next() {
-        Some(text) => Act::Say(text),
-        None => serve(&words[2]),
+    let (server, seen) = resp_peer(move |_, words| {
+        match script
+            .lock()
+            .expect("lock poisoned by a panic of another connection")
+            .next()
+        {
+            Some(text) => Act::Say(text),
+            None => serve(&words[2]),
+        }
     });
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::ready(&limiter);
-    let mut told = Vec::new();
+    let mut replies = Vec::new();
     for number in 0..=count {
         client.ask("pay", &format!("pay-{number}"), 1500);
-        told.push(client.answer());
-        // A connection rests before it is used again.
+        replies.push(client.answer());
+        // A connection is reused only some time after its last response.
         std::thread::sleep(std::time::Duration::from_millis(60));
     }
-    // Only the good one with nothing behind it left a connection that could be used again.
-    let lines = seen
+    // Only the valid response without excess bytes left a reusable connection.
+    let connections = seen
         .try_iter()
         .filter(|(_, words)| words.is_some())
-        .map(|(line, _)| line.to_string());
-    insta::assert_snapshot!(told.join("\n") + "\n" + &lines.collect::<Vec<_>>().join(" "));
+        .map(|(connection, _)| connection.to_string());
+    insta::assert_snapshot!(replies.join("\n") + "\n" + &connections.collect::<Vec<_>>().join(" "));
 }
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -6,18 +6,21 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Words of a command with the time left made plain: the client's less than what it gave.
+/// Joins the words of a command, and replaces its time left by `LEFT` if it is from 1 to 800
+/// ms, which is less than the client's 1500 ms, else by `TOO-LONG`.
 fn normalized(words: Option<Vec<String>>) -> String {
-    let mut words = words.expect("a command");
-    let wait = words[3]
+    let mut words = words.expect("the connection was closed without a command");
+    let time_left = words[3]
         .split(',')
-        .find_map(|f| f.strip_prefix("d="))
-        .expect("a time")
+        .find_map(|field| field.strip_prefix("d="))
+        .expect("the command has no field d=")
         .to_owned();
-    let less = wait.parse::<u64>().is_ok_and(|w| (1..=800).contains(&w));
+    let in_range = time_left
+        .parse::<u64>()
+        .is_ok_and(|millis| (1..=800).contains(&millis));
     words[3] = words[3].replace(
-        &format!("d={wait}"),
-        if less { "d=LEFT" } else { "d=TOO-LONG" },
+        &format!("d={time_left}"),
+        if in_range { "d=LEFT" } else { "d=TOO-LONG" },
     );
     words.join(" ")
 }
@@ -37,19 +40,23 @@
 
 #[test]
 fn replies_keep_the_order_of_pipelined_and_partially_read_commands() {
-    // The first is held until the second has been served.
+    // The server holds the first request until it serves the second one.
     let served = std::sync::Arc::new((std::sync::Mutex::new(false), std::sync::Condvar::new()));
     let (server, _seen) = resp_peer(move |_, words| {
-        let (done, told) = &*served;
-        let mut done = done.lock().expect("whole");
+        let (done, changed) = &*served;
+        let mut done = done
+            .lock()
+            .expect("lock poisoned by a panic of another connection");
         if words[2] == "slow" {
-            done = told.wait_while(done, |done| !*done).expect("whole");
+            done = changed
+                .wait_while(done, |done| !*done)
+                .expect("lock poisoned by a panic of another connection");
         }
         *done = true;
-        told.notify_all();
+        changed.notify_all();
         serve(&words[2])
     });
-    // Two servers: the module starts with one attempt out for each.
+    // With two servers: the initial concurrency limit is one attempt per server.
     let limiter = started_limiter(&[("s-1", server), ("s-2", server)]);
     let mut client = Client::ready(&limiter);
     let text = asking("look", "slow", 1500) + &asking("look", "quick", 1500) + "*1\r\n$4\r\nPI";
@@ -62,7 +69,8 @@
 #[test]
 fn possibly_executed_request_is_retried_only_if_idempotent() {
     let count = AtomicUsize::new(0);
-    // Every first command is dropped after it was read whole: it may have run.
+    // The server closes the connection after every other command that it has read: the request may
+    // have run.
     let (server, seen) =
         resp_peer(
             move |_, words| match count.fetch_add(1, Ordering::SeqCst) % 2 {
@@ -70,17 +78,22 @@
                 _ => serve(&words[2]),
             },
         );
-    let (other, also) = resp_peer(|_, words| serve(&words[2]));
+    let (other, other_seen) = resp_peer(|_, words| serve(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::ready(&limiter);
     client.ask("pay", "pay-1", 1500);
-    let paid = client.answer();
-    assert_eq!(next(&seen).1.expect("a command")[2], "pay-1");
+    let pay_answer = client.answer();
+    assert_eq!(
+        next(&seen)
+            .1
+            .expect("the connection was closed without a command")[2],
+        "pay-1"
+    );
     client.ask("look", "look-1", 1500);
-    let looked = client.answer();
-    drop((other, also));
-    insta::assert_snapshot!(format!("pay: {paid}\nlook: {looked}"));
-    // One command for the payment, however often the server would have taken it.
+    let look_answer = client.answer();
+    drop((other, other_seen));
+    insta::assert_snapshot!(format!("pay: {pay_answer}\nlook: {look_answer}"));
+    // The payment is not idempotent, so the server got only one command for it.
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
@@ -89,11 +102,12 @@
 
 #[test]
 fn rejecting_or_absent_server_does_not_prevent_a_non_idempotent_request_elsewhere() {
-    // Under the ports that are given out: one just given back may be another test's peer by the time it is tried.
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (full, _) = resp_peer(|_, _| Act::Say("-BUSY queue full\r\n".into()));
-    let (good, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let limiter = started_limiter(&[("s-1", nowhere), ("s-2", full), ("s-3", good)]);
+    // Port 1 is below the ephemeral range. A port that was bound and released could belong to a
+    // peer of another test by the time of the attempt.
+    let absent = SocketAddr::from(([127, 0, 0, 1], 1));
+    let (rejecting, _) = resp_peer(|_, _| Act::Say("-BUSY queue full\r\n".into()));
+    let (serving, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let limiter = started_limiter(&[("s-1", absent), ("s-2", rejecting), ("s-3", serving)]);
     let mut client = Client::ready(&limiter);
     for number in 0..6 {
         client.ask("pay", &format!("pay-{number}"), 1500);
@@ -114,16 +128,17 @@
     let mut client = Client::ready(&limiter);
     client.ask("pay", "pay-1", 300);
     let first = client.answer();
-    let (line, _) = next(&seen);
-    // The limiter gave the attempt up by closing its connection.
-    assert_eq!(next(&seen), (line, None));
+    let (connection, _) = next(&seen);
+    // The limiter cancelled the attempt by closing its connection.
+    assert_eq!(next(&seen), (connection, None));
     client.ask("look", "look-1", 1500);
     insta::assert_snapshot!(format!("{first}\n{}", client.answer()));
 }
 
 #[test]
 fn abandoned_idempotent_request_is_answered_with_retry_after() {
-    // A bare refusal had clients come again at once, to be refused again.
+    // Guards against rejections without a retry time: clients retried at once and were rejected
+    // again.
     let (server, _seen) = resp_peer(|_, _| Act::Hang);
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::ready(&limiter);
@@ -135,17 +150,21 @@
 
 #[test]
 fn connection_closed_by_its_server_is_detected_before_reuse() {
-    // To write a payment to it would be a reset, and the payment in doubt.
-    let (tell, close) = std::sync::mpsc::channel::<()>();
+    // Guards against writing a payment to a closed connection: it would be reset, and the payment
+    // might or might not have run.
+    let (close_sender, close) = std::sync::mpsc::channel::<()>();
     let close = std::sync::Mutex::new(close);
     let server = peer(move |_, stream| {
-        _ = close.lock().expect("whole").recv();
+        _ = close
+            .lock()
+            .expect("lock poisoned by a panic of another connection")
+            .recv();
         drop(stream);
     });
-    let stream = std::net::TcpStream::connect(server).expect("a connection");
+    let stream = std::net::TcpStream::connect(server).expect("the peer accepts no connection");
     assert!(is_open_and_silent(&stream));
-    drop(tell);
-    // The end takes a moment to arrive, and no moment too short to be sure of.
+    drop(close_sender);
+    // The close takes some time to arrive, and no fixed wait would be reliable.
     while is_open_and_silent(&stream) {
         std::thread::yield_now();
     }
@@ -157,8 +176,11 @@
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::ready(&limiter);
     client.ask("look", "look-1", 1500);
-    let (line, words) = next(&seen);
-    assert!(words.is_some());
+    let (connection, words) = next(&seen);
+    assert!(
+        words.is_some(),
+        "the connection was closed without a command"
+    );
     drop(client);
-    assert_eq!(next(&seen), (line, None));
+    assert_eq!(next(&seen), (connection, None));
 }
