--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -223,13 +223,13 @@
 /// Whether the client has closed its side of the connection, even if not all bytes that it sent
 /// were read.
 pub(super) fn peer_disconnected(stream: &TcpStream) -> bool {
-    let mut one = [PollFd::new(stream, PollFlags::RDHUP)];
-    let now = Timespec {
+    let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    poll(&mut one, Some(&now)).is_ok()
-        && one[0]
+    poll(&mut polled, Some(&no_wait)).is_ok()
+        && polled[0]
             .revents()
             .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
--- a/src/client/event.rs
+++ b/src/client/event.rs
@@ -15,7 +15,8 @@
 pub enum ClientEvent<P: ClientProtocol> {
     /// A complete request was received.
     Request(ClientRequest<P>),
-    /// The client of the requests with these numbers has disconnected.
+    /// The requests with these numbers are abandoned, because their client has disconnected or the
+    /// limiter closes its connection.
     Disconnected(Vec<u64>),
 }
 
--- a/src/client/interruptible.rs
+++ b/src/client/interruptible.rs
@@ -85,7 +85,7 @@
         self.uninterruptible = uninterruptible;
     }
 
-    /// Whether a read was interrupted; the connection is intact.
+    /// Whether a read failed because of the interrupt. The connection is still usable then.
     pub fn interrupted(&self) -> bool {
         self.interrupted
     }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -189,7 +189,7 @@
         self.connection_ended.notify_all();
     }
 
-    /// Reports the open requests of a connection as abandoned, as the client has disconnected.
+    /// Reports the open requests of a connection as abandoned. Further commands are ignored.
     fn abandon_requests(&self, connection: &ClientConnection<P>) {
         let mut state = lock(&connection.state);
         state.closed = true;
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -61,7 +61,7 @@
         if self.read_commands(&session, unread) == ReadEnd::HandedOver {
             return self.reader_ended(number, connection);
         }
-        // The watchdog has ended the stream because of an incomplete command.
+        // If a command timed out, the watchdog has ended the stream.
         if connection.command_timed_out() && connection.begin_command().is_some() {
             session.close_with_reason(CloseReason::TooSlow);
         }
@@ -75,7 +75,8 @@
             Ending::Other => {}
         }
         drain(&connection.stream);
-        // If draining stopped at its bound, a later disconnect would not be noticed.
+        // If draining stopped at its bound, a later disconnect would not be noticed, so open
+        // requests are abandoned now.
         self.abandon_requests(connection);
         self.reader_ended(number, connection);
     }
--- a/src/client/writer.rs
+++ b/src/client/writer.rs
@@ -12,13 +12,14 @@
 use std::net::Shutdown;
 use std::sync::{Arc, MutexGuard};
 
-/// What the writer does next, by the first of the pending replies.
+/// The next step of the writer, which depends on the first pending reply.
 enum NextReply<P: ClientProtocol> {
-    /// Writes this reply.
+    /// The first reply is available: the writer writes it.
     Ready(ReadyReply<P>),
-    /// Ends, as the first reply is not available yet; it starts a writer once it is.
+    /// The first reply is not available yet: the writer ends. Another one starts when it is
+    /// available.
     NotReady,
-    /// Closes the connection, as no reply is pending and no command will be received.
+    /// No reply is pending and no command will be received: the writer closes the connection.
     NoneLeft,
 }
 
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -106,8 +106,8 @@
     server_timeout - IDLE_MARGIN.min(server_timeout / 2)
 }
 
-/// Whether an idle connection is open and nothing was received on it: such bytes belong to no
-/// request.
+/// Whether an idle connection is open and nothing was received on it. Bytes that are received on an
+/// idle connection belong to no request.
 pub fn is_open_and_silent(stream: &TcpStream) -> bool {
     let received =
         SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], PEEK_NONBLOCKING);
--- a/src/upstream/event.rs
+++ b/src/upstream/event.rs
@@ -16,7 +16,7 @@
         /// The value, whose remaining bytes are read from the connection.
         value: V,
     },
-    /// An attempt has ended.
+    /// An attempt has ended, possibly because it was cancelled.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -141,7 +141,7 @@
     }
 
     /// Starts an attempt on an idle connection, or on a new one if none is idle. Its end is
-    /// reported as [`UpstreamEvent::AttemptEnded`].
+    /// reported as [`UpstreamEvent::AttemptEnded`], even after it was cancelled.
     pub fn start(
         &self,
         attempt: AttemptId,
@@ -192,7 +192,7 @@
         withdrawn
     }
 
-    /// Prevents attempts at a server that still wait for their connections from being written.
+    /// Prevents attempts at a server from being written if they still wait for their connections.
     pub fn block_server(&self, server: &ServerId) {
         let table = lock(&self.shared.table);
         for running in table.running.values() {
--- a/src/upstream/worker.rs
+++ b/src/upstream/worker.rs
@@ -112,7 +112,7 @@
         };
         // Guards against an attempt that begins after its client has disconnected: the reader of
         // the client may be paused, or the event of the disconnect may wait in a queue. The outcome
-        // must not count against the server, and the connection is still unused.
+        // must not count against the server. Nothing was written, so the connection can be reused.
         if attempt.client.has_disconnected() {
             return Exchange {
                 reusable: true,
--- a/tests/platform/malformed.rs
+++ b/tests/platform/malformed.rs
@@ -9,7 +9,7 @@
 fn malformed_input_is_answered_and_closes_only_its_own_connection() {
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut good = Client::ready(&limiter);
+    let mut persistent_client = Client::ready(&limiter);
     let mut replies = Vec::new();
     for text in [
         "GET / HTTP/1.1\r\n\r\n".to_owned(),
@@ -28,8 +28,8 @@
         asking("look", "id-4", 500).replace("units=2", "units=x"),
         asking("look", "id-5", 500),
     ] {
-        good.say(&text);
-        replies.push(good.answer());
+        persistent_client.say(&text);
+        replies.push(persistent_client.answer());
     }
     insta::assert_snapshot!(replies.join("\n"));
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -337,7 +337,7 @@
     // 15 s at a fifth of the rate leave 120 units of the quota unused; the burst is 20 units.
     let now = 1000 * SECOND;
     let mut fleet = Fleet::new(200, &settings(), &[member("s0", "z0")], now);
-    let mut burst = 0;
+    let mut sent_after_idling = 0;
     for n in 0..130_u64 {
         let time = if n < 30 {
             now + n * SECOND / 2
@@ -351,13 +351,13 @@
                 Event::Request(request(format!("r{n}"), 200)),
             )
             .len();
-        burst += if n < 30 { 0 } else { sent };
+        sent_after_idling += if n < 30 { 0 } else { sent };
     }
     // A count may be at twice the burst before it is corrected, and some requests are sent without
     // a counter call.
     assert!(
-        (10..=60).contains(&burst),
-        "{burst} units sent at once, expected 10 to 60"
+        (10..=60).contains(&sent_after_idling),
+        "{sent_after_idling} units sent at once, expected 10 to 60"
     );
     assert!(
         fleet.counter_calls < 400,
