--- a/src/membership/lease.rs
+++ b/src/membership/lease.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether a datagram sent now renews the peer's lease.
-    pub fn grants(&self, now: Micros) -> bool {
+    pub fn renews(&self, now: Micros) -> bool {
         self.not_renewed_since.is_none() && now >= self.no_renewal_before
     }
 
@@ -75,10 +75,10 @@
     pub fn on_datagram(
         &mut self,
         sent_at: Micros,
-        grants: bool,
+        renews: bool,
         votes: Option<&RevocationWindows>,
     ) {
-        if grants {
+        if renews {
             self.renewed_at = self.renewed_at.max(Some(sent_at));
         }
         let Some(votes) = votes else { return };
--- a/src/membership/view/send.rs
+++ b/src/membership/view/send.rs
@@ -119,7 +119,7 @@
             receiver_session: to.session,
             sequence: number,
             acknowledged: if to.session == 0 { 0 } else { to.acknowledged },
-            renews_lease: self.leases[to.member].grants(now),
+            renews_lease: self.leases[to.member].renews(now),
             ip: u32::from(*own_address.ip()),
             port: u32::from(own_address.port()),
             version: self.settings.version,
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,5 +1,8 @@
-//! Every reachable state of the leases of three limiters, one of which is cut off: whatever the others believe of it at
-//! any moment, whatever is said, heard late or lost, and whenever a core looks, nobody shares out what is still held.
+//! Leases between limiters, and a model check of all their reachable states with three limiters.
+//!
+//! The model guards against a share that is used twice: reassigned by a majority while its holder's
+//! lease still lasts. It covers every order of changed beliefs about one limiter, of datagrams that
+//! arrive or are lost, and of times at which a core learns its shares.
 
 use mossrill::decision::QuotaShares;
 use mossrill::membership::format::Encoding;
@@ -8,7 +11,7 @@
 use mossrill::membership::revocation::RevocationWindows;
 use stateright::{Checker, Model, Property};
 
-/// The shares of a limiter that keeps half of its share in any case.
+/// Returns the quota shares of a limiter whose guaranteed fraction is one half.
 fn quota_shares(
     now: u64,
     limiter: u32,
@@ -26,8 +29,14 @@
     view.quota_shares(now)
 }
 
-/// Notifies a limiter that it believes a peer alive or dead now.
-fn believe(revoked: &mut RevokedLeases, now: u64, peer: usize, alive: bool, lease: &mut PeerLease) {
+/// Records that a limiter believes a peer alive or dead from `now` on.
+fn set_belief(
+    revoked: &mut RevokedLeases,
+    now: u64,
+    peer: usize,
+    alive: bool,
+    lease: &mut PeerLease,
+) {
     if alive {
         revoked.on_peer_alive(now, peer, lease);
     } else {
@@ -35,194 +44,218 @@
     }
 }
 
-/// A lease lasts a step of time, and a tenth longer where clocks may drift.
+/// Time in µs by which the model advances in one step.
 const STEP: u64 = 10;
+/// Duration of a lease in µs. With the allowance for clock drift it is a tenth longer.
 const LEASE: u64 = STEP;
-const LAST: u64 = 5 * STEP;
-/// The one that is cut off, the one whose core shares out what it held, and one that helps either of them.
-const CUT: usize = 2;
-const OTHERS: [usize; 2] = [0, 1];
+/// Time in µs at which the model ends.
+const END: u64 = 5 * STEP;
+/// The limiter whose lease is revoked and renewed in the model.
+const HOLDER: usize = 2;
+/// The limiters that renew or revoke it. The core of limiter 0 uses the reassigned share; limiter 1
+/// completes the majority of limiter 0 or of the holder.
+const PEERS: [usize; 2] = [0, 1];
 
-fn nobody_released() -> RevokedLeases {
+fn no_revocations() -> RevokedLeases {
     RevokedLeases::new(LEASE, 3, Encoding::Whole)
 }
 
-fn said(released: &RevokedLeases) -> RevocationWindows {
-    RevocationWindows::whole(released.bits(), 3)
+/// Returns the votes that a datagram carries for this set of revoked leases.
+fn votes(revoked: &RevokedLeases) -> RevocationWindows {
+    RevocationWindows::whole(revoked.bits(), 3)
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    /// What numbers 0 and 1 believe of number 2.
-    lives: [bool; 2],
-    /// Ways of each limiter to each.
-    ways: [[PeerLease; 3]; 3],
-    released: [RevokedLeases; 3],
-    /// What the core of number 0 was told last: its lease, whether it shares out what number 2 held, and to when. The
-    /// core of number 2 has a lease as soon as it is renewed, and may use it to its end.
-    told: (u64, bool, u64),
+    /// Whether each of [`PEERS`] believes the holder alive.
+    holder_alive: [bool; 2],
+    /// The leases between each limiter and each of the others, by number.
+    leases: [[PeerLease; 3]; 3],
+    /// The leases that each limiter has voted to revoke.
+    revoked: [RevokedLeases; 3],
+    /// What was last reported to the core of limiter 0: the end of its lease, whether the holder's
+    /// share is reassigned, and until when. The holder's core needs no report: it may use a renewed
+    /// lease at once, and to its end.
+    reported: (u64, bool, u64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Time,
-    Believe(usize, bool),
-    /// Is heard at once. What is heard late counts from when it was said, and so is no more than what was heard then
-    /// and stood until now; of what is only known to be later than some moment, less follows.
-    Say(usize),
-    Tell,
+    /// Time advances by [`STEP`].
+    Tick,
+    /// A peer believes the holder alive or dead from now on.
+    SetBelief(usize, bool),
+    /// A datagram is sent on a link of [`LINKS`] and arrives at once. Late ones need no step of their
+    /// own: a datagram counts from the time at which it was sent, so a late one allows no more than one
+    /// that arrived at that time, and less if the receiver knows only a lower bound of that time.
+    Deliver(usize),
+    /// The core of limiter 0 learns its shares.
+    ReportShares,
 }
 
-/// The module of leases with one rule taken away, to see that its absence is found.
+/// A rule that the model leaves out, to show that the check finds its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Without {
-    Nothing,
-    /// Whoever takes the third for dead says released of it at once.
-    Waiting,
-    /// Who takes it for living again renews its lease at once.
-    WaitingAgain,
+enum OmittedRule {
+    None,
+    /// A peer votes to revoke the holder's lease only after it has not renewed it for the time of a lease.
+    RevocationDelay,
+    /// A peer that has voted so renews the lease only after its vote has expired.
+    RenewalDelay,
 }
 
-struct Leases(Without);
+struct LeaseModel(OmittedRule);
 
 impl State {
-    fn standing(&self, who: usize) -> QuotaShares {
-        let living: Vec<bool> = (0..3)
-            .map(|other| who == CUT || other != CUT || self.lives[who])
+    fn quota_shares(&self, limiter: usize) -> QuotaShares {
+        let alive: Vec<bool> = (0..3)
+            .map(|other| limiter == HOLDER || other != HOLDER || self.holder_alive[limiter])
             .collect();
         quota_shares(
             self.now,
-            who as u32,
-            &living,
-            &self.ways[who],
-            &self.released[who],
+            limiter as u32,
+            &alive,
+            &self.leases[limiter],
+            &self.revoked[limiter],
         )
     }
 
-    fn tell(&mut self) {
-        let standing = self.standing(0);
-        self.told = (
-            standing.lease_ends,
-            standing.reassigned[CUT],
-            standing.reassigned_until,
+    fn report_shares(&mut self) {
+        let shares = self.quota_shares(0);
+        self.reported = (
+            shares.lease_ends,
+            shares.reassigned[HOLDER],
+            shares.reassigned_until,
         );
     }
 
-    /// Number 0 shares out what number 2 held.
-    fn shares_out(&self) -> bool {
-        let (until, given_away, given_until) = self.told;
-        given_away && self.now < given_until && self.now < until
+    /// Returns whether the core of limiter 0 uses its part of the holder's share.
+    fn uses_reassigned_share(&self) -> bool {
+        let (lease_ends, reassigned, reassigned_until) = self.reported;
+        reassigned && self.now < reassigned_until && self.now < lease_ends
     }
 
-    /// Number 2 holds its lease.
-    fn holds(&self) -> bool {
-        self.now < self.standing(CUT).lease_ends
+    /// Returns whether the holder has a lease.
+    fn holds_lease(&self) -> bool {
+        self.now < self.quota_shares(HOLDER).lease_ends
     }
 }
 
-/// From whom and to whom each thing is said.
-const WAYS: [(usize, usize); 3] = [(1, 0), (0, CUT), (1, CUT)];
+/// Sender and receiver of each link on which datagrams are sent.
+const LINKS: [(usize, usize); 3] = [(1, 0), (0, HOLDER), (1, HOLDER)];
 
-impl Model for Leases {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        // Everybody has held everybody for living for long, and has just said so.
-        let (mut way, mut released) = (PeerLease::new(0, 0), nobody_released());
-        believe(&mut released, 0, 0, true, &mut way);
-        way.on_datagram(LEASE, true, None);
+        // All limiters have believed each other alive for long, and all leases were just renewed.
+        let (mut lease, mut revoked) = (PeerLease::new(0, 0), no_revocations());
+        set_belief(&mut revoked, 0, 0, true, &mut lease);
+        lease.on_datagram(LEASE, true, None);
         let own = PeerLease::default();
-        let ways = std::array::from_fn(|who| {
+        let leases = std::array::from_fn(|limiter| {
             std::array::from_fn(|other| {
-                if who == other {
+                if limiter == other {
                     own.clone()
                 } else {
-                    way.clone()
+                    lease.clone()
                 }
             })
         });
         let mut state = State {
             now: LEASE,
-            lives: [true; 2],
-            ways,
-            released: std::array::from_fn(|_| nobody_released()),
-            told: Default::default(),
+            holder_alive: [true; 2],
+            leases,
+            revoked: std::array::from_fn(|_| no_revocations()),
+            reported: Default::default(),
         };
-        state.tell();
+        state.report_shares();
         vec![state]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.now < LAST {
-            steps.push(Step::Time);
+        if state.now < END {
+            steps.push(Step::Tick);
         }
-        for who in OTHERS {
-            steps.push(Step::Believe(who, !state.lives[who]));
+        for peer in PEERS {
+            steps.push(Step::SetBelief(peer, !state.holder_alive[peer]));
         }
-        steps.extend((0..WAYS.len()).map(Step::Say));
-        steps.push(Step::Tell);
+        steps.extend((0..LINKS.len()).map(Step::Deliver));
+        steps.push(Step::ReportShares);
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         let now = state.now;
         match step {
-            Step::Time => {
+            Step::Tick => {
                 state.now += STEP;
-                for who in OTHERS {
-                    let ways = state.ways[who].clone();
-                    state.released[who].revoke_expired(now + STEP, &ways);
+                for peer in PEERS {
+                    let leases = state.leases[peer].clone();
+                    state.revoked[peer].revoke_expired(now + STEP, &leases);
                 }
             }
-            Step::Believe(who, lives) => {
-                state.lives[who] = lives;
-                let (ways, released) = (&mut state.ways[who], &mut state.released[who]);
-                believe(released, now, CUT, lives, &mut ways[CUT]);
+            Step::SetBelief(peer, alive) => {
+                state.holder_alive[peer] = alive;
+                let (leases, revoked) = (&mut state.leases[peer], &mut state.revoked[peer]);
+                set_belief(revoked, now, HOLDER, alive, &mut leases[HOLDER]);
                 match self.0 {
-                    Without::Waiting if !lives => {
-                        _ = released.revoke_expired(now + 10 * LEASE, &ways[..])
+                    OmittedRule::RevocationDelay if !alive => {
+                        _ = revoked.revoke_expired(now + 10 * LEASE, &leases[..])
                     }
-                    // As if nothing had been said of it.
-                    Without::WaitingAgain if lives => {
-                        ways[CUT] = PeerLease::new(0, 0);
-                        believe(&mut nobody_released(), now, CUT, true, &mut ways[CUT]);
+                    // As if the peer had never voted to revoke the lease.
+                    OmittedRule::RenewalDelay if alive => {
+                        leases[HOLDER] = PeerLease::new(0, 0);
+                        set_belief(
+                            &mut no_revocations(),
+                            now,
+                            HOLDER,
+                            true,
+                            &mut leases[HOLDER],
+                        );
                     }
                     _ => {}
                 }
             }
-            Step::Say(way) => {
-                let (who, to) = WAYS[way];
-                let (grants, part) = (state.ways[who][to].grants(now), said(&state.released[who]));
-                state.ways[to][who].on_datagram(now, grants, Some(&part));
+            Step::Deliver(link) => {
+                let (from, to) = LINKS[link];
+                let renews = state.leases[from][to].renews(now);
+                let votes = votes(&state.revoked[from]);
+                state.leases[to][from].on_datagram(now, renews, Some(&votes));
             }
-            Step::Tell => state.tell(),
+            Step::ReportShares => state.report_shares(),
         }
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody shares out what is held", |_, s: &State| {
-                !(s.shares_out() && s.holds())
+            Property::always(NO_DOUBLE_USE, |_, s: &State| {
+                !(s.uses_reassigned_share() && s.holds_lease())
             }),
-            // Else the first could hold for want of anything happening.
-            Property::sometimes("what it held is shared out", |_, s: &State| s.shares_out()),
-            Property::sometimes("and it holds it again", |_, s: &State| {
-                s.told.1 && !s.shares_out() && s.holds()
+            // Without these two, the first property could hold because no share is ever reassigned.
+            Property::sometimes("the holder's share is reassigned", |_, s: &State| {
+                s.uses_reassigned_share()
             }),
+            Property::sometimes(
+                "the holder has a lease again after the reassignment",
+                |_, s: &State| s.reported.1 && !s.uses_reassigned_share() && s.holds_lease(),
+            ),
         ]
     }
 }
 
-fn checked(without: Without) -> impl Checker<Leases> {
-    Leases(without).checker().threads(4).spawn_bfs().join()
+/// Name of the property that the leases guarantee.
+const NO_DOUBLE_USE: &str = "the holder's share is not reassigned while its lease lasts";
+
+fn check(omitted: OmittedRule) -> impl Checker<LeaseModel> {
+    LeaseModel(omitted).checker().threads(4).spawn_bfs().join()
 }
 
 #[test]
-fn no_reachable_state_uses_more_than_the_whole() {
-    let checker = checked(Without::Nothing);
+fn no_reachable_state_reassigns_a_share_while_its_lease_lasts() {
+    let checker = check(OmittedRule::None);
     println!(
         "{} states, {} unique",
         checker.state_count(),
@@ -232,178 +265,188 @@
 }
 
 #[test]
-fn without_either_wait_a_state_is_found_that_does() {
-    for without in [Without::Waiting, Without::WaitingAgain] {
-        let checker = checked(without);
+fn check_finds_the_absence_of_either_delay() {
+    for omitted in [OmittedRule::RevocationDelay, OmittedRule::RenewalDelay] {
+        let checker = check(omitted);
         assert!(
-            checker
-                .discovery("nobody shares out what is held")
-                .is_some(),
-            "{without:?}"
+            checker.discovery(NO_DOUBLE_USE).is_some(),
+            "no state uses a share twice although the rule {omitted:?} is omitted"
         );
     }
 }
 
-/// A lease of the tests below, which tell the time themselves.
-const SHORT: u64 = 10;
+/// Duration of a lease in µs in the tests below, which give each time explicitly.
+const SHORT_LEASE: u64 = 10;
 
-fn nobody() -> RevokedLeases {
-    RevokedLeases::new(SHORT, 3, Encoding::Whole)
+fn empty_revocations() -> RevokedLeases {
+    RevokedLeases::new(SHORT_LEASE, 3, Encoding::Whole)
 }
 
-/// The whole set, as it is said.
+/// Returns the votes of a datagram that carries this set as a whole.
 fn whole(bits: &[u8]) -> Option<RevocationWindows> {
     Some(RevocationWindows::whole(bits, 3))
 }
 
 #[test]
-fn a_lease_needs_more_than_half_and_lasts_from_what_was_surely_heard() {
-    let mut ways = vec![
+fn lease_needs_a_majority_and_counts_from_the_known_send_time() {
+    let mut leases = vec![
         PeerLease::default(),
-        PeerLease::new(0, SHORT),
-        PeerLease::new(0, SHORT),
+        PeerLease::new(0, SHORT_LEASE),
+        PeerLease::new(0, SHORT_LEASE),
     ];
-    let released = nobody();
-    let until = |ways: &[PeerLease]| quota_shares(100, 0, &[true; 3], ways, &released).lease_ends;
-    assert_eq!(until(&ways), 0);
-    ways[1].on_datagram(90, true, whole(&[]).as_ref());
-    assert_eq!(until(&ways), 100);
-    // A later one that does not renew, or an older one that did, changes nothing.
-    ways[1].on_datagram(95, false, whole(&[]).as_ref());
-    ways[1].on_datagram(80, true, whole(&[]).as_ref());
-    assert_eq!(until(&ways), 100);
-    ways[2].on_datagram(97, true, whole(&[]).as_ref());
-    assert_eq!(until(&ways), 107);
+    let revoked = empty_revocations();
+    let lease_end =
+        |leases: &[PeerLease]| quota_shares(100, 0, &[true; 3], leases, &revoked).lease_ends;
+    assert_eq!(lease_end(&leases), 0);
+    leases[1].on_datagram(90, true, whole(&[]).as_ref());
+    assert_eq!(lease_end(&leases), 100);
+    // Neither a later datagram that does not renew the lease nor an older one that does changes its end.
+    leases[1].on_datagram(95, false, whole(&[]).as_ref());
+    leases[1].on_datagram(80, true, whole(&[]).as_ref());
+    assert_eq!(lease_end(&leases), 100);
+    leases[2].on_datagram(97, true, whole(&[]).as_ref());
+    assert_eq!(lease_end(&leases), 107);
 }
 
 #[test]
-fn what_a_dead_one_leaves_is_shared_once_more_than_half_have_waited_a_lease() {
-    let mut released = nobody();
-    let mut ways = vec![
+fn share_of_a_dead_peer_is_reassigned_once_a_majority_has_waited_a_lease() {
+    let mut revoked = empty_revocations();
+    let mut leases = vec![
         PeerLease::default(),
-        PeerLease::new(0, SHORT),
-        PeerLease::new(0, SHORT),
+        PeerLease::new(0, SHORT_LEASE),
+        PeerLease::new(0, SHORT_LEASE),
     ];
-    // Number 1 lives, number 2 dies at 20.
-    believe(&mut released, 1, 1, true, &mut ways[1]);
-    believe(&mut released, 1, 2, true, &mut ways[2]);
-    believe(&mut released, 20, 2, false, &mut ways[2]);
-    released.revoke_expired(30, &ways);
-    assert!(released.bits().is_empty());
-    released.revoke_expired(31, &ways);
-    assert_eq!(released.bits(), [4]);
-    let standing = |now, ways: &[PeerLease], released: &RevokedLeases| {
-        quota_shares(now, 0, &[true, true, false], ways, released)
+    // Limiter 1 stays alive, limiter 2 dies at 20.
+    set_belief(&mut revoked, 1, 1, true, &mut leases[1]);
+    set_belief(&mut revoked, 1, 2, true, &mut leases[2]);
+    set_belief(&mut revoked, 20, 2, false, &mut leases[2]);
+    revoked.revoke_expired(30, &leases);
+    assert!(revoked.bits().is_empty());
+    revoked.revoke_expired(31, &leases);
+    assert_eq!(revoked.bits(), [4]);
+    let shares = |now, leases: &[PeerLease], revoked: &RevokedLeases| {
+        quota_shares(now, 0, &[true, true, false], leases, revoked)
     };
-    ways[1].on_datagram(30, true, whole(&[]).as_ref());
-    assert_eq!(standing(32, &ways, &released).reassigned, [false; 3]);
-    ways[1].on_datagram(31, true, whole(&[4]).as_ref());
-    let now = standing(32, &ways, &released);
-    assert_eq!(now.reassigned, [false, false, true]);
-    assert_eq!(now.share(32, 0..3), Some(0.5 / 3.0 + 0.25));
-    // Without a lease it has what it keeps, and outside of a set nothing.
-    assert_eq!((now.lease_ends, now.reassigned_until), (41, 41));
-    assert_eq!(now.share(41, 0..3), Some(0.5 / 3.0));
-    assert_eq!(now.share(32, 1..3), None);
-    assert_eq!(now.account_divisor(32, 1, 2), 2.0);
-    // What was said too long ago counts no more.
-    assert_eq!(standing(41, &ways, &released).reassigned, [false; 3]);
-    // Back: renewed again only after everybody has forgotten that it was released.
-    believe(&mut released, 35, 2, true, &mut ways[2]);
-    assert!(released.bits().is_empty());
-    assert!(!ways[2].grants(45) && ways[2].grants(46));
+    leases[1].on_datagram(30, true, whole(&[]).as_ref());
+    assert_eq!(shares(32, &leases, &revoked).reassigned, [false; 3]);
+    leases[1].on_datagram(31, true, whole(&[4]).as_ref());
+    let current = shares(32, &leases, &revoked);
+    assert_eq!(current.reassigned, [false, false, true]);
+    assert_eq!(current.share(32, 0..3), Some(0.5 / 3.0 + 0.25));
+    // Without a lease the limiter has its guaranteed share only, and of a set without it no share.
+    assert_eq!((current.lease_ends, current.reassigned_until), (41, 41));
+    assert_eq!(current.share(41, 0..3), Some(0.5 / 3.0));
+    assert_eq!(current.share(32, 1..3), None);
+    assert_eq!(current.account_divisor(32, 1, 2), 2.0);
+    // The vote that limiter 1 sent at 31 expires at 41.
+    assert_eq!(shares(41, &leases, &revoked).reassigned, [false; 3]);
+    // Limiter 2 is alive again at 35. Its lease is renewed only from 46 on, when this limiter's vote to
+    // revoke it has expired everywhere.
+    set_belief(&mut revoked, 35, 2, true, &mut leases[2]);
+    assert!(revoked.bits().is_empty());
+    assert!(!leases[2].renews(45) && leases[2].renews(46));
 }
 
-/// Twenty limiters in windows of eight; the last eleven are dead to all, and a part has one window.
+/// Twenty limiters in windows of eight. The last eleven are believed dead by all, and each part carries
+/// one window.
 #[test]
-fn a_vote_counts_from_the_age_of_the_part_that_carried_it() {
+fn vote_is_as_old_as_the_part_that_carried_it() {
     const SIZE: usize = 20;
     const ALIVE: usize = 9;
     let encoding = Encoding::Parts {
         window: 8,
         max_run_bytes: 0,
     };
-    let mut released = RevokedLeases::new(SHORT, SIZE as u32, encoding);
-    let mut ways = vec![PeerLease::new(0, SHORT); SIZE];
-    ways[0] = PeerLease::default();
-    (1..ALIVE).for_each(|who| believe(&mut released, 0, who, true, &mut ways[who]));
-    released.revoke_expired(11, &ways);
+    let mut revoked = RevokedLeases::new(SHORT_LEASE, SIZE as u32, encoding);
+    let mut leases = vec![PeerLease::new(0, SHORT_LEASE); SIZE];
+    leases[0] = PeerLease::default();
+    (1..ALIVE).for_each(|limiter| set_belief(&mut revoked, 0, limiter, true, &mut leases[limiter]));
+    revoked.revoke_expired(11, &leases);
     let parts: Vec<_> = (0..2)
-        .map(|turn| released.part(turn).expect("a part").clone())
+        .map(|turn| revoked.part(turn).expect("the set has two parts").clone())
         .collect();
     assert_eq!((parts[0].first, parts[1].first), (8, 16));
-    let said = |turn: usize| parts[turn].read(SIZE as u32, 8);
-    let standing = |now, ways: &[PeerLease]| {
-        let living: Vec<bool> = (0..SIZE).map(|who| who < ALIVE).collect();
-        quota_shares(now, 0, &living, ways, &released)
+    let votes = |turn: usize| parts[turn].read(SIZE as u32, 8);
+    let shares = |now, leases: &[PeerLease]| {
+        let alive: Vec<bool> = (0..SIZE).map(|limiter| limiter < ALIVE).collect();
+        quota_shares(now, 0, &alive, leases, &revoked)
     };
-    // Ten others have said so of numbers 9 to 15 at 20, and of 16 to 19 at 25.
-    for way in &mut ways[1..11] {
-        way.on_datagram(20, true, said(0).as_ref());
+    // Ten peers send their votes on limiters 9 to 15 at 20, and those on limiters 16 to 19 at 25.
+    for lease in &mut leases[1..11] {
+        lease.on_datagram(20, true, votes(0).as_ref());
     }
     assert_eq!(
-        standing(26, &ways)
+        shares(26, &leases)
             .reassigned
             .iter()
-            .filter(|given| **given)
+            .filter(|reassigned| **reassigned)
             .count(),
         7
     );
-    for way in &mut ways[1..11] {
-        way.on_datagram(25, true, said(1).as_ref());
+    for lease in &mut leases[1..11] {
+        lease.on_datagram(25, true, votes(1).as_ref());
     }
-    let both = standing(26, &ways);
+    let both = shares(26, &leases);
     assert_eq!(
         both.reassigned,
-        (0..SIZE).map(|who| who >= ALIVE).collect::<Vec<_>>()
+        (0..SIZE)
+            .map(|limiter| limiter >= ALIVE)
+            .collect::<Vec<_>>()
     );
     assert_eq!(both.reassigned_until, 30);
-    // The younger part does not make the older one younger.
-    let later = standing(30, &ways);
+    // The part sent at 25 does not extend the votes in the part sent at 20.
+    let later = shares(30, &leases);
     assert_eq!(
         later.reassigned,
-        (0..SIZE).map(|who| who >= 16).collect::<Vec<_>>()
+        (0..SIZE).map(|limiter| limiter >= 16).collect::<Vec<_>>()
     );
     assert_eq!(later.reassigned_until, 35);
-    // Nor does a renewal without a part.
-    ways[1..11]
+    // Nor does a datagram extend votes if it renews the lease but carries no part.
+    leases[1..11]
         .iter_mut()
-        .for_each(|way| way.on_datagram(34, true, None));
-    assert!(standing(35, &ways).reassigned.iter().all(|given| !given));
-    // One vote less than a majority is none.
-    for way in &mut ways[1..10] {
-        way.on_datagram(40, true, said(0).as_ref());
+        .for_each(|lease| lease.on_datagram(34, true, None));
+    assert!(shares(35, &leases)
+        .reassigned
+        .iter()
+        .all(|reassigned| !reassigned));
+    // Nine peers and this limiter are ten of twenty, one vote less than a majority.
+    for lease in &mut leases[1..10] {
+        lease.on_datagram(40, true, votes(0).as_ref());
     }
-    assert!(standing(41, &ways).reassigned.iter().all(|given| !given));
+    assert!(shares(41, &leases)
+        .reassigned
+        .iter()
+        .all(|reassigned| !reassigned));
 }
 
-/// Each part has its turn in a row of as many, and in what a peer asks beside three parts that it answers with.
+/// Guards against parts that travel in pings only. A ping carries one part, and the answer to a ping up
+/// to three: without the shift between rounds, pings could carry the same parts each time.
 #[test]
-fn parts_take_turns_and_none_is_carried_by_questions_alone() {
+fn each_round_of_turns_has_all_parts_and_no_part_is_sent_in_pings_only() {
     let encoding = Encoding::Parts {
         window: 8,
         max_run_bytes: 0,
     };
     for windows in 1..=6 {
         let size = 8 * windows;
-        let mut released = RevokedLeases::new(SHORT, size as u32, encoding);
-        released.revoke_expired(11, &vec![PeerLease::new(0, SHORT); size]);
-        let firsts = |turns: &mut dyn Iterator<Item = usize>| {
+        let mut revoked = RevokedLeases::new(SHORT_LEASE, size as u32, encoding);
+        revoked.revoke_expired(11, &vec![PeerLease::new(0, SHORT_LEASE); size]);
+        let distinct_parts = |turns: &mut dyn Iterator<Item = usize>| {
             let mut firsts: Vec<_> = turns
-                .map(|turn| released.part(turn).expect("a part").first)
+                .map(|turn| revoked.part(turn).expect("the set is not empty").first)
                 .collect();
             firsts.sort_unstable();
             firsts.dedup();
             firsts.len()
         };
-        for first in 0..3 {
-            let row = first * windows;
-            assert_eq!(firsts(&mut (row..row + windows)), windows);
+        for round in 0..3 {
+            let start = round * windows;
+            assert_eq!(distinct_parts(&mut (start..start + windows)), windows);
         }
-        // A question, and an answer with what follows it.
+        // The turns of one ping, and of an ack with the parts that follow it.
         let exchange = 1 + windows.min(3);
         assert_eq!(
-            firsts(&mut (0..exchange * windows * windows).step_by(exchange)),
+            distinct_parts(&mut (0..exchange * windows * windows).step_by(exchange)),
             windows
         );
     }
