--- a/src/membership/bitset.rs
+++ b/src/membership/bitset.rs
@@ -1,4 +1,5 @@
-//! Sets of limiter numbers as little-endian bit strings without trailing zero bytes.
+//! Sets of limiter numbers as bit strings: bit `n % 8` of byte `n / 8` stands for number `n`. A set
+//! has no trailing zero bytes.
 
 /// Returns whether the set contains `index`.
 pub fn contains(bits: &[u8], index: usize) -> bool {
@@ -24,14 +25,15 @@
     }
 }
 
-/// Returns the bytes of window `number`, where each window has `window` bits, a multiple of eight.
+/// Returns the bytes of the window with this number. Each window has `window` bits, a multiple of
+/// eight.
 pub fn window(bits: &[u8], window: usize, number: usize) -> &[u8] {
     let bytes = window / 8;
     let first = (number * bytes).min(bits.len());
     &bits[first..(first + bytes).min(bits.len())]
 }
 
-/// Returns the set without trailing zero bytes.
+/// Returns the bits without trailing zero bytes.
 pub fn trimmed(bits: &[u8]) -> Vec<u8> {
     let end = bits
         .iter()
--- a/src/membership/fleet.rs
+++ b/src/membership/fleet.rs
@@ -1,4 +1,4 @@
-//! The handle by which the rest of the program uses the fleet membership.
+//! Handle through which the rest of the program uses the fleet membership.
 
 use super::report;
 use super::transport::{Command, Transport};
@@ -13,22 +13,24 @@
 
 pub use super::transport::FleetSettings;
 
-/// The longest wait for the messages of a limiter that leaves.
+/// Maximum time that [`Fleet::leave`] waits until the leave messages are sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A running member of a fleet. Clones share the member.
+/// Handle of a running fleet member. Clones refer to the same member.
 #[derive(Clone)]
 pub struct Fleet {
     commands: Sender<Command>,
-    /// `None` until the member first takes part.
+    /// `None` until the member is first active with an available address.
     view: Arc<Mutex<Option<View>>>,
     clock: Clock,
 }
 
 impl Fleet {
-    /// Starts the thread, which neither sends nor receives before [`set_active`](Self::set_active).
+    /// Starts the membership thread, which neither sends nor receives before
+    /// [`set_active`](Self::set_active).
     ///
-    /// It calls `on_shares` with the quota shares that the core may use, a few times a second at most.
+    /// The thread calls `on_shares` with the quota shares that the core may use, at most a few
+    /// times per second.
     ///
     /// # Errors
     ///
@@ -50,18 +52,20 @@
         })
     }
 
-    /// Takes part in the fleet, or stops and frees the address for the other process of an upgrade.
+    /// Starts taking part in the fleet, or stops and frees the address for the other process of an
+    /// upgrade.
     pub fn set_active(&self, active: bool) {
         let command = if active {
             Command::Activate
         } else {
             Command::Deactivate
         };
-        // Without the thread there is nothing to control.
+        // Sending fails only if the thread has ended, and then there is nothing to activate or
+        // stop.
         _ = self.commands.send(command);
     }
 
-    /// Leaves the fleet and waits until the others are notified, 300 ms at most.
+    /// Leaves the fleet and waits until the leave messages are sent, for at most 300 ms.
     pub fn leave(&self) {
         let (done, left) = bounded(1);
         if self.commands.send(Command::Leave(done)).is_ok() {
@@ -69,14 +73,14 @@
         }
     }
 
-    /// Returns the reply to `show-fleet`: a line for each member and one for the view; `None` before
-    /// the member first takes part.
+    /// Returns the reply to `show-fleet`: a line for each member and one for the view. Returns
+    /// `None` before the member is first active.
     pub fn show(&self) -> Option<String> {
         let view = lock(&self.view);
         Some(report::show_fleet(view.as_ref()?, self.clock.now()))
     }
 
-    /// Returns the name and value of each metric; none before the member first takes part.
+    /// Returns the name and value of each metric; empty before the member is first active.
     pub fn metrics(&self) -> Vec<(String, u64)> {
         lock(&self.view)
             .as_ref()
--- a/src/membership/format.rs
+++ b/src/membership/format.rs
@@ -1,17 +1,19 @@
 //! Wire formats of datagrams and how each carries the set of revoked leases.
 
-/// The format of fleets that carry the whole set of revoked leases in every datagram, as all did in
-/// the versions before [`PARTS_FORMAT`].
+/// Format of fleets that carry the whole set of revoked leases in every datagram. Versions that do
+/// not know [`PARTS_FORMAT`] use it for fleets of any size.
 pub const FORMAT: u32 = 1;
-/// The format of fleets that carry the set in parts, and the number of configured limiters.
+/// Format of fleets that carry the set in parts, together with the number of configured limiters.
 ///
-/// No member of a fleet accepts the other format, as it would misread its revocations.
+/// A member rejects datagrams of the format that its fleet does not use, as it would misread their
+/// revocations.
 pub const PARTS_FORMAT: u32 = 2;
-/// The largest fleet, in limiters, whose whole set goes into every datagram.
+/// Maximum number of limiters in a fleet that carries the whole set in every datagram.
 pub const MAX_WHOLE_SET_LIMITERS: u32 = 1_000;
-/// Limiters in one window. Its 96 bytes of bits leave space for gossip updates beside them.
+/// Number of limiters in one window. The 96 bytes of its bits leave space for gossip updates in a
+/// datagram.
 pub const WINDOW: u32 = 768;
-/// The whole set goes into one part if its run lengths take at most this many bytes.
+/// Maximum length in bytes of the run lengths with which the whole set goes into one part.
 const MAX_RUN_BYTES: u32 = 96;
 
 /// How datagrams carry the set of revoked leases.
@@ -19,11 +21,11 @@
 pub enum Encoding {
     /// One bit for each limiter in every datagram.
     Whole,
-    /// One [`RevocationPart`](super::revocation::RevocationPart) in a datagram.
+    /// One [`RevocationPart`](super::revocation::RevocationPart) in each datagram, or none.
     Parts {
-        /// Limiters in one window, a multiple of eight.
+        /// Number of limiters in one window, a multiple of eight.
         window: u32,
-        /// The whole set goes into one part if its run lengths take at most this many bytes.
+        /// Maximum length in bytes of the run lengths with which the whole set goes into one part.
         max_run_bytes: u32,
     },
 }
--- a/src/membership/key.rs
+++ b/src/membership/key.rs
@@ -8,12 +8,12 @@
 use super::rejection::Rejection;
 use prost::Message;
 
-/// The fleet's key.
+/// Key that authenticates the datagrams of a fleet.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Derives the key from the secret of the configuration.
+    /// Derives the key from the secret in the configuration.
     pub fn new(secret: &[u8]) -> Self {
         Self(blake3::derive_key("mossrill fleet datagram 1", secret))
     }
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the datagram is not one of a member of `fleet`.
+    /// Returns the reason if no member of `fleet` can have sent the datagram.
     pub fn open(&self, fleet: &str, bytes: &[u8]) -> Result<Datagram, Rejection> {
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() <= TAG_BYTES {
             return Err(Rejection::InvalidSize);
@@ -51,15 +51,17 @@
     }
 }
 
-/// Compares tags of equal length; the time does not depend on where they differ.
+/// Compares tags of equal length in a time that does not depend on where they differ, so that it
+/// does not help to guess a tag.
 fn equal_in_constant_time(expected: &[u8], received: &[u8]) -> bool {
     let differences = expected
         .iter()
         .zip(received)
-        .fold(0, |all, (left, right)| all | (left ^ right));
+        .fold(0, |bits, (left, right)| bits | (left ^ right));
     differences == 0
 }
 
+/// Checks the fields that every fleet requires, and the name of the fleet.
 fn check(datagram: &Datagram, fleet: &str) -> Result<(), Rejection> {
     if ![FORMAT, PARTS_FORMAT].contains(&datagram.format) {
         return Err(Rejection::WrongFormat);
--- a/src/membership/majority.rs
+++ b/src/membership/majority.rs
@@ -1,19 +1,20 @@
-//! Counts the votes of a majority on many limiters at once.
+//! Counts the votes on many limiters at once and finds those with a majority.
 
 use crate::decision::Micros;
 use std::cmp::Reverse;
 
-/// Binary digits of a count in [`VoteTally`]: enough for every fleet that can be configured.
+/// Number of binary digits of a count in [`VoteTally`]: enough for the largest fleet that can be
+/// configured.
 const TALLY_DIGITS: usize = 13;
-/// Limiters whose counts share the words of [`VoteTally`].
+/// Number of limiters whose counts share the words of one element of [`VoteTally`].
 const TALLY_LANES: usize = u64::BITS as usize;
-/// Bytes of the votes on as many limiters.
+/// Number of bytes of the votes on [`TALLY_LANES`] limiters.
 const LANE_BYTES: usize = TALLY_LANES / 8;
 
 /// The votes of one limiter on one window of limiters.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowVotes<'a> {
-    /// The votes count until this time.
+    /// Time in µs until which the votes count.
     pub valid_until: Micros,
     /// One bit for each limiter of the window, without trailing zero bytes.
     pub bits: &'a [u8],
@@ -21,9 +22,9 @@
 
 /// Bit-sliced vote counters.
 ///
-/// Element `n` of `counts` has the counts of 64 limiters: its word `d` holds digit `d` of each, so
-/// that a set of votes is added by a few operations a word. The counts start so close below an
-/// overflow that the vote which completes the majority overflows.
+/// Each element of `counts` has the counts of 64 limiters. Its word `d` holds binary digit `d` of
+/// each of these counts, so that a few operations on words add the votes on all 64. A count starts
+/// at the value from which the vote that completes a majority overflows it.
 struct VoteTally {
     counts: Vec<[u64; TALLY_DIGITS]>,
 }
@@ -67,8 +68,8 @@
     carry
 }
 
-/// Returns for each limiter of a window of `size` the time until which `majority` voters have a valid
-/// vote on it; `None` where fewer have voted.
+/// Returns for each limiter of a window of `size` limiters the time in µs until which the votes of
+/// at least `majority` voters on it are valid; `None` if fewer have voted on it.
 ///
 /// # Panics
 ///
--- a/src/membership/member_state.rs
+++ b/src/membership/member_state.rs
@@ -1,36 +1,37 @@
-//! State of a fleet member, as another member believes it to be.
+//! State of a fleet member in the view of another member.
 
-/// State of a limiter. At the same incarnation a later state overrides an earlier one.
+/// State of a limiter. At the same incarnation, an update with a state further down this list
+/// overrides one further up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// No datagram or update about it was received, or it was forgotten.
+    /// No datagram from the limiter and no update about it was received, or it has been forgotten.
     #[default]
     Unknown,
-    /// Answers.
+    /// The limiter answers probes.
     Alive,
-    /// Did not answer, and may still refute the suspicion.
+    /// The limiter did not answer a probe, but may still refute the suspicion that it is dead.
     Suspect,
-    /// Did not refute the suspicion in time.
+    /// The limiter did not refute the suspicion in time.
     Dead,
-    /// Has left the fleet in a graceful shutdown.
+    /// The limiter has left the fleet in a graceful shutdown.
     Left,
 }
 
 impl MemberState {
-    /// Returns its number on the wire.
+    /// Returns the number of the state on the wire.
     pub fn number(self) -> u32 {
         self as u32
     }
 
-    /// Decodes the number of a gossip update; `None` for [`Unknown`](Self::Unknown), which is never
-    /// sent, and for undefined numbers.
+    /// Returns the state with this number on the wire; `None` for [`Unknown`](Self::Unknown), which
+    /// is never sent, and for undefined numbers.
     pub fn from_number(number: u32) -> Option<Self> {
         [Self::Alive, Self::Suspect, Self::Dead, Self::Left]
             .into_iter()
             .find(|state| state.number() == number)
     }
 
-    /// Returns its name in logs, metrics and `show-fleet`.
+    /// Returns the name of the state in logs, metrics and the reply to `show-fleet`.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Fleet membership: which limiters are alive (SWIM) and which shares of the quotas they may use
+//! Fleet membership: which limiters are alive (SWIM), and which shares of the quotas each may use
 //! (majority leases).
 //!
-//! [`view::View`] is a state machine without I/O, [`fleet::Fleet`] runs it on a UDP socket. The
+//! [`view::View`] is a state machine without I/O; [`fleet::Fleet`] runs it on a UDP socket. The
 //! design is in `docs/fleet.md`.
 
 pub mod bitset;
--- a/src/membership/quota_shares.rs
+++ b/src/membership/quota_shares.rs
@@ -6,7 +6,8 @@
 use crate::decision::{Micros, QuotaShares};
 use std::cmp::Reverse;
 
-/// What the quota shares of one limiter follow from. The slices are indexed by limiter.
+/// The state of one limiter from which its quota shares are computed. The slices are indexed by
+/// limiter.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseView<'a> {
     /// Number of this limiter.
@@ -15,7 +16,8 @@
     pub guaranteed: f64,
     /// Whether this limiter believes each limiter alive.
     pub alive: &'a [bool],
-    /// The leases between this limiter and each peer. The entry of this limiter is ignored.
+    /// The leases between this limiter and each peer. The entry at this limiter's own index is
+    /// ignored.
     pub leases: &'a [PeerLease],
     /// The leases that this limiter has voted to revoke.
     pub revoked: &'a RevokedLeases,
@@ -50,14 +52,16 @@
             .map(|(_, lease)| lease)
     }
 
-    /// Returns the end of this limiter's lease, 0 if no majority ever renewed it.
+    /// Returns the time in µs at which this limiter's lease ends; 0 if no majority has ever renewed
+    /// it.
     fn lease_end(&self) -> Micros {
         let lease = self.revoked.lease();
         let mut ends: Vec<_> = self
             .peers()
             .filter_map(|peer| peer.renewed_at().map(|at| at + lease))
             .collect();
-        // The limiter renews its own lease, so half of the fleet are a majority with it.
+        // The limiter itself counts as renewing its lease, so half of the fleet, rounded down,
+        // completes the majority.
         let needed_peers = self.leases.len() / 2;
         if needed_peers == 0 {
             return Micros::MAX;
@@ -69,7 +73,8 @@
         *end
     }
 
-    /// Returns for each limiter until when a majority has revoked its lease, `None` if none has.
+    /// Returns for each limiter the time in µs until which a majority has revoked its lease; `None`
+    /// if no majority has.
     fn revocation_deadlines(&self, now: Micros) -> Vec<Option<Micros>> {
         let limiters = self.leases.len();
         let majority = limiters / 2 + 1;
@@ -83,7 +88,8 @@
         deadlines
     }
 
-    /// Returns the votes on one window that have not expired; limiters without a vote are left out.
+    /// Returns the unexpired votes on one window, without those of limiters that revoke no lease in
+    /// it.
     fn valid_votes(&self, now: Micros, window: usize, number: usize) -> Vec<WindowVotes<'_>> {
         let lease = self.revoked.lease();
         let own = WindowVotes {
--- a/src/membership/rejection.rs
+++ b/src/membership/rejection.rs
@@ -5,28 +5,31 @@
 /// Why a datagram was rejected. The messages are also the suffixes of the `fleet.dropped.` metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error)]
 pub enum Rejection {
-    /// Too short for an authentication tag, or longer than any limiter sends.
+    /// The datagram is too short for an authentication tag, or longer than any limiter sends.
     #[error("size")]
     InvalidSize,
-    /// Not authenticated with this fleet's key, or modified on the way.
+    /// The datagram is not authenticated with this fleet's key, or was modified on the way.
     #[error("foreign")]
     Unauthenticated,
-    /// Authenticated, but it can't be decoded.
+    /// The datagram is authenticated, but can't be decoded or lacks a required field.
     #[error("garbled")]
     Malformed,
-    /// Has another format.
+    /// The datagram has a format that is unknown or that this fleet does not use.
     #[error("format")]
     WrongFormat,
-    /// Belongs to another fleet with the same key, or to this one configured with another size.
+    /// The datagram belongs to another fleet with the same key, or its sender's configuration has
+    /// another number of limiters.
     #[error("fleet")]
     WrongFleet,
-    /// Names an impossible limiter, state, incarnation or address.
+    /// The datagram has a limiter number, state, incarnation, address or set of revoked leases that
+    /// is out of range.
     #[error("strange")]
     OutOfRange,
-    /// Received before, or from an earlier process of the sender or to one of the receiver.
+    /// The datagram was received before, or was written by an earlier process of the sender or for
+    /// an earlier process of the receiver.
     #[error("stale")]
     Stale,
-    /// Exceeds the rate limit.
+    /// The datagram exceeds the rate limit.
     #[error("flood")]
     RateLimited,
 }
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -1,7 +1,7 @@
-//! What operators see of the fleet: the reply to `show-fleet` and the `fleet.` metrics.
+//! Reports on the fleet for operators: the reply to `show-fleet` and the `fleet.` metrics.
 //!
-//! The keys and names are an interface for operators and stay as they are, whatever the code calls
-//! the same values.
+//! Their keys and names are an interface for operators and must not change, even where the code has
+//! other names for the same values.
 
 use super::member_state::MemberState;
 use super::rejection::Rejection;
@@ -10,9 +10,9 @@
 use crate::decision::Micros;
 use std::fmt::Write;
 
-/// Leases that end later are shown with this rest, in µs.
+/// Maximum remaining time of a lease in µs that is shown, even if the lease ends later.
 const MAX_SHOWN_LEASE: Micros = 1_000_000_000;
-/// What is shown in place of a value that is not known.
+/// Shown in place of an unknown value.
 const UNKNOWN_VALUE: &str = "-";
 
 /// Returns a line for each member and one for the view.
@@ -26,7 +26,7 @@
     text
 }
 
-/// Returns the time since `at` in ms, as text.
+/// Formats the time since `at` in ms.
 fn milliseconds_since(at: Option<Micros>, now: Micros) -> String {
     at.map_or(UNKNOWN_VALUE.into(), |at| {
         (now.saturating_sub(at) / 1_000).to_string()
@@ -61,7 +61,7 @@
         .filter(|limiter| shares.reassigned[*limiter])
         .collect();
     let limiters = members.len() as u32;
-    // Relative to an even share.
+    // As a multiple of an even share.
     let share = shares.share(now, 0..limiters).unwrap_or(0.0) * f64::from(limiters);
     let lease_end = shares.lease_ends.min(now + MAX_SHOWN_LEASE);
     _ = writeln!(
--- a/src/membership/revocation.rs
+++ b/src/membership/revocation.rs
@@ -1,27 +1,28 @@
-//! How datagrams carry the set of limiters whose leases the sender has revoked.
+//! How datagrams carry the set of limiters whose leases the sender has voted to revoke.
 //!
 //! A fleet of at most [`MAX_WHOLE_SET_LIMITERS`](super::format::MAX_WHOLE_SET_LIMITERS) limiters
 //! carries the whole set in every datagram, as one bit for each limiter. In a larger fleet a
-//! datagram carries one [`RevocationPart`]: the whole set if its run lengths are short, otherwise one
-//! window of it, each window in turn. A part has no information on limiters outside of it, and a vote
-//! is as old as the datagram whose part carried it. So no vote counts as younger than it is.
+//! datagram carries one [`RevocationPart`]: the whole set if its run lengths are short, otherwise
+//! one window of it, each window in turn. A part says nothing about limiters outside of it, and its
+//! votes count from the time at which its datagram was sent, so that later datagrams with other
+//! parts do not extend them.
 
 use super::bitset;
 use prost::Message;
 
-/// A part of the set in a datagram, as either `bits` or `runs`.
+/// A part of the set as a datagram carries it, either as `bits` or as `runs`.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct RevocationPart {
-    /// Number of the first limiter that it covers.
+    /// Number of the first limiter that the part covers.
     #[prost(uint32, tag = "1")]
     pub first: u32,
-    /// Number of limiters that it covers.
+    /// Number of limiters that the part covers.
     #[prost(uint32, tag = "2")]
     pub count: u32,
-    /// One bit for each of them, without trailing zero bytes.
+    /// One bit for each limiter covered, without trailing zero bytes.
     #[prost(bytes = "vec", tag = "3")]
     pub bits: Vec<u8>,
-    /// Lengths of alternating runs, the first of limiters outside of the set, the second inside.
+    /// Lengths of alternating runs of limiters outside and inside of the set, beginning outside.
     #[prost(uint32, repeated, tag = "4")]
     pub runs: Vec<u32>,
 }
@@ -46,15 +47,15 @@
     }
 }
 
-/// Encodes the set `bits` of a fleet of `limiters` as parts; empty parts are left out.
+/// Encodes the set `bits` of a fleet of `limiters` as parts, without empty ones.
 ///
-/// The whole set goes into one part if its run lengths take at most `most_run_bytes`, otherwise each
-/// part has one window of `window` limiters.
+/// The whole set goes into one part if its run lengths take at most `max_run_bytes` bytes,
+/// otherwise each part has one window of `window` limiters.
 pub fn encode_parts(
     bits: &[u8],
     limiters: u32,
     window: u32,
-    most_run_bytes: u32,
+    max_run_bytes: u32,
 ) -> Vec<RevocationPart> {
     if bits.is_empty() {
         return Vec::new();
@@ -64,7 +65,7 @@
         runs: run_lengths(bits),
         ..RevocationPart::default()
     };
-    if encoded_run_bytes(&whole.runs) <= most_run_bytes as usize {
+    if encoded_run_bytes(&whole.runs) <= max_run_bytes as usize {
         return vec![whole];
     }
     (0..limiters.div_ceil(window))
@@ -91,9 +92,9 @@
 }
 
 impl RevocationPart {
-    /// Decodes the part in a fleet of `limiters` with windows of `window` limiters; `None` if no
-    /// limiter of that fleet can have sent it.
-    pub fn read(&self, limiters: u32, window: u32) -> Option<RevocationWindows> {
+    /// Decodes the part for a fleet of `limiters` with windows of `window` limiters. Returns `None`
+    /// if no limiter of that fleet can have sent the part.
+    pub fn windows(&self, limiters: u32, window: u32) -> Option<RevocationWindows> {
         if !self.covers_whole_windows(limiters, window) {
             return None;
         }
@@ -120,7 +121,8 @@
         })
     }
 
-    /// Returns whether the part begins at a window and ends at one or with the fleet.
+    /// Returns whether the part begins at the start of a window, and ends at the end of a window or
+    /// with the last limiter of the fleet.
     fn covers_whole_windows(&self, limiters: u32, window: u32) -> bool {
         let Some(end) = self.first.checked_add(self.count) else {
             return false;
@@ -130,7 +132,7 @@
         within_fleet && self.first % window == 0 && ends_at_window
     }
 
-    /// Returns the bits that the runs stand for; `None` if they exceed the part.
+    /// Converts the runs to bits; returns `None` if the runs exceed the part.
     fn bits_of_runs(&self) -> Option<Vec<u8>> {
         let mut bits = Vec::new();
         let mut start = 0u32;
@@ -150,7 +152,7 @@
     }
 }
 
-/// Returns the lengths of alternating runs, the first of numbers outside of the set.
+/// Returns the lengths of alternating runs outside and inside of the set, beginning outside.
 fn run_lengths(bits: &[u8]) -> Vec<u32> {
     let mut runs = Vec::new();
     let mut inside = false;
@@ -169,7 +171,7 @@
     runs
 }
 
-/// Returns the bytes that the runs take in a datagram.
+/// Returns the number of bytes that the runs take in a datagram.
 fn encoded_run_bytes(runs: &[u32]) -> usize {
     runs.iter()
         .map(|run| prost::encoding::encoded_len_varint(u64::from(*run)))
--- a/src/membership/transport.rs
+++ b/src/membership/transport.rs
@@ -1,4 +1,4 @@
-//! The thread that sends and receives the fleet's datagrams and owns the socket.
+//! The thread that owns the UDP socket and sends and receives the fleet's datagrams.
 
 use super::key::Key;
 use super::lease::lease_duration;
@@ -16,17 +16,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long commands wait at most while datagrams are awaited, and how often the address is tried
-/// again while it is not available.
+/// Maximum wait for a datagram before commands are polled, and the interval between attempts to
+/// bind an address that is unavailable.
 const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The shortest read timeout, as zero would mean none.
+/// Minimum read timeout, as the socket does not accept a timeout of zero.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// Pause after a failed read, so that a permanent error does not take all of a CPU.
+/// Pause after a failed read, so that a permanent error does not occupy a CPU.
 const READ_ERROR_PAUSE: Duration = Duration::from_millis(1);
-/// Bytes of the receive buffer: more than any valid datagram has, so that longer ones are detected.
+/// Length of the receive buffer: more than that of any valid datagram, so that longer ones are
+/// detected.
 const RECEIVE_BUFFER_BYTES: usize = 512;
-/// A renewed lease is reported to the core once this part of its duration has passed.
-const LEASE_REPORT_FRACTION: Micros = 8;
+/// Divisor of the lease duration: a later end of a lease is reported to the core only when it
+/// differs from the reported one by more than this fraction of the duration.
+const LEASE_REPORT_DIVISOR: Micros = 8;
 
 /// Settings of a fleet member.
 #[derive(Clone)]
@@ -35,23 +37,23 @@
     pub view: ViewSettings,
     /// Local address of the UDP socket.
     pub listen: SocketAddr,
-    /// The fleet's key.
+    /// Key that authenticates the datagrams.
     pub key: Key,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A command to the thread.
+/// A command to the membership thread.
 pub(super) enum Command {
     /// Take part in the fleet.
     Activate,
-    /// Stop, without notice to the others.
+    /// Stop taking part without notifying the others.
     Deactivate,
-    /// Notify the others, stop, and send a message on this channel when that is done.
+    /// Notify the others that this limiter leaves, stop taking part, then send on this channel.
     Leave(Sender<()>),
 }
 
-/// Every handle of the fleet has been dropped.
+/// Error of a command channel whose senders, the handles of the fleet, have all been dropped.
 struct Disconnected;
 
 /// The state of the thread.
@@ -60,7 +62,7 @@
     clock: Clock,
     view: Arc<Mutex<Option<View>>>,
     active: bool,
-    /// There while the thread is active and the address is available.
+    /// `Some` while the thread is active and its address could be bound.
     socket: Option<UdpSocket>,
     on_shares: Box<dyn FnMut(QuotaShares) + Send>,
     reported_shares: Option<QuotaShares>,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Runs until every sender of commands has been dropped.
+    /// Runs until all senders of commands have been dropped.
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
         while let Ok(command) = self.next_command(commands) {
             if let Some(command) = command {
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Returns the next command. Without one it blocks while the thread is inactive, and returns `None`
-    /// soon while it is active.
+    /// Returns the next command. While the thread is inactive it waits for one; while the thread is
+    /// active it returns `None` at once, or after [`COMMAND_POLL_INTERVAL`] without a socket.
     fn next_command(&self, commands: &Receiver<Command>) -> Result<Option<Command>, Disconnected> {
         if self.socket.is_some() {
             return match commands.try_recv() {
@@ -138,12 +140,13 @@
             Command::Leave(done) => {
                 self.leave();
                 self.active = false;
-                // The other side may have stopped waiting.
+                // Fails if the caller has stopped waiting.
                 _ = done.try_send(());
             }
         }
     }
 
+    /// Binds the socket and creates the view if there is none yet.
     fn bind(&mut self) {
         match UdpSocket::bind(self.settings.listen) {
             Ok(socket) => {
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Waits for one datagram until the view is to be woken, and processes it.
+    /// Waits for one datagram, at most until the view's next wake, and processes it.
     fn receive(&mut self) {
         let Some(socket) = &self.socket else { return };
         let wake_at = lock(&self.view).as_ref().map_or(0, View::next_wake);
@@ -204,7 +207,8 @@
     }
 
     fn log_rejection(&self, rejection: Rejection, sender: SocketAddr) {
-        // Duplicates in the network are stale, and so are the first datagrams of a new process.
+        // Stale datagrams are not logged: duplicates in the network are stale, and so are the first
+        // datagrams of a new process.
         if rejection == Rejection::Stale {
             return;
         }
@@ -226,21 +230,20 @@
             view.quota_shares(now)
         };
         self.execute_actions(actions);
-        if self.is_worth_reporting(&shares) {
+        if self.must_report(&shares) {
             (self.on_shares)(shares.clone());
             self.reported_shares = Some(shares);
         }
     }
 
-    /// Returns whether the shares differ from those reported last: in more than the end of a lease, or
-    /// in that by so much that it matters.
-    fn is_worth_reporting(&self, shares: &QuotaShares) -> bool {
+    /// Returns whether the shares must be reported to the core. They are not if they differ from
+    /// the reported ones only in deadlines, each of them later by no more than the tolerance.
+    fn must_report(&self, shares: &QuotaShares) -> bool {
         let Some(reported) = &self.reported_shares else {
             return true;
         };
-        let setup = &self.settings.view;
-        let tolerance =
-            lease_duration(setup.protocol_period, setup.limiters) / LEASE_REPORT_FRACTION;
+        let view = &self.settings.view;
+        let tolerance = lease_duration(view.protocol_period, view.limiters) / LEASE_REPORT_DIVISOR;
         shares.reassigned != reported.reassigned
             || shares.alive != reported.alive
             || has_moved(reported.lease_ends, shares.lease_ends, tolerance)
@@ -270,7 +273,8 @@
                 Action::Send(address, datagram) => {
                     let sealed = self.settings.key.seal(&datagram);
                     if let Some(socket) = &self.socket {
-                        // The protocol tolerates lost datagrams, so an error needs no handling.
+                        // The protocol tolerates lost datagrams, so a failed send needs no
+                        // handling.
                         _ = socket.send_to(&sealed, address);
                     }
                 }
@@ -280,7 +284,8 @@
     }
 
     fn log_change(&self, change: &StateChange) {
-        // Suspicions begin and end with every few lost datagrams.
+        // Suspicions begin and end often where datagrams are lost, so these changes are logged with
+        // a throttle.
         let stays_alive = change.state.is_alive() && change.previous.is_alive();
         let is_routine = change.state == MemberState::Suspect || stays_alive;
         let suppressed = if is_routine {
--- a/src/membership/version.rs
+++ b/src/membership/version.rs
@@ -1,10 +1,10 @@
-//! Version of the program as one number, so that datagrams carry it in few bytes.
+//! Encoding of the program's version as one number, so that datagrams carry it in few bytes.
 
-/// Largest value of one component of a version.
+/// Maximum value of a component of an encoded version.
 const MAX_COMPONENT: u32 = 999;
 
-/// Encodes `major.minor.patch` as a number that grows with the version. Components that are missing
-/// or no numbers count as 0, those above 999 as 999.
+/// Encodes `major.minor.patch` as a number that grows with the version. A component that is missing
+/// or not a number counts as 0, one above 999 as 999.
 pub fn encode(text: &str) -> u32 {
     let mut components = text
         .split('.')
--- a/src/membership/view/action.rs
+++ b/src/membership/view/action.rs
@@ -1,15 +1,15 @@
-//! What a view asks its caller to do.
+//! Actions that a view requests from its caller.
 
 use crate::membership::datagram::Datagram;
 use crate::membership::member_state::MemberState;
 use std::net::SocketAddrV4;
 
-/// What the caller of a [`View`](super::View) has to do.
+/// An action that the caller of a [`View`](super::View) must execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send this datagram to this address.
     Send(SocketAddrV4, Datagram),
-    /// Report that the state of a member has changed.
+    /// Log that the state of a member has changed.
     Changed(StateChange),
 }
 
@@ -22,8 +22,8 @@
     pub previous: MemberState,
     /// State after the change.
     pub state: MemberState,
-    /// The member's incarnation that the state belongs to.
+    /// Incarnation of the member in which it has the new state.
     pub incarnation: u64,
-    /// Number of the limiter that reported the state first.
+    /// Number of the limiter that first reported the new state.
     pub reported_by: u32,
 }
--- a/src/membership/view/gossip.rs
+++ b/src/membership/view/gossip.rs
@@ -1,4 +1,5 @@
-//! Dissemination: which gossip updates a datagram carries, and when datagrams are sent for them.
+//! Dissemination: selects the gossip updates that a datagram carries, and sends datagrams for new
+//! ones.
 
 use super::action::Action;
 use super::send::{Destination, Route};
@@ -9,21 +10,23 @@
 use prost::Message;
 use std::cmp::Reverse;
 
-/// Members alive that receive new updates, twice in each protocol period.
+/// Number of members alive to which new updates are sent, twice in each protocol period.
 const GOSSIP_FANOUT: usize = 2;
-/// An update is sent this many times for each power of ten of the fleet's size.
+/// Number of times that an update is sent for each power of ten of the fleet's size.
 const RETRANSMIT_FACTOR: f64 = 4.0;
-/// Gossip stops while less than this part of the datagrams of a second may be sent, a quarter of the
-/// bucket's capacity, which is left for pings and acks.
+/// Fraction of the datagrams permitted per second that is reserved for pings and acks: no gossip is
+/// sent while the token bucket has less. It is a quarter of the bucket's capacity.
 const RESERVED_RATE_FRACTION: f64 = 1.0 / 8.0;
-/// Members that one datagram considers for the updates beside the new ones.
+/// Maximum number of members that are considered for the space that new updates leave in a
+/// datagram.
 const MAX_BACKGROUND_CANDIDATES: usize = 16;
-/// Bytes of a gossip update's tag and length in a datagram.
+/// Number of bytes that the protocol buffer's field tag and length take for each gossip update.
 const UPDATE_HEADER_BYTES: usize = 2;
 
-/// A datagram that is filled with gossip updates.
+/// Adds gossip updates to a datagram up to its maximum length.
 struct UpdateWriter<'a> {
     datagram: &'a mut Datagram,
+    /// Length in bytes of the sealed datagram with the updates added so far.
     size: usize,
 }
 
@@ -33,7 +36,7 @@
         Self { datagram, size }
     }
 
-    /// Adds an update; returns false if it does not fit.
+    /// Adds an update. Returns false if it does not fit.
     fn add(&mut self, update: GossipUpdate) -> bool {
         let bytes = update.encoded_len() + UPDATE_HEADER_BYTES;
         if self.size + bytes > MAX_DATAGRAM_BYTES {
@@ -46,7 +49,7 @@
 }
 
 impl View {
-    /// Sends new updates to some members alive.
+    /// Sends new updates to [`GOSSIP_FANOUT`] random members alive.
     pub(super) fn gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.pending_updates
             .retain(|member| self.retransmits[*member] > 0);
@@ -62,7 +65,8 @@
         }
     }
 
-    /// Schedules an update about a member, for as many datagrams as it takes to reach all.
+    /// Schedules an update about a member for the number of datagrams that is expected to reach all
+    /// members.
     pub(super) fn enqueue(&mut self, member: usize) {
         let times = RETRANSMIT_FACTOR * (self.members.len() as f64 + 1.0).log10().ceil();
         self.retransmits[member] = times as u32;
@@ -71,8 +75,8 @@
         }
     }
 
-    /// Fills a datagram with updates: first what the receiver must refute, then the new ones, those
-    /// sent least often first, then the rest of the view in turn.
+    /// Fills a datagram with updates: first the one about the receiver if it must refute that, then
+    /// the new ones, beginning with those sent least often, then the rest of the view in turn.
     pub(super) fn piggyback(&mut self, to: Destination, datagram: &mut Datagram) {
         let mut writer = UpdateWriter::new(datagram);
         let conflict = to.route == Route::ConflictingProcess;
@@ -98,7 +102,8 @@
         }
     }
 
-    /// Returns the members with new updates for `receiver`, those sent least often first.
+    /// Returns the members with new updates for `receiver`, beginning with those whose updates were
+    /// sent least often.
     fn pending_updates_for(&self, receiver: usize) -> Vec<usize> {
         let mut pending: Vec<_> = self
             .pending_updates
@@ -113,8 +118,8 @@
 
     /// Adds the update about the receiver itself.
     fn add_receiver_update(&mut self, to: Destination, writer: &mut UpdateWriter<'_>) {
-        // Another process uses the receiver's number with the same or a higher incarnation. As a
-        // suspect, the receiver raises its own above that.
+        // Another process uses the receiver's number with the same or a higher incarnation. The
+        // suspicion makes the receiver raise its own incarnation above that one.
         let state = if to.route == Route::ConflictingProcess {
             MemberState::Suspect
         } else {
@@ -123,12 +128,12 @@
         self.add_update_with_state(to.member, state, writer);
     }
 
-    /// Adds the update about a member; returns false if it does not fit.
+    /// Adds the update about a member. Returns false if it does not fit.
     fn add_update(&mut self, member: usize, writer: &mut UpdateWriter<'_>) -> bool {
         self.add_update_with_state(member, self.gossiped_state(member), writer)
     }
 
-    /// Returns the state of a member in updates. A forgotten one is reported dead.
+    /// Returns the state of a member as updates report it: a forgotten member is reported dead.
     fn gossiped_state(&self, member: usize) -> MemberState {
         match self.members[member].state {
             MemberState::Unknown => MemberState::Dead,
--- a/src/membership/view/member.rs
+++ b/src/membership/view/member.rs
@@ -1,26 +1,27 @@
-//! What a view knows of one member.
+//! The state that a view keeps for each member.
 
 use super::suspicion::Suspicion;
 use crate::decision::Micros;
 use crate::membership::member_state::MemberState;
 use std::net::SocketAddrV4;
 
-/// Send times remembered for each peer.
+/// Number of the last datagrams to each peer whose send times are kept.
 const SEND_TIMES: usize = 4;
-/// Sequence numbers up to this far below the highest one are checked for repetition.
+/// Number of the most recent sequence numbers of which the view knows whether they were received.
 const REPLAY_WINDOW: u64 = u64::BITS as u64;
 
-/// Detects datagrams that were received before, by their sequence numbers.
+/// Detects replayed datagrams by their sequence numbers.
 #[derive(Debug, Default)]
 pub(super) struct ReplayWindow {
-    /// The highest number received.
+    /// Highest sequence number received.
     pub(super) highest: u64,
     /// Bit `n` is set if `highest - n` was received.
     received: u64,
 }
 
 impl ReplayWindow {
-    /// Accepts a sequence number; returns false if it was received before or is too old to know.
+    /// Records a sequence number. Returns false if it was received before, or is so old that this
+    /// is not known.
     pub(super) fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             let shift = number - self.highest;
@@ -41,44 +42,46 @@
     }
 }
 
-/// A datagram sent to a peer.
+/// Sequence number and send time of a datagram to a peer.
 #[derive(Clone, Copy, Debug, Default)]
 struct SentDatagram {
     number: u64,
     at: Micros,
 }
 
-/// What is known of a member.
+/// A member as the view knows it.
 #[derive(Debug, Default)]
 pub(super) struct Member {
     pub(super) address: Option<SocketAddrV4>,
-    /// Its address is configured and not overridden by gossip.
+    /// Whether the address is configured. Gossip does not override it then.
     pub(super) seed: bool,
     pub(super) state: MemberState,
-    /// Dead for so long that gossip leaves it out. No update of the same incarnation revives it.
+    /// Whether the member has been dead for so long that gossip leaves it out. Only an update with
+    /// a higher incarnation revives it.
     pub(super) forgotten: bool,
     pub(super) incarnation: u64,
-    /// When `state` changed last.
+    /// Time in µs at which `state` last changed.
     pub(super) since: Micros,
-    /// The limiter that reported `state` first.
+    /// Number of the limiter that first reported `state`.
     pub(super) reported_by: u32,
     pub(super) version: u32,
     pub(super) suspicion: Option<Suspicion>,
-    /// The session of its process, 0 if unknown.
+    /// Session of the member's process, 0 if unknown.
     pub(super) session: u64,
-    /// The sequence numbers received in that session.
+    /// Sequence numbers received in that session.
     pub(super) replay_window: ReplayWindow,
-    /// Sequence number of the last datagram sent to it.
+    /// Sequence number of the last datagram sent to the member.
     pub(super) last_sent: u64,
     sent: [SentDatagram; SEND_TIMES],
-    /// When the last datagram proven to be fresh came from it.
+    /// Time in µs at which the last datagram proven to be fresh was received from the member.
     pub(super) last_received: Option<Micros>,
-    /// Datagrams with a part of the set of revoked leases that were sent to it.
+    /// Number of datagrams sent to the member that carried a part of the set of revoked leases.
     pub(super) parts_sent: usize,
 }
 
 impl Member {
-    /// Returns the sequence number of a datagram that is sent to it now.
+    /// Returns the sequence number of a datagram that is sent to the member now, and records its
+    /// send time.
     pub(super) fn next_number(&mut self, now: Micros) -> u64 {
         self.last_sent += 1;
         self.sent[self.last_sent as usize % SEND_TIMES] = SentDatagram {
@@ -88,8 +91,8 @@
         self.last_sent
     }
 
-    /// Returns when the datagram with this number was sent to it, or the last one before whose time is
-    /// still known.
+    /// Returns the time in µs at which the datagram with this number was sent to the member, or
+    /// else the last earlier one whose send time is still kept.
     pub(super) fn sent_at(&self, number: u64) -> Option<Micros> {
         self.sent
             .iter()
@@ -98,12 +101,13 @@
             .map(|sent| sent.at)
     }
 
-    /// Returns whether gossip about it can be sent.
+    /// Returns whether gossip can carry an update about the member.
     pub(super) fn is_gossiped(&self) -> bool {
         self.address.is_some() && self.state != MemberState::Unknown
     }
 
-    /// Returns whether the member should learn that it is not believed alive.
+    /// Returns whether datagrams to the member must carry the update about itself, so that it
+    /// refutes that it is suspected, dead or gone.
     pub(super) fn must_refute(&self) -> bool {
         self.forgotten || self.state >= MemberState::Suspect
     }
--- a/src/membership/view/mod.rs
+++ b/src/membership/view/mod.rs
@@ -1,15 +1,16 @@
 //! One limiter's view of the fleet: a state machine without I/O or a clock.
 //!
-//! Datagrams and the time come in, datagrams and state changes go out; the same seed gives the same
-//! run. The design is in `docs/fleet.md`.
+//! Its inputs are the time and received datagrams; its outputs are datagrams to send and changes of
+//! members' states. With the same seed, the same inputs give the same outputs. The design is in
+//! `docs/fleet.md`.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala, 2002): each member probes one other member after
 //! another in a shuffled round, asks a few others to probe a member that does not answer, and
-//! disseminates what it learns in the datagrams that it sends anyway. A member that learns of its own
-//! suspicion or death refutes it with a higher incarnation. From Lifeguard come suspicions that time
-//! out sooner when other members confirm them, and a local health that slows down a member whose
-//! probes fail while others succeed. Space that is left in a datagram goes to the rest of the view, in
-//! turn.
+//! piggybacks updates on the datagrams that it sends anyway. A member that learns that it is
+//! suspected or declared dead refutes this with a higher incarnation. Two extensions come from
+//! Lifeguard: a suspicion times out sooner when other members confirm it, and the local health
+//! slows down a member whose probes fail while those of others succeed. Space that new updates
+//! leave in a datagram is filled with updates about the rest of the view, in turn.
 
 mod action;
 mod gossip;
@@ -37,55 +38,64 @@
 pub use settings::ViewSettings;
 pub use status::{Counters, MemberStatus};
 
-/// Members alive that a member notifies when it leaves.
+/// Number of members alive that a leaving member notifies.
 const LEAVE_FANOUT: usize = 8;
-/// The protocol period varies by up to this fraction in either direction, at random.
+/// Fraction by which each protocol period is at most made longer or shorter, at random.
 const PERIOD_JITTER: f64 = 0.1;
 
-/// The view. Vectors indexed by limiter have an entry for this limiter too.
+/// One limiter's view of the fleet. Vectors indexed by limiter have an entry for this limiter too.
 pub struct View {
     settings: ViewSettings,
-    /// Identifies this process to the others, not 0.
+    /// Random number that identifies this process to the others, never 0.
     session: u64,
     rng: fastrand::Rng,
     members: Vec<Member>,
-    /// By limiter, apart from `members`, as each of these is often iterated alone: whether it is
-    /// believed alive, in how many datagrams updates about it are still to be sent, and its leases.
+    /// Whether each limiter is believed alive. This and the next two vectors are kept apart from
+    /// `members`, as each of them is often iterated alone.
     alive: Vec<bool>,
+    /// Number of datagrams in which the update about each limiter is still to be sent.
     retransmits: Vec<u32>,
+    /// The leases between this limiter and each peer.
     leases: Vec<PeerLease>,
     revoked: RevokedLeases,
-    /// No member has to be forgotten, and no lease to be revoked, before these times.
+    /// Time in µs before which no member is to be forgotten.
     next_forget_at: Micros,
+    /// Time in µs before which no lease is to be revoked.
     next_revocation_at: Micros,
-    /// The other limiters in the order in which they are probed, and in which lost ones are pinged.
+    /// The other limiters in the order in which they are probed.
     round: Vec<usize>,
+    /// Index in `round` of the next member to consider for a probe.
     round_position: usize,
-    lost_position: usize,
-    /// The member whose update went last into the space that new updates had left.
+    /// Index in `round` of the last member not alive that was pinged.
+    not_alive_position: usize,
+    /// The member last considered for the space that new updates left in a datagram.
     background_position: usize,
+    /// The probe of the current protocol period.
     probe: Option<Probe>,
+    /// Pings sent for other members.
     relayed: Vec<RelayedProbe>,
     next_probe_at: Micros,
     next_gossip_at: Micros,
-    /// Members under suspicion, and members with new updates.
     suspects: Vec<usize>,
+    /// Members about which new updates are to be sent.
     pending_updates: Vec<usize>,
-    /// Moving average of the own probes that were lost, from 0 to 1.
+    /// Moving average of the fraction of this member's own probes that are lost, from 0 to 1.
     probe_loss: f64,
-    /// Nobody reached the target of the last probe.
+    /// Whether neither this member nor another one reached the target of the last probe.
     last_probe_failed: bool,
     send_limit: TokenBucket,
     receive_limit: TokenBucket,
     /// Limits the answers to datagrams that may be replays.
     unproven_limit: TokenBucket,
+    /// Whether this limiter has left the fleet. The view sends nothing more then.
     leaving: bool,
     counters: Counters,
 }
 
 impl View {
-    /// Returns a view that knows its seeds only. `incarnation` is Unix time in ms, or any number that
-    /// usually grows from start to start; `seed` seeds the random numbers.
+    /// Returns a view that knows only the configured seeds. `incarnation` is Unix time in ms, or
+    /// any number that usually grows from one start to the next; `seed` is that of the random
+    /// number generator.
     pub fn new(settings: ViewSettings, incarnation: u64, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let own = settings.limiter as usize;
@@ -112,7 +122,7 @@
             next_revocation_at: now,
             round,
             round_position: 0,
-            lost_position: 0,
+            not_alive_position: 0,
             background_position: 0,
             probe: None,
             relayed: Vec::new(),
@@ -128,17 +138,19 @@
         }
     }
 
-    /// Returns when [`wake`](Self::wake) is to be called next.
+    /// Returns the time in µs at which [`wake`](Self::wake) is to be called next.
     pub fn next_wake(&self) -> Micros {
         let periodic = self.next_probe_at.min(self.next_gossip_at);
         periodic.min(self.indirect_probe_due().unwrap_or(Micros::MAX))
     }
 
+    /// Returns the time in µs at which other members are to be asked to ping the target of the
+    /// probe.
     fn indirect_probe_due(&self) -> Option<Micros> {
         self.probe.as_ref().and_then(Probe::indirect_due)
     }
 
-    /// Does what is due at `now`.
+    /// Runs the work that is due at `now`: probes, gossip, and whatever has timed out.
     pub fn wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.leaving {
             self.next_probe_at = Micros::MAX;
@@ -165,7 +177,7 @@
         }
     }
 
-    /// Leaves the fleet, so that the others need not detect a failure.
+    /// Leaves the fleet and notifies some members, so that they need not detect a failure.
     pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for member in self.random_alive(LEAVE_FANOUT, None) {
             self.send(now, member, MessageKind::Leave(true), actions);
@@ -193,7 +205,7 @@
         &self.alive
     }
 
-    /// Returns the status of every member, by number.
+    /// Returns the status of each member, in the order of their numbers.
     pub fn member_statuses(&self) -> Vec<MemberStatus> {
         let status = |(index, member): (usize, &Member)| MemberStatus {
             limiter: index as u32,
@@ -227,17 +239,19 @@
         &self.settings
     }
 
-    /// Returns the own incarnation.
+    /// Returns the incarnation of this limiter.
     pub fn incarnation(&self) -> u64 {
         self.members[self.own_index()].incarnation
     }
 
-    /// Returns the index of this limiter in vectors by limiter.
+    /// Returns the index of this limiter in the vectors indexed by limiter.
     fn own_index(&self) -> usize {
         self.settings.limiter as usize
     }
 }
 
+/// Returns the members at the start of a view: only this limiter is alive, and only the addresses
+/// of this limiter and the seeds are known.
 fn initial_members(settings: &ViewSettings, incarnation: u64, now: Micros) -> Vec<Member> {
     let mut members: Vec<Member> = (0..settings.limiters).map(|_| Member::default()).collect();
     for (limiter, address) in &settings.seeds {
--- a/src/membership/view/probe.rs
+++ b/src/membership/view/probe.rs
@@ -9,22 +9,22 @@
 use crate::membership::member_state::MemberState;
 use crate::membership::rejection::Rejection;
 
-/// Members that are asked to ping a member that does not answer.
+/// Number of members that are asked to ping a member that does not answer.
 const INDIRECT_PROBES: usize = 3;
-/// Time in protocol periods to wait for an ack before other members are asked.
+/// Time in protocol periods to wait for an ack before other members are asked to ping the target.
 const PROBE_TIMEOUT_PERIODS: f64 = 0.4;
-/// Fraction of the own probes that may stay unanswered in good local health: with 6% of the datagrams
-/// lost, 12% of the pings or their acks are.
+/// Fraction of a member's own probes that may stay unanswered without impairing its local health.
+/// If 6% of the datagrams are lost, 12% of the probes lose their ping or ack.
 const EXPECTED_LOSS: f64 = 0.15;
-/// Factor by which the loss above [`EXPECTED_LOSS`] slows this member down.
+/// Increase of the local health factor for each unit of probe loss above [`EXPECTED_LOSS`].
 const LOCAL_HEALTH_WEIGHT: f64 = 8.0;
 /// Weight of the last probe in the moving average of lost probes.
 const LOCAL_HEALTH_GAIN: f64 = 0.1;
-/// The most pings sent for other members that wait for an ack.
+/// Maximum number of pings sent for other members that may wait for an ack at a time.
 const MAX_RELAYED_PROBES: usize = 32;
-/// Time in protocol periods after which a relayed probe is given up.
+/// Time in protocol periods after which an unanswered relayed probe is discarded.
 const RELAYED_PROBE_PERIODS: Micros = 8;
-/// Random draws for each member that [`View::random_alive`] returns at the most.
+/// Maximum number of random draws of [`View::random_alive`] for each member requested.
 const DRAWS_PER_MEMBER: usize = 16;
 
 /// The probe of the current protocol period.
@@ -32,7 +32,7 @@
     pub(super) target: usize,
     /// Sequence number of the ping.
     number: u64,
-    /// When other members are asked.
+    /// Time in µs at which other members are asked to ping the target.
     indirect_at: Micros,
     indirect_sent: bool,
     acknowledged: bool,
@@ -40,8 +40,8 @@
 }
 
 impl Probe {
-    /// Returns when other members are to be asked to ping the target; `None` if they were or need not
-    /// be.
+    /// Returns the time in µs at which other members are to be asked to ping the target; `None` if
+    /// they have been asked or the target has answered.
     pub(super) fn indirect_due(&self) -> Option<Micros> {
         if self.indirect_sent || self.acknowledged {
             return None;
@@ -56,25 +56,29 @@
     target: usize,
     /// Sequence number of the ping.
     number: u64,
+    /// Time in µs after which an ack no longer counts.
     expires_at: Micros,
 }
 
 impl RelayedProbe {
+    /// Returns whether a datagram of `sender` that acknowledges this number answers the ping.
     fn is_acknowledged(&self, now: Micros, sender: usize, acknowledged: u64) -> bool {
         self.target == sender && acknowledged >= self.number && now < self.expires_at
     }
 }
 
 impl View {
-    /// Returns the factor, at least 1, by which this member slows its probes and time-outs down.
+    /// Returns the factor, at least 1, by which this member lengthens its protocol period and
+    /// time-outs.
     ///
-    /// It grows with the fraction of the own probes that are lost while others reach the same members,
-    /// as the fault is then with this member or its network.
+    /// It grows with the fraction of its own probes that are lost while other members reach the
+    /// same targets, as the fault then lies with this member or its network.
     pub fn local_health(&self) -> f64 {
         1.0 + LOCAL_HEALTH_WEIGHT * (self.probe_loss - EXPECTED_LOSS).max(0.0)
     }
 
-    /// Ends the last probe: updates the local health, and suspects a member that nobody reached.
+    /// Ends the last probe: updates the local health, and suspects the target if no member reached
+    /// it.
     pub(super) fn finish_probe(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -83,7 +87,8 @@
         let alive = target.state.is_alive();
         let incarnation = target.incarnation;
         let unreachable = !probe.acknowledged && !probe.indirectly_acknowledged;
-        // One member that nobody reaches is no evidence of a lossy network; two in a row are.
+        // A single target that no member reaches has probably failed and is no evidence of a lossy
+        // network; two in a row are.
         if !unreachable || self.last_probe_failed {
             let lost = if probe.acknowledged { 0.0 } else { 1.0 };
             self.probe_loss += LOCAL_HEALTH_GAIN * (lost - self.probe_loss);
@@ -101,17 +106,18 @@
         }
     }
 
-    /// Probes the next member alive, and pings a member that is not.
+    /// Probes the next member alive, and pings a member that is not alive, or several if none is
+    /// alive.
     pub(super) fn probe_next(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let target = self.next_alive();
         if let Some(target) = target {
             self.start_probe(now, target, actions);
         }
-        // A lost member may have restarted, or a network partition may have healed.
-        let lost_pings = if target.is_some() { 1 } else { INDIRECT_PROBES };
-        for _ in 0..lost_pings {
-            if let Some(lost) = self.next_lost() {
-                self.send(now, lost, MessageKind::Ping(true), actions);
+        // A member not alive may have restarted, or a network partition may have healed.
+        let pings = if target.is_some() { 1 } else { INDIRECT_PROBES };
+        for _ in 0..pings {
+            if let Some(member) = self.next_not_alive() {
+                self.send(now, member, MessageKind::Ping(true), actions);
             }
         }
     }
@@ -132,7 +138,7 @@
         });
     }
 
-    /// Returns the next member alive of the round, which is shuffled before it begins.
+    /// Returns the next member alive in the round, which is shuffled anew whenever it begins.
     fn next_alive(&mut self) -> Option<usize> {
         for _ in 0..self.round.len() {
             if self.round_position == 0 {
@@ -147,11 +153,11 @@
         None
     }
 
-    /// Returns the next member of the round that is not alive.
-    fn next_lost(&mut self) -> Option<usize> {
+    /// Returns the next member in the round that is not alive but has an address.
+    fn next_not_alive(&mut self) -> Option<usize> {
         for _ in 0..self.round.len() {
-            self.lost_position = (self.lost_position + 1) % self.round.len();
-            let member = self.round[self.lost_position];
+            self.not_alive_position = (self.not_alive_position + 1) % self.round.len();
+            let member = self.round[self.not_alive_position];
             if !self.alive[member] && self.members[member].address.is_some() {
                 return Some(member);
             }
@@ -164,18 +170,13 @@
         let Some(probe) = &mut self.probe else { return };
         probe.indirect_sent = true;
         let target = probe.target;
-        for helper in self.random_alive(INDIRECT_PROBES, Some(target)) {
-            self.send(
-                now,
-                helper,
-                MessageKind::PingRequest(target as u32),
-                actions,
-            );
+        for relay in self.random_alive(INDIRECT_PROBES, Some(target)) {
+            self.send(now, relay, MessageKind::PingRequest(target as u32), actions);
         }
     }
 
-    /// Returns up to `limit` random members that are alive and not suspected, without this limiter
-    /// and `excluded`.
+    /// Returns up to `limit` random members that are alive and not suspected, other than this
+    /// limiter and `excluded`.
     pub(super) fn random_alive(&mut self, limit: usize, excluded: Option<usize>) -> Vec<usize> {
         let mut chosen = Vec::new();
         for _ in 0..self.round.len().min(DRAWS_PER_MEMBER * limit) {
@@ -190,7 +191,8 @@
         chosen
     }
 
-    /// Records that `sender` has received the datagrams up to number `acknowledged`.
+    /// Records that `sender` has acknowledged the sequence number `acknowledged`, which answers the
+    /// current probe if its ping was not sent later.
     pub(super) fn record_ack(&mut self, sender: usize, acknowledged: u64) {
         if let Some(probe) = &mut self.probe {
             if probe.target == sender && acknowledged >= probe.number {
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Records that another member has reached `target`.
+    /// Records that another member has reached `target` for this limiter.
     pub(super) fn record_indirect_ack(&mut self, target: usize) {
         if let Some(probe) = &mut self.probe {
             if probe.target == target && probe.indirect_sent {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Pings a member for another one.
+    /// Pings `target` for the member `requester`.
     pub(super) fn relay_probe(
         &mut self,
         now: Micros,
@@ -233,7 +235,8 @@
         }
     }
 
-    /// Notifies the members for which `target` was pinged that it has answered.
+    /// Sends an indirect ack to each member for which `target` was pinged, if `acknowledged`
+    /// answers the ping.
     pub(super) fn relay_ack(
         &mut self,
         now: Micros,
--- a/src/membership/view/receive.rs
+++ b/src/membership/view/receive.rs
@@ -1,4 +1,5 @@
-//! Received datagrams: which are accepted, and what follows from them.
+//! Processing of received datagrams: decides which are accepted, applies their contents and
+//! replies.
 
 use super::action::Action;
 use super::member::ReplayWindow;
@@ -12,18 +13,19 @@
 use crate::membership::rejection::Rejection;
 use crate::membership::revocation::RevocationWindows;
 
-/// Which processes a datagram was written by and for.
+/// Evidence that a datagram is no replay, from the processes that it was written by and for.
 #[derive(Clone, Copy, Debug)]
 struct Freshness {
-    /// It was written after this process started.
+    /// Whether the datagram was written after this process started.
     written_in_this_session: bool,
-    /// Its sender is not the process that the member is known by.
+    /// Whether its sender is another process than the one known for the member.
     new_session: bool,
-    /// Its sender may have started after the known process.
+    /// Whether its sender may have started after the known process.
     may_be_later_process: bool,
 }
 
 impl Freshness {
+    /// Returns whether the datagram is proven to be fresh.
     fn is_proven(self) -> bool {
         self.written_in_this_session && (!self.new_session || self.may_be_later_process)
     }
@@ -54,6 +56,7 @@
         self.counters.rejected[rejection as usize] += 1;
     }
 
+    /// Checks a datagram, applies its contents and replies to it.
     fn accept(
         &mut self,
         now: Micros,
@@ -79,12 +82,12 @@
         }
         self.record_ack(sender, datagram.acknowledged);
         self.relay_ack(now, sender, datagram.acknowledged, actions);
-        let believed_lost = self.members[sender].must_refute();
+        let must_refute = self.members[sender].must_refute();
         let incarnation = self.incarnation();
         let all_valid = self.apply_updates(now, datagram, message, actions);
-        let unacquainted = freshness.new_session || believed_lost;
+        let needs_gossip = freshness.new_session || must_refute;
         let refuted = self.incarnation() > incarnation;
-        self.reply(now, sender, message, unacquainted, refuted, actions);
+        self.reply(now, sender, message, needs_gossip, refuted, actions);
         if !all_valid {
             self.count_rejection(Rejection::OutOfRange);
         }
@@ -100,14 +103,15 @@
         }
     }
 
-    /// Sends what a datagram calls for. `unacquainted` is set if the sender was not known or believed
-    /// dead before it, `refuted` if the datagram made this limiter refute a suspicion.
+    /// Sends the reply to a datagram. `needs_gossip` is set if the sender's process was not known
+    /// before, or was suspected or not believed alive; `refuted` if the datagram made this limiter
+    /// refute an update about itself.
     fn reply(
         &mut self,
         now: Micros,
         sender: usize,
         message: MessageKind,
-        unacquainted: bool,
+        needs_gossip: bool,
         refuted: bool,
         actions: &mut Vec<Action>,
     ) {
@@ -118,7 +122,7 @@
             }
             MessageKind::IndirectAck(target) => self.record_indirect_ack(target as usize),
             MessageKind::Ack(_) | MessageKind::Gossip(_) | MessageKind::Leave(_) => {
-                let first_ack = matches!(message, MessageKind::Ack(_)) && unacquainted;
+                let first_ack = matches!(message, MessageKind::Ack(_)) && needs_gossip;
                 if first_ack || refuted {
                     self.send(now, sender, MessageKind::Gossip(true), actions);
                 }
@@ -126,8 +130,8 @@
         }
     }
 
-    /// Answers a datagram that may be a replay. Nothing in it is used; the answer has the sender's
-    /// session, so that a sender that is alive can prove its next datagram.
+    /// Answers a datagram that may be a replay, without applying its contents. The answer carries
+    /// this process's session, so that a live sender can prove its next datagram to be fresh.
     fn answer_unproven(
         &mut self,
         now: Micros,
@@ -158,6 +162,8 @@
         }
     }
 
+    /// Returns the destination of an answer to a datagram that may be a replay. A configured
+    /// address is preferred to that in the datagram.
     fn unproven_sender(&self, datagram: &Datagram, addressed_here: bool) -> Destination {
         let known = &self.members[datagram.sender as usize];
         let configured_address = known.address.filter(|_| known.seed);
@@ -175,11 +181,11 @@
         }
     }
 
-    /// Records that a datagram of the sender arrived.
+    /// Records the receipt of a datagram that is proven to be fresh.
     ///
     /// # Errors
     ///
-    /// If it was received before, or exceeds the rate limit.
+    /// If the datagram was received before, or exceeds the rate limit.
     fn record_receipt(
         &mut self,
         now: Micros,
@@ -198,13 +204,14 @@
             return Err(Rejection::RateLimited);
         }
         member.last_received = Some(now);
-        // A forgotten member has no address, and must be reached in order to refute its death.
+        // A forgotten member has no address in the view, but must be reached so that it can refute
+        // its death.
         member.address = member.address.or_else(|| datagram.address());
         Ok(())
     }
 
-    /// Applies the updates about the sender and those in the gossip; returns false if some of these
-    /// are out of range.
+    /// Applies the update about the sender itself and the gossip updates. Returns false if any of
+    /// the latter is out of range, and skips it.
     fn apply_updates(
         &mut self,
         now: Micros,
@@ -230,7 +237,7 @@
         self.apply_update(now, sender, actions);
         let mut all_valid = true;
         for gossip in &datagram.updates {
-            let Some(checked) = gossip.read(self.settings.limiters) else {
+            let Some(checked) = gossip.check(self.settings.limiters) else {
                 all_valid = false;
                 continue;
             };
@@ -249,11 +256,12 @@
         all_valid
     }
 
-    /// Decodes the sender's votes; `None` if the datagram carries none.
+    /// Decodes the sender's votes to revoke leases; `None` if the datagram carries no votes.
     ///
     /// # Errors
     ///
-    /// If the sender's fleet has another format or size, or the votes can't be decoded.
+    /// If the datagram has another format or fleet size than this limiter uses, or its votes can't
+    /// be decoded.
     fn revocations_of(&self, datagram: &Datagram) -> Result<Option<RevocationWindows>, Rejection> {
         let size = self.settings.limiters;
         if datagram.format != self.settings.encoding.format() {
@@ -275,7 +283,7 @@
         let Some(part) = &datagram.revoked_part else {
             return Ok(None);
         };
-        let votes = part.read(size, window).ok_or(Rejection::OutOfRange)?;
+        let votes = part.windows(size, window).ok_or(Rejection::OutOfRange)?;
         Ok(Some(votes))
     }
 }
--- a/src/membership/view/send.rs
+++ b/src/membership/view/send.rs
@@ -1,4 +1,4 @@
-//! Builds the datagrams to members and keeps to the rate limit.
+//! Builds the datagrams to members and enforces the rate limit on them.
 
 use super::action::Action;
 use super::View;
@@ -8,42 +8,44 @@
 use crate::membership::revocation::RevocationPart;
 use std::net::SocketAddrV4;
 
-/// Parts of the set of revoked leases that follow an ack at once, so that in a fleet of three windows
-/// the whole set is as young as the ack.
+/// Maximum number of parts of the set of revoked leases that are sent right after the part in an
+/// ack. In a fleet of up to three windows the receiver thus has the whole set as of the time of the
+/// ack.
 const PARTS_AFTER_ACK: usize = 2;
 
-/// How the receiving process relates to the known member.
+/// How the process that receives a datagram relates to the member that the view knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// It is the process that the member is known by, or a later one.
+    /// The receiver is the member's known process, or a later one.
     Member,
-    /// Two processes use the member's number.
+    /// The receiver is another process that uses the number of the known member.
     ConflictingProcess,
 }
 
 /// Whether a datagram carries a part of the set of revoked leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Revocations {
-    /// It carries the next part.
+    /// The datagram carries the next part.
     NextPart,
-    /// It leaves the space to gossip updates.
+    /// The datagram carries no part, which leaves more space for gossip updates.
     Omitted,
 }
 
-/// The process that a datagram goes to.
+/// The process to which a datagram is sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Destination {
     pub(super) member: usize,
     pub(super) address: Option<SocketAddrV4>,
-    /// The receiver's session, 0 if unknown.
+    /// Session of the process, 0 if unknown.
     pub(super) session: u64,
-    /// The highest sequence number received in that session.
+    /// Highest sequence number received in that session.
     pub(super) acknowledged: u64,
     pub(super) route: Route,
 }
 
 impl View {
-    /// Sends a datagram to a member; returns false if the rate limit or a missing address prevents it.
+    /// Sends a datagram to a member. Returns false if the rate limit or a missing address prevents
+    /// it.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -59,7 +61,8 @@
         self.send_to(now, to, message, revocations, actions)
     }
 
-    /// Sends an ack, and in further datagrams parts of the set of revoked leases that it lacks.
+    /// Sends an ack, followed by further datagrams with parts of the set of revoked leases that the
+    /// ack does not carry.
     pub(super) fn acknowledge(&mut self, now: Micros, member: usize, actions: &mut Vec<Action>) {
         self.send(now, member, MessageKind::Ack(true), actions);
         let further_parts = self.revoked.part_count().saturating_sub(1);
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Sends a datagram to a process; returns false if the rate limit or a missing address prevents
+    /// Sends a datagram to a process. Returns false if the rate limit or a missing address prevents
     /// it.
     pub(super) fn send_to(
         &mut self,
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Returns the part of the set of revoked leases whose turn it is with this member.
+    /// Returns the part of the set of revoked leases that is next in turn for this member; `None`
+    /// if the set is empty.
     fn next_part(&mut self, member: usize) -> Option<RevocationPart> {
         let known = &mut self.members[member];
         let part = self.revoked.part(known.parts_sent)?;
--- a/src/membership/view/status.rs
+++ b/src/membership/view/status.rs
@@ -1,4 +1,4 @@
-//! What operators can see of a view: its members and counters.
+//! Status of a view for operators: its members and counters.
 
 use crate::decision::Micros;
 use crate::membership::member_state::MemberState;
@@ -8,39 +8,39 @@
 /// A member as the view knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// Its number.
+    /// Number of the member.
     pub limiter: u32,
-    /// Its address, if known.
+    /// Address of the member, if known.
     pub address: Option<SocketAddrV4>,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// When the state changed last, on the view's clock.
+    /// Time in µs at which the state last changed, on the view's clock.
     pub since: Micros,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: u64,
-    /// Encoded version of its program.
+    /// Encoded version of the member's program.
     pub version: u32,
-    /// Number of the limiter that reported the state first.
+    /// Number of the limiter that first reported the state.
     pub reported_by: u32,
-    /// When the last datagram proven to be fresh came from it.
+    /// Time in µs at which the last datagram proven to be fresh was received from the member.
     pub last_received: Option<Micros>,
 }
 
 /// Counters since the start of a view.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams not sent because of the rate limit.
+    /// Number of datagrams not sent because of the rate limit.
     pub send_limited: u64,
-    /// Datagrams accepted.
+    /// Number of datagrams accepted.
     pub accepted: u64,
-    /// Datagrams rejected, indexed by [`Rejection`].
+    /// Number of datagrams rejected, indexed by [`Rejection`].
     pub rejected: [u64; Rejection::ALL.len()],
-    /// Members that this limiter declared dead.
+    /// Number of times that this limiter declared a member dead.
     pub declared_dead: u64,
-    /// Times that this limiter refuted a suspicion of itself.
+    /// Number of times that this limiter refuted an update about itself with a higher incarnation.
     pub refuted: u64,
 }
--- a/src/membership/view/table.rs
+++ b/src/membership/view/table.rs
@@ -1,4 +1,5 @@
-//! The membership table: which updates override what is known of a member.
+//! The membership table: decides which updates override the known state of a member, and applies
+//! them.
 
 use super::action::{Action, StateChange};
 use super::suspicion::Suspicion;
@@ -7,30 +8,30 @@
 use crate::membership::member_state::MemberState;
 use std::net::SocketAddrV4;
 
-/// How a member is reached, and its version.
+/// Address and program version of a member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Contact {
     pub(super) address: SocketAddrV4,
     pub(super) version: u32,
 }
 
-/// An update about a member, by this limiter or by gossip.
+/// An update about a member, from this limiter's own probes, the member itself or gossip.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StateUpdate {
-    /// Its number.
+    /// Number of the member.
     pub(super) member: usize,
     pub(super) state: MemberState,
-    /// The member's incarnation that the state belongs to.
+    /// Incarnation of the member in which it has this state.
     pub(super) incarnation: u64,
-    /// Its address and version, if the update has them.
+    /// Address and version of the member, if the update has them.
     pub(super) contact: Option<Contact>,
-    /// The limiter that reported the state first.
+    /// Number of the limiter that first reported the state.
     pub(super) reported_by: u32,
 }
 
 impl View {
-    /// Applies an update if it overrides what is known: by a higher incarnation, or by a later state
-    /// of the same.
+    /// Applies an update if it overrides the known state, by a higher incarnation or by a later
+    /// [`MemberState`] of the same incarnation.
     pub(super) fn apply_update(
         &mut self,
         now: Micros,
@@ -59,7 +60,7 @@
         self.store_update(now, &update);
         self.update_lease(now, &update, previous);
         if update.state != previous {
-            self.note_change(now, &update, previous, actions);
+            self.report_change(now, &update, previous, actions);
         }
         self.enqueue(update.member);
     }
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Starts or stops the renewal of the member's lease if it came to life or died.
+    /// Starts or stops renewing the member's lease if the update changes whether the member is
+    /// alive.
     fn update_lease(&mut self, now: Micros, update: &StateUpdate, previous: MemberState) {
         let alive = update.state.is_alive();
         if alive == previous.is_alive() {
@@ -102,7 +104,7 @@
         }
     }
 
-    fn note_change(
+    fn report_change(
         &mut self,
         now: Micros,
         update: &StateUpdate,
@@ -122,27 +124,28 @@
         }));
     }
 
-    /// Raises the own incarnation if an update contradicts that this limiter is alive.
+    /// Raises this limiter's incarnation if an update contradicts that it is alive in its current
+    /// one.
     fn refute(&mut self, state: MemberState, incarnation: u64) {
         let own_index = self.own_index();
         let own = &mut self.members[own_index];
-        let accused = incarnation == own.incarnation && state != MemberState::Alive;
-        if accused || incarnation > own.incarnation {
+        let contradicted = incarnation == own.incarnation && state != MemberState::Alive;
+        if contradicted || incarnation > own.incarnation {
             own.incarnation = incarnation + 1;
             self.counters.refuted += 1;
             self.enqueue(own_index);
         }
     }
 
-    /// Records that a further member suspects `member` by its own probes.
-    fn confirm_suspicion(&mut self, member: usize, accuser: u32) {
+    /// Records that an own probe of limiter `reporter` failed to reach the suspected `member`.
+    fn confirm_suspicion(&mut self, member: usize, reporter: u32) {
         let own = self.settings.limiter;
         let suspected = &mut self.members[member];
         let Some(suspicion) = &mut suspected.suspicion else {
             return;
         };
-        if suspicion.confirm(accuser, own) {
-            suspected.reported_by = accuser;
+        if suspicion.confirm(reporter, own) {
+            suspected.reported_by = reporter;
             self.enqueue(member);
         }
     }
--- a/src/membership/view/timeouts.rs
+++ b/src/membership/view/timeouts.rs
@@ -1,4 +1,4 @@
-//! What follows from elapsed time: deaths after suspicions, forgotten members and revoked leases.
+//! Time-outs: declares suspects dead, forgets dead members and votes to revoke leases.
 
 use super::action::Action;
 use super::table::StateUpdate;
@@ -7,23 +7,23 @@
 use crate::membership::datagram::MessageKind;
 use crate::membership::member_state::MemberState;
 
-/// A member is not declared dead for this many protocol periods after a datagram from it.
+/// Number of protocol periods after a datagram from a member in which it is not declared dead.
 const RECENTLY_RECEIVED_PERIODS: Micros = 2;
 
 impl View {
-    /// Declares the members dead whose suspicion has timed out, and pings those that this limiter
-    /// suspects by its own probes.
+    /// Declares dead each member whose suspicion has timed out, and pings the suspects that this
+    /// limiter's own probes did not reach.
     pub(super) fn check_suspicions(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for index in self.suspects.clone() {
             let member = &self.members[index];
             let Some(suspicion) = &member.suspicion else {
                 continue;
             };
-            let found_here = suspicion.found_here;
+            let failed_own_probe = suspicion.failed_own_probe;
             let incarnation = member.incarnation;
             let periods = suspicion.timeout_periods(self.members.len()) * self.local_health();
             let timeout = (periods * self.settings.protocol_period as f64) as Micros;
-            // A member whose datagrams arrive is not dead, whatever the others report.
+            // A member whose datagrams arrive is not dead, even if other members do not reach it.
             let recently_received = member.last_received.map_or(0, |at| {
                 at + RECENTLY_RECEIVED_PERIODS * self.settings.protocol_period
             });
@@ -37,20 +37,20 @@
                     reported_by: self.settings.limiter,
                 };
                 self.apply_update(now, update, actions);
-            } else if found_here {
+            } else if failed_own_probe {
                 self.send(now, index, MessageKind::Ping(true), actions);
             }
         }
     }
 
-    /// Votes to revoke the leases that have expired.
+    /// Votes to revoke the leases that this limiter has not renewed for longer than they last.
     pub(super) fn revoke_expired_leases(&mut self, now: Micros) {
         if now >= self.next_revocation_at {
             self.next_revocation_at = self.revoked.revoke_expired(now, &self.leases);
         }
     }
 
-    /// Forgets the members that have been dead for long.
+    /// Forgets the members that have been dead, or have left, for longer than `forget_after`.
     pub(super) fn forget_dead(&mut self, now: Micros) {
         if now < self.next_forget_at {
             return;
--- a/src/membership/view/token_bucket.rs
+++ b/src/membership/view/token_bucket.rs
@@ -1,14 +1,16 @@
-//! A rate limit by tokens.
+//! A token bucket that limits a rate.
 
 use crate::decision::Micros;
 
-/// Seconds in which an empty bucket fills.
+/// Time in seconds in which an empty bucket fills.
 const BURST_SECONDS: f64 = 0.5;
 
-/// A token bucket whose capacity is the tokens of half a second, one at the least.
+/// A token bucket. Its capacity is the number of tokens added in half a second, at least one.
 pub(super) struct TokenBucket {
     rate_per_second: f64,
+    /// Number of tokens at `updated_at`.
     level: f64,
+    /// Time in µs of the last refill.
     updated_at: Micros,
 }
 
@@ -22,7 +24,7 @@
         }
     }
 
-    /// Refills the bucket and returns its tokens.
+    /// Refills the bucket and returns the number of tokens in it.
     pub(super) fn level(&mut self, now: Micros) -> f64 {
         let elapsed_seconds = now.saturating_sub(self.updated_at) as f64 / 1e6;
         self.updated_at = now.max(self.updated_at);
@@ -31,7 +33,7 @@
         self.level
     }
 
-    /// Takes one token; returns false if there is none.
+    /// Takes one token. Returns false if there is less than one.
     pub(super) fn take(&mut self, now: Micros) -> bool {
         if self.level(now) < 1.0 {
             return false;
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,5 +1,5 @@
-//! A fleet of views on a simulated network in virtual time. Datagrams can be lost, delayed, duplicated
-//! or blocked by a partition; processes can be killed, paused and restarted.
+//! A fleet of views on a simulated network in virtual time. Datagrams can be lost, delayed,
+//! duplicated or blocked by a partition; processes can be killed, paused and restarted.
 
 use mossrill::decision::Micros;
 use mossrill::decision::QuotaShares;
@@ -359,8 +359,8 @@
     }
 
     /// Returns whether each running process believes exactly the running limiters of its partition
-    /// alive. A suspect counts as alive: while datagrams are lost, some member is suspected at nearly
-    /// any moment.
+    /// alive. A suspect counts as alive: while datagrams are lost, some member is suspected at
+    /// nearly any moment.
     pub fn is_settled(&self) -> bool {
         self.running().all(|(own, p)| {
             (0..self.processes.len()).all(|other| {
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams between limiters: what opens and what does not, and the parts of the set of released leases.
+//! Datagrams between limiters: their authentication and checks, and how they carry the set of
+//! revoked leases in parts.
 
 use mossrill::membership::bitset;
 use mossrill::membership::datagram::{
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn what_is_sealed_opens_with_the_same_key_and_fleet_alone() {
+fn sealed_datagram_opens_only_with_its_key_and_fleet() {
     let (key, other) = (
         Key::new(b"one secret of the fleet"),
         Key::new(b"another secret"),
@@ -79,17 +80,18 @@
         (|d| d.ip = 0xe000_0001, Rejection::OutOfRange),
         (|d| d.incarnation = u64::MAX, Rejection::OutOfRange),
     ];
-    for (change, fault) in changes {
+    for (change, expected) in changes {
         let mut changed = datagram();
         change(&mut changed);
-        assert_eq!(key.open("ferry", &key.seal(&changed)), Err(fault));
+        assert_eq!(key.open("ferry", &key.seal(&changed)), Err(expected));
     }
 }
 
 proptest! {
-    /// Whatever comes is told apart without a panic, and a datagram with any bit changed is foreign.
+    /// Random bytes are rejected without a panic, and a datagram with one flipped bit as
+    /// unauthenticated.
     #[test]
-    fn noise_and_flipped_bits_are_not_taken(
+    fn random_bytes_and_flipped_bits_are_rejected(
         noise in prop::collection::vec(any::<u8>(), 0..300), bit in 0usize..800,
     ) {
         let key = Key::new(b"one secret of the fleet");
@@ -101,13 +103,17 @@
     }
 }
 
-/// The bits of a part as a set of numbers.
-fn numbers(part: &RevocationWindows, window: usize) -> Vec<u32> {
+/// Returns the numbers of the limiters whose bits are set.
+fn limiters_in(part: &RevocationWindows, window: usize) -> Vec<u32> {
     let mut numbers = Vec::new();
     for (index, bits) in part.windows.iter().enumerate() {
         let first = (part.first_window + index) * window;
-        let has = |n: &usize| bitset::contains(bits, *n);
-        numbers.extend((0..bits.len() * 8).filter(has).map(|n| (first + n) as u32));
+        let is_set = |n: &usize| bitset::contains(bits, *n);
+        numbers.extend(
+            (0..bits.len() * 8)
+                .filter(is_set)
+                .map(|n| (first + n) as u32),
+        );
     }
     numbers
 }
@@ -115,47 +121,48 @@
 fn bits_of(set: &[u32]) -> Vec<u8> {
     let mut bits = Vec::new();
     set.iter()
-        .for_each(|who| bitset::insert(&mut bits, *who as usize));
+        .for_each(|limiter| bitset::insert(&mut bits, *limiter as usize));
     bits
 }
 
 #[test]
-fn fleets_up_to_the_limit_of_the_version_before_keep_its_format() {
+fn fleets_within_the_whole_set_limit_keep_the_first_format() {
     assert_eq!(Encoding::of(MAX_WHOLE_SET_LIMITERS), Encoding::Whole);
     assert_eq!(Encoding::of(MAX_WHOLE_SET_LIMITERS).format(), FORMAT);
     assert_eq!(
         Encoding::of(MAX_WHOLE_SET_LIMITERS + 1).format(),
         PARTS_FORMAT
     );
-    // Neither of the new fields is written there, so that the bytes are those of that version.
-    let plain = datagram();
-    let size = plain.size();
-    let larger = Datagram {
+    // The fields of the second format take no bytes in the first, so that versions which know only
+    // the first one send and receive the same bytes.
+    let whole_set = datagram();
+    let size = whole_set.size();
+    let with_part = Datagram {
         limiters: 1,
         revoked_part: Some(RevocationPart::default()),
-        ..plain
+        ..whole_set
     };
-    assert!(larger.size() > size);
+    assert!(with_part.size() > size);
 }
 
 #[test]
-fn the_longest_part_leaves_room_for_a_word_on_the_receiver() {
-    // Every second limiter is released, which no run shortens.
+fn longest_part_leaves_space_for_one_gossip_update() {
+    // The lease of every second limiter is revoked, a set that run lengths can't shorten.
     let set: Vec<u32> = (0..MAX_LIMITERS / 2).map(|n| 2 * n + 1).collect();
     let Encoding::Parts {
         window,
-        max_run_bytes: most_run_bytes,
+        max_run_bytes,
     } = Encoding::of(MAX_LIMITERS)
     else {
-        panic!("parts")
+        panic!("a fleet of {MAX_LIMITERS} must carry the set in parts")
     };
-    let parts = encode_parts(&bits_of(&set), MAX_LIMITERS, window, most_run_bytes);
+    let parts = encode_parts(&bits_of(&set), MAX_LIMITERS, window, max_run_bytes);
     assert_eq!(parts.len() as u32, MAX_LIMITERS.div_ceil(WINDOW));
-    let most = 1 << 52;
-    let news = GossipUpdate {
+    let longest_incarnation = 1 << 52;
+    let update = GossipUpdate {
         limiter: MAX_LIMITERS - 1,
         state: 4,
-        incarnation: most,
+        incarnation: longest_incarnation,
         reported_by: MAX_LIMITERS - 1,
         ip: u32::MAX,
         port: 65_535,
@@ -166,10 +173,10 @@
             format: PARTS_FORMAT,
             fleet: "sixteen bytes ab".into(),
             sender: MAX_LIMITERS - 1,
-            incarnation: most,
+            incarnation: longest_incarnation,
             session: u64::MAX,
             receiver_session: u64::MAX,
-            // A datagram each second for thirty years.
+            // The number after a datagram each second for more than thirty years.
             sequence: 1 << 30,
             acknowledged: 1 << 30,
             renews_lease: true,
@@ -177,21 +184,21 @@
             port: 65_535,
             version: 999_999_999,
             message: Some(MessageKind::PingRequest(MAX_LIMITERS - 1)),
-            updates: vec![news.clone()],
+            updates: vec![update.clone()],
             revoked: Vec::new(),
             revoked_part: Some(part),
             limiters: MAX_LIMITERS,
         };
         assert!(
             longest.size() <= MAX_DATAGRAM_BYTES,
-            "{} bytes",
+            "{} bytes, at most {MAX_DATAGRAM_BYTES} allowed",
             longest.size()
         );
     }
 }
 
 #[test]
-fn parts_with_bad_offsets_bits_or_runs_are_not_read() {
+fn parts_with_invalid_offsets_bits_or_runs_are_rejected() {
     const LIMITERS: u32 = 2_001;
     let part = |first, count, bits: &[u8], runs: &[u32]| {
         let part = RevocationPart {
@@ -200,22 +207,22 @@
             bits: bits.to_vec(),
             runs: runs.to_vec(),
         };
-        part.read(LIMITERS, WINDOW)
+        part.windows(LIMITERS, WINDOW)
     };
     assert!(part(0, LIMITERS, &[], &[3, 1]).is_some());
     assert!(part(WINDOW, WINDOW, &[0xff; 96], &[]).is_some());
     assert!(part(2 * WINDOW, LIMITERS - 2 * WINDOW, &[1], &[]).is_some());
-    let bad = [
-        ("empty", part(0, 0, &[], &[])),
-        ("not at a window", part(8, WINDOW, &[1], &[])),
-        ("half a window", part(0, WINDOW / 2, &[1], &[])),
+    let invalid = [
+        ("no limiters", part(0, 0, &[], &[])),
+        ("not at the start of a window", part(8, WINDOW, &[1], &[])),
+        ("half of a window", part(0, WINDOW / 2, &[1], &[])),
         ("beyond the fleet", part(2 * WINDOW, WINDOW, &[1], &[])),
         ("after the fleet", part(3 * WINDOW, 8, &[1], &[])),
         (
-            "an overflow",
+            "end beyond u32",
             part(u32::MAX - WINDOW + 1, u32::MAX, &[1], &[]),
         ),
-        ("bits and runs", part(0, LIMITERS, &[1], &[0, 1])),
+        ("both bits and runs", part(0, LIMITERS, &[1], &[0, 1])),
         ("bits beyond the part", part(0, WINDOW, &[1; 97], &[])),
         (
             "a bit beyond the part",
@@ -223,44 +230,48 @@
         ),
         ("a run beyond the part", part(0, WINDOW, &[], &[WINDOW, 1])),
         (
-            "runs that overflow",
+            "sum of runs beyond u32",
             part(0, LIMITERS, &[], &[1, u32::MAX, u32::MAX]),
         ),
     ];
-    for (what, read) in bad {
-        assert_eq!(read, None, "{what}");
+    for (fault, windows) in invalid {
+        assert_eq!(
+            windows, None,
+            "a part with this fault was accepted: {fault}"
+        );
     }
 }
 
 proptest! {
-    /// All parts together say the set, and nobody else.
+    /// All parts together contain exactly the limiters of the set.
     #[test]
-    fn parts_say_the_set(
+    fn parts_contain_exactly_the_set(
         limiters in 1u32..=MAX_LIMITERS, window in prop::sample::select(vec![8u32, 64, WINDOW]),
-        most_run_bytes in 0u32..120, share in 0.0f64..1.0, run in 1u32..200, seed in any::<u64>(),
+        max_run_bytes in 0u32..120, share in 0.0f64..1.0, run in 1u32..200, seed in any::<u64>(),
     ) {
-        // Runs of chance length of released and of others.
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let (mut set, mut at) = (Vec::new(), 0);
-        while at < limiters {
-            let end = (at + chance.u32(1..=run)).min(limiters);
-            if chance.f64() < share {
-                set.extend(at..end);
+        // Runs of random length, each entirely inside or outside of the set.
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (mut set, mut start) = (Vec::new(), 0);
+        while start < limiters {
+            let end = (start + rng.u32(1..=run)).min(limiters);
+            if rng.f64() < share {
+                set.extend(start..end);
             }
-            at = end;
+            start = end;
         }
-        let mut said = Vec::new();
-        for part in encode_parts(&bits_of(&set), limiters, window, most_run_bytes) {
-            let read = part.read(limiters, window);
-            prop_assert!(read.is_some(), "{:?}", part);
-            said.extend(numbers(&read.unwrap_or_else(|| RevocationWindows::whole(&[], 8)), window as usize));
+        let mut decoded = Vec::new();
+        for part in encode_parts(&bits_of(&set), limiters, window, max_run_bytes) {
+            let windows = part.windows(limiters, window);
+            prop_assert!(windows.is_some(), "not accepted: {:?}", part);
+            decoded.extend(limiters_in(&windows.unwrap_or_else(|| RevocationWindows::whole(&[], 8)), window as usize));
         }
-        prop_assert_eq!(said, set);
+        prop_assert_eq!(decoded, set);
     }
 
-    /// Whatever a part has, it is read without a panic, and what is read lies within the fleet.
+    /// Any part is decoded or rejected without a panic, and a decoded one has limiters of the fleet
+    /// only.
     #[test]
-    fn any_part_is_read_or_refused(
+    fn any_part_is_decoded_within_the_fleet_or_rejected(
         first in 0u32..3_000, count in prop_oneof![0u32..3_000, any::<u32>()],
         bits in prop::collection::vec(any::<u8>(), 0..130),
         runs in prop::collection::vec(prop_oneof![0u32..400, any::<u32>()], 0..20),
@@ -268,8 +279,9 @@
         for (bits, runs) in [(bits.clone(), Vec::new()), (Vec::new(), runs.clone()), (bits, runs)] {
             for first in [first, 0, WINDOW] {
                 let part = RevocationPart { first, count, bits: bits.clone(), runs: runs.clone() };
-                if let Some(said) = part.read(2_000, WINDOW) {
-                    prop_assert!(numbers(&said, WINDOW as usize).iter().all(|who| *who < 2_000));
+                if let Some(windows) = part.windows(2_000, WINDOW) {
+                    let limiters = limiters_in(&windows, WINDOW as usize);
+                    prop_assert!(limiters.iter().all(|limiter| *limiter < 2_000));
                 }
             }
         }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -86,9 +86,10 @@
     Tick,
     /// A peer believes the holder alive or dead from now on.
     SetBelief(usize, bool),
-    /// A datagram is sent on a link of [`LINKS`] and arrives at once. Late ones need no step of their
-    /// own: a datagram counts from the time at which it was sent, so a late one allows no more than one
-    /// that arrived at that time, and less if the receiver knows only a lower bound of that time.
+    /// A datagram is sent on a link of [`LINKS`] and arrives at once. Late ones need no step of
+    /// their own: a datagram counts from the time at which it was sent, so a late one allows no
+    /// more than one that arrived at that time, and less if the receiver knows only a lower bound
+    /// of that time.
     Deliver(usize),
     /// The core of limiter 0 learns its shares.
     ReportShares,
@@ -98,7 +99,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OmittedRule {
     None,
-    /// A peer votes to revoke the holder's lease only after it has not renewed it for the time of a lease.
+    /// A peer votes to revoke the holder's lease only after it has not renewed it for the time of a
+    /// lease.
     RevocationDelay,
     /// A peer that has voted so renews the lease only after its vote has expired.
     RenewalDelay,
@@ -300,7 +302,8 @@
     assert_eq!(lease_end(&leases), 0);
     leases[1].on_datagram(90, true, whole(&[]).as_ref());
     assert_eq!(lease_end(&leases), 100);
-    // Neither a later datagram that does not renew the lease nor an older one that does changes its end.
+    // Neither a later datagram that does not renew the lease nor an older one that does changes its
+    // end.
     leases[1].on_datagram(95, false, whole(&[]).as_ref());
     leases[1].on_datagram(80, true, whole(&[]).as_ref());
     assert_eq!(lease_end(&leases), 100);
@@ -340,15 +343,15 @@
     assert_eq!(current.account_divisor(32, 1, 2), 2.0);
     // The vote that limiter 1 sent at 31 expires at 41.
     assert_eq!(shares(41, &leases, &revoked).reassigned, [false; 3]);
-    // Limiter 2 is alive again at 35. Its lease is renewed only from 46 on, when this limiter's vote to
-    // revoke it has expired everywhere.
+    // Limiter 2 is alive again at 35. Its lease is renewed only from 46 on, when this limiter's
+    // vote to revoke it has expired everywhere.
     set_belief(&mut revoked, 35, 2, true, &mut leases[2]);
     assert!(revoked.bits().is_empty());
     assert!(!leases[2].renews(45) && leases[2].renews(46));
 }
 
-/// Twenty limiters in windows of eight. The last eleven are believed dead by all, and each part carries
-/// one window.
+/// Twenty limiters in windows of eight. The last eleven are believed dead by all, and each part
+/// carries one window.
 #[test]
 fn vote_is_as_old_as_the_part_that_carried_it() {
     const SIZE: usize = 20;
@@ -366,7 +369,7 @@
         .map(|turn| revoked.part(turn).expect("the set has two parts").clone())
         .collect();
     assert_eq!((parts[0].first, parts[1].first), (8, 16));
-    let votes = |turn: usize| parts[turn].read(SIZE as u32, 8);
+    let votes = |turn: usize| parts[turn].windows(SIZE as u32, 8);
     let shares = |now, leases: &[PeerLease]| {
         let alive: Vec<bool> = (0..SIZE).map(|limiter| limiter < ALIVE).collect();
         quota_shares(now, 0, &alive, leases, &revoked)
@@ -419,8 +422,8 @@
         .all(|reassigned| !reassigned));
 }
 
-/// Guards against parts that travel in pings only. A ping carries one part, and the answer to a ping up
-/// to three: without the shift between rounds, pings could carry the same parts each time.
+/// Guards against parts that travel in pings only. A ping carries one part, and the answer to a
+/// ping up to three: without the shift between rounds, pings could carry the same parts each time.
 #[test]
 fn each_round_of_turns_has_all_parts_and_no_part_is_sent_in_pings_only() {
     let encoding = Encoding::Parts {
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -36,7 +36,8 @@
                 .is_some(),
             "fleet of {size}: the death did not reach all members within 6 s"
         );
-        // The limiter's clock is set back by 10 s, so its new incarnation may start below the old one.
+        // The limiter's clock is set back by 10 s, so its new incarnation may start below the old
+        // one.
         net.clock_offset_ms[1] = -10_000;
         net.start(1);
         assert!(
@@ -78,7 +79,8 @@
     for (loss, seed) in [(0.06, 6), (0.3, 7)] {
         let mut net = settled_fleet(30, seed);
         (net.loss, net.duplication) = (loss, 0.05);
-        // The moving average of lost probes needs some seconds to adapt to a sudden loss of this size.
+        // The moving average of lost probes needs some seconds to adapt to a sudden loss of this
+        // size.
         net.run(10 * SECOND);
         let before = net.changes.len();
         net.run(180 * SECOND);
@@ -95,8 +97,8 @@
     for (sides, seed) in [(vec![15, 15], 8), (vec![16, 14], 9), (vec![10, 10, 10], 10)] {
         let mut net = settled_fleet(30, seed);
         net.loss = 0.06;
-        // The last limiter of the first side is killed before the partition and starts during it; the
-        // first limiter of the last side is killed during it.
+        // The last limiter of the first side is killed before the partition and starts during it;
+        // the first limiter of the last side is killed during it.
         let (first, last) = (sides[0] - 1, 30 - sides[sides.len() - 1]);
         let mut partition = Vec::new();
         sides
@@ -201,7 +203,8 @@
     assert_eq!(share(&net, 0), Some(Some(0.2)));
     net.partition = vec![0, 0, 0, 1, 1];
     net.run(20 * SECOND);
-    // The three in the majority divide the leased halves; the other two keep their guaranteed halves.
+    // The three in the majority divide the leased halves; the other two keep their guaranteed
+    // halves.
     assert_eq!(share(&net, 0), Some(Some(0.5 / 5.0 + 0.5 / 3.0)));
     assert_eq!(share(&net, 4), Some(Some(0.5 / 5.0)));
     net.partition = vec![0, 1, 2, 0, 1];
@@ -247,7 +250,8 @@
         port: 7_946,
         version: 1_000,
     };
-    // A view accepts gossip only in a fresh datagram of another member, so one of limiter 1 carries it.
+    // A view accepts gossip only in a fresh datagram of another member, so one of limiter 1 carries
+    // it.
     let mut actions = Vec::new();
     let captured = capture(
         &mut net.processes[1]
@@ -348,8 +352,8 @@
             .is_err());
     }
     assert_eq!(state(view), before);
-    // Some replays are answered, as a live sender needs an answer to prove its next datagram fresh. The
-    // bound is half of the 40 datagrams per second that a limiter may send.
+    // Some replays are answered, as a live sender needs an answer to prove its next datagram fresh.
+    // The bound is half of the 40 datagrams per second that a limiter may send.
     assert!(
         actions.len() <= 20,
         "{} answers to 1000 replayed pings",
@@ -428,8 +432,8 @@
     let near =
         |shares: &[f64], expected: f64| shares.iter().all(|share| (share - expected).abs() < 1e-9);
     assert!(near(&shares(&net), 0.05), "{:?}", shares(&net));
-    // The minority has limiters in each of the three windows, no two of them adjacent: the run lengths
-    // are too long for one part, so the set takes three.
+    // The minority has limiters in each of the three windows, no two of them adjacent: the run
+    // lengths are too long for one part, so the set takes three.
     net.partition = (0..20).map(|limiter| u8::from(limiter % 3 == 0)).collect();
     net.run(60 * SECOND);
     let split = shares(&net);
@@ -594,9 +598,9 @@
     );
 }
 
-/// Runs the steps and checks every 0.1 s that the shares of all limiters, and of limiters 0 to 2 in a
-/// quota of their own, do not exceed the whole quota. Then ends all faults, restarts the limiters that
-/// are down, and checks that the fleet settles and each limiter has an even share again.
+/// Runs the steps and checks every 0.1 s that the shares of all limiters, and of limiters 0 to 2 in
+/// a quota of their own, do not exceed the whole quota. Then ends all faults, restarts the limiters
+/// that are down, and checks that the fleet settles and each limiter has an even share again.
 fn check_share_bound(mut net: SimulatedNetwork, steps: Vec<Step>) -> Result<(), TestCaseError> {
     let size = net.processes.len();
     net.start_all();
@@ -662,9 +666,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against limiters that together use more than a quota, because some still hold a lease that
-    /// others have reassigned, under any sequence of faults: datagrams lost, delayed or blocked, limiters
-    /// killed, paused or restarted.
+    /// Guards against limiters that together use more than a quota, because some still hold a lease
+    /// that others have reassigned, under any sequence of faults: datagrams lost, delayed or
+    /// blocked, limiters killed, paused or restarted.
     #[test]
     fn shares_never_exceed_a_quota_and_recover_after_faults(
         size in 3usize..6, seed in any::<u64>(), guaranteed in prop::sample::select(vec![0.1, 0.5]), steps in steps(5),
