--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -98,7 +98,8 @@
     /// (indirect ack).
     #[prost(uint32, tag = "23")]
     IndirectAck(u32),
-    /// Carries gossip updates only.
+    /// Neither asks for nor answers anything. Carries gossip updates and, after an
+    /// [`Ack`](Self::Ack), further parts of the set of revoked leases.
     #[prost(bool, tag = "24")]
     Gossip(bool),
     /// Announces that the sender leaves the fleet in a graceful shutdown.
--- a/src/membership/view/member.rs
+++ b/src/membership/view/member.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether datagrams to the member must carry the update about itself, so that it
-    /// refutes that it is suspected, dead or gone.
+    /// refutes that it is suspected, dead, gone or forgotten.
     pub(super) fn must_refute(&self) -> bool {
         self.forgotten || self.state >= MemberState::Suspect
     }
--- a/src/membership/view/receive.rs
+++ b/src/membership/view/receive.rs
@@ -104,8 +104,8 @@
     }
 
     /// Sends the reply to a datagram. `needs_gossip` is set if the sender's process was not known
-    /// before, or was suspected or not believed alive; `refuted` if the datagram made this limiter
-    /// refute an update about itself.
+    /// before the datagram, or if the sender was suspected, dead, gone or forgotten; `refuted` is
+    /// set if the datagram made this limiter refute an update about itself.
     fn reply(
         &mut self,
         now: Micros,
@@ -210,8 +210,8 @@
         Ok(())
     }
 
-    /// Applies the update about the sender itself and the gossip updates. Returns false if any of
-    /// the latter is out of range, and skips it.
+    /// Applies the update about the sender itself and the gossip updates. Skips gossip updates that
+    /// are out of range, and returns false if there is one.
     fn apply_updates(
         &mut self,
         now: Micros,
--- a/src/membership/view/table.rs
+++ b/src/membership/view/table.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Records that an own probe of limiter `reporter` failed to reach the suspected `member`.
+    /// Records that a probe by limiter `reporter` itself did not reach the suspected `member`.
     fn confirm_suspicion(&mut self, member: usize, reporter: u32) {
         let own = self.settings.limiter;
         let suspected = &mut self.members[member];
--- a/tests/common/golden.rs
+++ b/tests/common/golden.rs
@@ -2,16 +2,16 @@
 
 use std::path::PathBuf;
 
-/// Bytes as hexadecimal digits.
+/// Formats bytes as hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The recorded file of this name.
+/// Returns the text of the recorded file of this name.
 ///
 /// # Panics
 ///
-/// If there is none.
+/// If the file can't be read.
 pub fn recorded(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden/recorded")
@@ -23,15 +23,16 @@
 ///
 /// # Panics
 ///
-/// If they differ, with both the first line that does and the whole text.
-pub fn assert_matches(name: &str, found: &str) {
-    let wanted = recorded(name);
-    if wanted == found {
+/// If they differ. The message has the first lines that differ, recorded and new, and the whole new
+/// text.
+pub fn assert_matches(name: &str, actual: &str) {
+    let expected = recorded(name);
+    if expected == actual {
         return;
     }
-    let first = wanted
+    let first = expected
         .lines()
-        .zip(found.lines())
-        .find(|(wanted, found)| wanted != found);
-    panic!("{name} differs from what was recorded, first at {first:?}\n----\n{found}----");
+        .zip(actual.lines())
+        .find(|(expected, actual)| expected != actual);
+    panic!("{name}: differs from the recorded file, first in {first:?}\n----\n{actual}----");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,27 +1,32 @@
-//! Short-hand for tests that drive a gateway by hand.
+//! Helpers for tests that feed single events to a decision engine.
 #![allow(dead_code)]
 
 use mossrill::decision::*;
 use mossrill::Engine;
 
-/// A gateway with its clock and the actions of its last event.
+/// A decision engine with its clock.
 pub struct Bench {
     pub gateway: Engine,
+    /// Current time in µs.
     pub now: Micros,
+    /// Actions of the last event.
     pub acts: Vec<Action>,
 }
 
-pub fn class(effect: Idempotency) -> RequestClass {
+/// Returns a request class of this idempotency.
+pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: 500_000,
         deadline: 2_000_000,
-        idempotency: effect,
+        idempotency,
         idempotency_window: 1_000_000,
         priority_weight: 1.0,
         late_weight: 0.0,
     }
 }
 
+/// Returns the settings of one of two limiters, with a class for each idempotency and three plans:
+/// a low rate, a limit of concurrent requests, and a high rate with a ceiling.
 pub fn settings() -> Settings {
     Settings {
         limiters: 2,
@@ -76,9 +81,10 @@
     }
 }
 
-pub fn member(name: &str, zone: &str) -> Endpoint {
+/// Returns a ready endpoint of an upstream server.
+pub fn member(id: &str, zone: &str) -> Endpoint {
     Endpoint {
-        id: name.into(),
+        id: id.into(),
         zone: zone.into(),
         cell: 0,
         readiness: Readiness::Ready,
@@ -88,31 +94,34 @@
 }
 
 impl Bench {
+    /// Returns an engine that knows `servers` upstream servers, `s0` and on, in zones `z0` and `z1`
+    /// by turns.
     pub fn new(settings: Settings, servers: usize) -> Self {
         let mut bench = Bench {
             gateway: Engine::new(settings, 7),
             now: 1_000_000,
             acts: Vec::new(),
         };
-        let members = (0..servers)
+        let endpoints = (0..servers)
             .map(|n| member(&format!("s{n}"), &format!("z{}", n % 2)))
             .collect();
         bench.on(Event::EndpointUpdate {
             scope: UpdateScope::Snapshot,
-            endpoints: members,
+            endpoints,
         });
         bench
     }
 
+    /// Passes an event to the engine and returns its actions.
     pub fn on(&mut self, event: Event) -> Vec<Action> {
         self.acts.clear();
         self.gateway.on_event(self.now, event, &mut self.acts);
         self.acts.clone()
     }
 
-    /// Lets time pass with a timer event each 5 ms; all actions of that time.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
-        let (end, mut all) = (self.now + span, Vec::new());
+    /// Advances the clock by `duration` µs with a timer event every 5 ms, and returns all actions.
+    pub fn pass(&mut self, duration: Micros) -> Vec<Action> {
+        let (end, mut all) = (self.now + duration, Vec::new());
         while self.now < end {
             self.now = (self.now + 5_000).min(end);
             all.extend(self.on(Event::TimerExpired { token: 0 }));
@@ -120,12 +129,13 @@
         all
     }
 
-    pub fn ask(&mut self, id: &str, class: usize, plan: usize, customer: &str) -> Vec<Action> {
+    /// Passes a request for one unit to the engine and returns its actions.
+    pub fn ask(&mut self, id: &str, class: usize, plan: usize, account: &str) -> Vec<Action> {
         self.on(Event::Request(Request {
             id: id.into(),
             class,
             plan,
-            account: customer.into(),
+            account: account.into(),
             timeout: 2_000_000,
             units: 1.0,
             limiter_count: 2,
@@ -133,6 +143,7 @@
         }))
     }
 
+    /// Ends an attempt after 20 ms with this outcome and returns the engine's actions.
     pub fn end(
         &mut self,
         id: &str,
@@ -152,13 +163,14 @@
         }))
     }
 
-    /// Answers every call of the counter in these actions with this total.
+    /// Answers every counter call in `actions` with this total and outcome, and returns the
+    /// engine's actions.
     pub fn count(&mut self, actions: &[Action], total: f64, outcome: Outcome) -> Vec<Action> {
         let mut all = Vec::new();
         for action in actions {
-            if let Action::AddToCounter { key: name, .. } = action {
+            if let Action::AddToCounter { key, .. } = action {
                 all.extend(self.on(Event::CounterReply {
-                    key: *name,
+                    key: *key,
                     total,
                     outcome,
                 }));
@@ -168,6 +180,7 @@
     }
 }
 
+/// Returns the request and the server of each attempt sent.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
     let pick = |a: &Action| match a {
         Action::Send { id, server, .. } => Some((id.clone(), server.clone())),
@@ -176,6 +189,7 @@
     actions.iter().filter_map(pick).collect()
 }
 
+/// Returns the number of counter calls.
 pub fn counts(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -183,6 +197,7 @@
         .count()
 }
 
+/// Returns the number of rejected requests.
 pub fn refused(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -190,6 +205,7 @@
         .count()
 }
 
+/// Returns the number of failed requests.
 pub fn failed(actions: &[Action]) -> usize {
     actions
         .iter()
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -101,6 +101,7 @@
 
 /// A fleet of views, indexed by limiter, and the network between them.
 pub struct SimulatedNetwork {
+    /// Current virtual time in µs.
     pub now: Micros,
     pub rng: StdRng,
     /// Sequence number of the event scheduled last.
@@ -137,6 +138,7 @@
     pub meter: CpuMeter,
 }
 
+/// Returns the address of a limiter; its last two octets are the number of the limiter.
 pub fn address(limiter: u32) -> SocketAddrV4 {
     let ip = Ipv4Addr::new(10, 0, (limiter >> 8) as u8, limiter as u8);
     SocketAddrV4::new(ip, 7_946)
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -102,7 +102,7 @@
     /// A peer votes to revoke the holder's lease only after it has not renewed it for the time of a
     /// lease.
     RevocationDelay,
-    /// A peer that has voted so renews the lease only after its vote has expired.
+    /// A peer that has voted to revoke the lease renews it only after its vote has expired.
     RenewalDelay,
 }
 
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -393,7 +393,7 @@
     CutLink(usize, usize),
     /// Loses this percentage of the datagrams.
     Loss(u8),
-    /// Delays each datagram by up to this many ms, and 1 ms more.
+    /// Delays each datagram by 1 ms plus up to this many ms.
     Delay(u64),
 }
 
