--- a/src/quota_lease/allocator/account.rs
+++ b/src/quota_lease/allocator/account.rs
@@ -82,7 +82,7 @@
     pub fn refresh(&mut self, now: Micros, clock: SlotClock, limits: PlanLimits) {
         self.fill(now);
         if limits != self.limits {
-            self.bucket.change_rate(now);
+            self.bucket.discard_fraction(now);
             self.limits = limits;
             self.fill(now);
         }
@@ -94,8 +94,11 @@
     }
 
     fn fill(&mut self, now: Micros) {
-        self.bucket
-            .fill(now, FillRate::whole(self.limits.rate), self.limits.burst);
+        self.bucket.fill(
+            now,
+            FillRate::per_second(self.limits.rate),
+            self.limits.burst,
+        );
     }
 
     /// Returns units that were granted in `slot` to the bucket, up to the level that it would have if
@@ -113,12 +116,12 @@
         for later in (slot + 1..=self.newest_slot).rev() {
             granted_since += self.granted[slot_index(later)];
             let elapsed = now.saturating_sub(clock.start(later));
-            let accrued = FillRate::whole(self.limits.rate)
-                .within(elapsed)
+            let accrued = FillRate::per_second(self.limits.rate)
+                .accrued_within(elapsed)
                 .saturating_add(self.limits.burst);
             max_level = max_level.min(burst_level(accrued).saturating_sub_unsigned(granted_since));
         }
-        self.bucket.put(accepted, max_level);
+        self.bucket.add(accepted, max_level);
     }
 
     /// Takes the units that were used of a fallback share. The bucket may owe one burst.
@@ -153,7 +156,7 @@
     /// Returns the time after which the limiter may request the missing units. Limiters that are held off
     /// form a queue: the time is that by which the units for all before and this one have accrued.
     fn hold_off(&mut self, now: Micros, missing: MilliUnits, max_hold_off: Micros) -> Micros {
-        let rate = FillRate::whole(self.limits.rate);
+        let rate = FillRate::per_second(self.limits.rate);
         let exceeds_burst = self.limits.burst < missing.min(UNIT);
         // The units in the bucket are for the first in the queue.
         let is_first = self.reserved_until <= now;
@@ -162,10 +165,12 @@
         } else {
             missing
         };
-        let debt_paid_after = rate.time_for(self.bucket.owed()).unwrap_or(max_hold_off);
+        let debt_paid_after = rate
+            .time_to_accrue(self.bucket.owed())
+            .unwrap_or(max_hold_off);
         let start = self.reserved_until.max(now.saturating_add(debt_paid_after));
         let wait = rate
-            .time_for(missing)
+            .time_to_accrue(missing)
             .filter(|_| !exceeds_burst)
             .unwrap_or(max_hold_off);
         let latest = now.saturating_add(max_hold_off);
--- a/src/quota_lease/bucket.rs
+++ b/src/quota_lease/bucket.rs
@@ -1,141 +1,149 @@
-//! A token bucket in whole thousandths of a unit, refilled by elapsed time.
+//! A token bucket that counts whole thousandths of a unit and is refilled by elapsed time.
 
 use super::message::MilliUnits;
 use crate::decision::Micros;
 
 const MICROS_PER_SECOND: u128 = 1_000_000;
-/// The fallback share is a fraction of the quota in thousandths.
-const THOUSAND: u128 = 1_000;
+/// Denominator of a fraction that is given in thousandths.
+const THOUSANDTHS_DENOMINATOR: u128 = 1_000;
 
-/// Fill rate of a bucket: `units` in every `span` microseconds. It is a fraction, so that small shares
-/// of small rates stay exact.
+/// Fill rate of a bucket: `milli_units` in every `period` of microseconds. It is kept as a fraction so
+/// that small shares of low rates stay exact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillRate {
-    units: u128,
-    span: u128,
+    milli_units: u128,
+    period: u128,
 }
 
 impl FillRate {
-    /// Returns the fill rate for a rate in thousandths of a unit a second.
-    pub fn whole(rate: MilliUnits) -> Self {
+    /// Returns the fill rate for `rate` thousandths of a unit per second.
+    pub fn per_second(rate: MilliUnits) -> Self {
         Self {
-            units: u128::from(rate),
-            span: MICROS_PER_SECOND,
+            milli_units: u128::from(rate),
+            period: MICROS_PER_SECOND,
         }
     }
 
-    /// Returns `thousandths` of a rate, divided by `limiter_count`.
-    pub fn part(rate: MilliUnits, thousandths: u32, limiter_count: u32) -> Self {
-        let units = u128::from(rate) * u128::from(thousandths);
+    /// Returns the fill rate of one of `limiter_count` limiters that share `thousandths` / 1000 of
+    /// `rate`, which is in thousandths of a unit per second.
+    pub fn share(rate: MilliUnits, thousandths: u32, limiter_count: u32) -> Self {
+        let milli_units = u128::from(rate) * u128::from(thousandths);
         Self {
-            units,
-            span: MICROS_PER_SECOND * THOUSAND * u128::from(limiter_count.max(1)),
+            milli_units,
+            period: MICROS_PER_SECOND * THOUSANDTHS_DENOMINATOR * u128::from(limiter_count.max(1)),
         }
     }
 
-    /// Returns the units that accrue within `elapsed`, rounded down.
-    pub fn within(self, elapsed: Micros) -> MilliUnits {
-        saturate(self.units.saturating_mul(u128::from(elapsed)) / self.span)
+    /// Returns the units that accrue within `elapsed`, rounded down to whole thousandths.
+    pub fn accrued_within(self, elapsed: Micros) -> MilliUnits {
+        saturating_u64(self.milli_units.saturating_mul(u128::from(elapsed)) / self.period)
     }
 
-    /// Returns the time in which `units` accrue, rounded up; `None` if the rate is 0.
-    pub fn time_for(self, units: MilliUnits) -> Option<Micros> {
+    /// Returns the time in which `units` accrue, rounded up; `None` if they never accrue because the
+    /// rate is 0.
+    pub fn time_to_accrue(self, units: MilliUnits) -> Option<Micros> {
         if units == 0 {
             return Some(0);
         }
-        let span = u128::from(units).saturating_mul(self.span);
-        if self.units == 0 {
+        let units_times_period = u128::from(units).saturating_mul(self.period);
+        if self.milli_units == 0 {
             return None;
         }
-        Some(saturate(span.div_ceil(self.units)))
+        Some(saturating_u64(
+            units_times_period.div_ceil(self.milli_units),
+        ))
     }
 }
 
-fn saturate(value: u128) -> u64 {
+fn saturating_u64(value: u128) -> u64 {
     u64::try_from(value).unwrap_or(u64::MAX)
 }
 
-/// A token bucket. Its level is negative while it owes units.
+/// A token bucket. Its level is negative while units are owed to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bucket {
+    /// Thousandths of a unit.
     level: i64,
-    filled_to: Micros,
+    /// Time up to which the level includes accrued units.
+    filled_until: Micros,
 }
 
 impl Bucket {
-    /// Returns a bucket that was empty at `since`.
+    /// Returns a bucket that was empty at `since` and fills from then on.
     pub fn empty(since: Micros) -> Self {
         Self {
             level: 0,
-            filled_to: since,
+            filled_until: since,
         }
     }
 
-    /// Adds the units that accrued since the last call, up to a level of `burst`. Fractions of a
-    /// thousandth are kept as time.
+    /// Adds the units that have accrued since the last call, up to a level of `burst`. Unless the bucket
+    /// becomes full, the time in which a fraction of a thousandth accrued is carried over to the next call.
     pub fn fill(&mut self, now: Micros, rate: FillRate, burst: MilliUnits) {
-        let elapsed = now.saturating_sub(self.filled_to);
+        let elapsed = now.saturating_sub(self.filled_until);
         let capacity = burst_level(burst).saturating_sub(self.level);
         if capacity <= 0 {
             self.level = burst_level(burst);
-            self.filled_to = self.filled_to.max(now);
+            self.filled_until = self.filled_until.max(now);
             return;
         }
         let capacity = capacity.unsigned_abs();
-        let units = rate.within(elapsed).min(capacity);
+        let units = rate.accrued_within(elapsed).min(capacity);
         self.level = self.level.saturating_add_unsigned(units);
-        self.filled_to = match rate.time_for(units) {
-            Some(span) if units < capacity => self.filled_to.saturating_add(span),
-            _ => self.filled_to.max(now),
+        self.filled_until = match rate.time_to_accrue(units) {
+            Some(time) if units < capacity => self.filled_until.saturating_add(time),
+            _ => self.filled_until.max(now),
         };
     }
 
-    /// Drops the fraction of a thousandth that has accrued, as the rate changes at `now`.
-    pub fn change_rate(&mut self, now: Micros) {
-        self.filled_to = self.filled_to.max(now);
+    /// Discards the fraction of a thousandth that has accrued by `now`. Called when the rate changes, as
+    /// the fraction accrued at the previous rate.
+    pub fn discard_fraction(&mut self, now: Micros) {
+        self.filled_until = self.filled_until.max(now);
     }
 
-    /// Returns the units that can be taken.
+    /// Returns the units that can be taken; 0 while units are owed.
     pub fn available(&self) -> MilliUnits {
         self.level.max(0).unsigned_abs()
     }
 
-    /// Returns the units that the bucket owes.
+    /// Returns the units that are owed to the bucket.
     pub fn owed(&self) -> MilliUnits {
         self.level.min(0).unsigned_abs()
     }
 
-    /// Takes units that are available.
+    /// Takes units, which must be available.
     pub fn take(&mut self, units: MilliUnits) {
         self.level = self.level.saturating_sub_unsigned(units);
     }
 
-    /// Takes units that were used already. The bucket may owe up to `max_debt`.
+    /// Takes units that were already used, even if they are not available. No more than
+    /// `max_debt` units are owed after that, unless more were owed before.
     pub fn charge(&mut self, units: MilliUnits, max_debt: MilliUnits) {
         let lowest = burst_level(max_debt).saturating_neg().min(self.level);
         self.level = self.level.saturating_sub_unsigned(units).max(lowest);
     }
 
-    /// Adds units up to a level of `max_level`. A higher level stays as it is.
-    pub fn put(&mut self, units: MilliUnits, max_level: i64) {
+    /// Adds units up to a level of `max_level`. A level that is already higher is not changed.
+    pub fn add(&mut self, units: MilliUnits, max_level: i64) {
         self.level = self
             .level
             .saturating_add_unsigned(units)
             .min(max_level.max(self.level));
     }
 
-    /// Returns the time up to which the level includes what has accrued.
-    pub fn filled_to(&self) -> Micros {
-        self.filled_to
+    /// Returns the time up to which the level includes accrued units.
+    pub fn filled_until(&self) -> Micros {
+        self.filled_until
     }
 
-    /// Returns whether the level is at the capacity.
+    /// Returns whether the level has reached `burst`.
     pub fn is_full(&self, burst: MilliUnits) -> bool {
         self.level >= burst_level(burst)
     }
 }
 
-/// Converts a burst to a level.
+/// Converts a burst to a level, limited to `i64::MAX`.
 pub fn burst_level(burst: MilliUnits) -> i64 {
     i64::try_from(burst).unwrap_or(i64::MAX)
 }
--- a/src/quota_lease/frame.rs
+++ b/src/quota_lease/frame.rs
@@ -1,4 +1,5 @@
-//! Frames on a TCP connection: the length of a message as 32 bits, big endian, followed by the message.
+//! Frames on a TCP connection: the length of a message as a 32-bit big-endian integer, followed by the
+//! message.
 
 use super::message::MAX_BYTES;
 use std::io::{self, ErrorKind, Read, Write};
@@ -6,60 +7,60 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Bytes of the length before each message.
+/// Size of the length that precedes each message.
 const HEADER_BYTES: usize = size_of::<u32>();
-/// The shortest timeout that a socket can be given.
+/// Minimum timeout that is set on a socket.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Why a frame could not be read or written. After any of these the connection can't be used again.
+/// Error of reading or writing a frame. The connection cannot be used after any of these.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The other side closed the connection between two frames.
+    /// The peer closed the connection between two frames.
     #[error("connection closed")]
     Closed,
-    /// The connection ended inside a frame.
-    #[error("connection closed inside a frame")]
+    /// The connection was closed in the middle of a frame.
+    #[error("connection closed in the middle of a frame")]
     Truncated,
-    /// No byte of a frame arrived in time.
-    #[error("no frame in time")]
+    /// No byte of a frame arrived within [`Timeouts::idle`].
+    #[error("idle timeout: no frame received")]
     IdleTimeout,
-    /// A frame was not completely read or written in time.
-    #[error("frame not complete in time")]
+    /// A frame was not completely read or written within its timeout.
+    #[error("frame timeout: frame not completely read or written")]
     FrameTimeout,
-    /// A frame without a message.
-    #[error("empty frame")]
+    /// The message is empty.
+    #[error("frame with an empty message")]
     Empty,
-    /// A message longer than [`MAX_BYTES`].
-    #[error("frame of {0} bytes, {MAX_BYTES} at most")]
+    /// The message is longer than [`MAX_BYTES`]; has its length in bytes.
+    #[error("frame with a message of {0} bytes, expected at most {MAX_BYTES}")]
     TooLong(usize),
-    /// The connection failed.
+    /// Reading from or writing to the connection failed.
     #[error("connection failed: {0}")]
     Io(#[source] io::Error),
 }
 
-/// Timeouts of reading and writing.
+/// Timeouts for reading a frame.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Time until the first byte of a frame.
+    /// Maximum time until the first byte of a frame arrives.
     pub idle: Duration,
-    /// Time for the rest of a frame after its first byte.
+    /// Maximum time from the first byte of a frame to its last.
     pub frame: Duration,
 }
 
-/// Reads the next message of a connection.
+/// Reads the next message from a connection.
 ///
 /// # Errors
 ///
-/// If the connection ends or fails, a timeout expires, or the length is out of range.
+/// If the connection is closed or fails, a timeout expires, or the length is out of range.
 pub fn read(stream: &TcpStream, timeouts: Timeouts) -> Result<Vec<u8>, FrameError> {
     let mut header = [0; HEADER_BYTES];
-    let (first, rest) = header.split_at_mut(1);
-    read_first_byte(stream, first, Instant::now() + timeouts.idle)?;
+    let (first_byte, rest) = header.split_at_mut(1);
+    read_first_byte(stream, first_byte, Instant::now() + timeouts.idle)?;
     let mut reader = DeadlineStream {
         stream,
         deadline: Instant::now() + timeouts.frame,
     };
-    reader.read_exact(rest).map_err(error_inside_frame)?;
+    reader.read_exact(rest).map_err(mid_frame_error)?;
     let length = u32::from_be_bytes(header) as usize;
     if length == 0 {
         return Err(FrameError::Empty);
@@ -67,19 +68,19 @@
     if length > MAX_BYTES {
         return Err(FrameError::TooLong(length));
     }
-    // Memory is allocated for the bytes that arrive, not for the announced length.
+    // Memory is allocated as bytes arrive, so that a peer cannot reserve it by announcing a length.
     let mut message = Vec::new();
     reader
         .take(length as u64)
         .read_to_end(&mut message)
-        .map_err(error_inside_frame)?;
+        .map_err(mid_frame_error)?;
     if message.len() < length {
         return Err(FrameError::Truncated);
     }
     Ok(message)
 }
 
-/// Writes one message.
+/// Writes one message to a connection.
 ///
 /// # Errors
 ///
@@ -98,15 +99,15 @@
         stream,
         deadline: Instant::now() + timeout,
     };
-    writer.write_all(&frame).map_err(error_inside_frame)
+    writer.write_all(&frame).map_err(mid_frame_error)
 }
 
 fn read_first_byte(
     stream: &TcpStream,
-    first: &mut [u8],
+    first_byte: &mut [u8],
     deadline: Instant,
 ) -> Result<(), FrameError> {
-    match (DeadlineStream { stream, deadline }).read_exact(first) {
+    match (DeadlineStream { stream, deadline }).read_exact(first_byte) {
         Ok(()) => Ok(()),
         Err(error) if error.kind() == ErrorKind::UnexpectedEof => Err(FrameError::Closed),
         Err(error) if is_timeout(&error) => Err(FrameError::IdleTimeout),
@@ -114,7 +115,7 @@
     }
 }
 
-fn error_inside_frame(error: io::Error) -> FrameError {
+fn mid_frame_error(error: io::Error) -> FrameError {
     match error.kind() {
         ErrorKind::UnexpectedEof | ErrorKind::WriteZero => FrameError::Truncated,
         _ if is_timeout(&error) => FrameError::FrameTimeout,
@@ -126,7 +127,8 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// A stream whose reads and writes share one deadline, however slowly bytes arrive.
+/// A stream on which a sequence of reads or writes has one common deadline. A socket timeout alone would
+/// start again with each byte that a slow peer sends or accepts.
 struct DeadlineStream<'a> {
     stream: &'a TcpStream,
     deadline: Instant,
--- a/src/quota_lease/holder/fallback.rs
+++ b/src/quota_lease/holder/fallback.rs
@@ -30,7 +30,7 @@
     pub(super) fn new(limits: PlanLimits, limiter_count: u32, settings: &HolderSettings) -> Self {
         let thousandths = settings.fallback_thousandths;
         Self {
-            rate: FillRate::part(limits.rate, thousandths, limiter_count),
+            rate: FillRate::share(limits.rate, thousandths, limiter_count),
             burst: fallback_burst(limits.burst, limiter_count, settings),
         }
     }
@@ -69,7 +69,7 @@
     /// Prepares for other limits from now on.
     pub(super) fn change_limits(&mut self, now: Micros, previous: FallbackLimits) {
         self.refill(now, previous);
-        self.bucket.change_rate(now);
+        self.bucket.discard_fraction(now);
     }
 
     /// Takes the units of a request.
@@ -86,7 +86,7 @@
         self.refill(now, limits);
         let available = self.bucket.available();
         if units > available {
-            let wait = limits.rate.time_for(units - available);
+            let wait = limits.rate.time_to_accrue(units - available);
             let retry_after = wait.filter(|_| units <= limits.burst);
             return Err(FallbackExhausted { retry_after });
         }
@@ -110,8 +110,8 @@
     /// Returns when the share will be full, [`Micros::MAX`] for never.
     pub(super) fn full_at(&self, limits: FallbackLimits) -> Micros {
         let missing = limits.burst.saturating_sub(self.bucket.available());
-        match limits.rate.time_for(missing) {
-            Some(span) => self.bucket.filled_to().saturating_add(span),
+        match limits.rate.time_to_accrue(missing) {
+            Some(span) => self.bucket.filled_until().saturating_add(span),
             None => Micros::MAX,
         }
     }
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -1,7 +1,8 @@
-//! A limiter's connections to the allocators. One thread for each sends reports and receives the answers.
+//! A limiter's connections to the allocators. Each connection has a thread that sends reports and
+//! receives the answers.
 //!
-//! These threads own nothing but their connection. The [`Holder`](super::holder::Holder), which the
-//! limiter's core owns, writes the reports and processes the answers.
+//! A thread owns only its connection. The [`Holder`](super::holder::Holder), which the limiter's core
+//! owns, creates the reports and processes the answers.
 
 use super::frame::{self, FrameError, Timeouts};
 use super::message::{Grant, MessageError, Report};
@@ -15,60 +16,63 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Reports that wait for one connection, besides the one in flight. A further one is dropped; the holder
-/// retries it if that is still useful.
+/// Maximum number of reports that wait for one connection, besides the one in flight. Further ones are
+/// dropped; the holder retries a report that is still needed.
 const QUEUED_REPORTS: usize = 1;
-/// Longest backoff after the first failure of a connection. It doubles with each further failure.
+/// Upper bound of the backoff after the first failure of a connection. The bound doubles with each
+/// further failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff after any number of failures.
+/// Upper bound of the backoff after any number of failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Least fraction of the longest backoff.
+/// Lower bound of the backoff, as a fraction of its upper bound.
 const MIN_BACKOFF_FRACTION: f64 = 0.5;
-/// Exponent that bounds the doubling of the backoff.
+/// Maximum number of times that the bound of the backoff is doubled, which keeps the shift in range.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 /// Timeouts of a connection to an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTimeouts {
-    /// Time to establish a connection.
+    /// Maximum time to establish a connection.
     pub connect: Duration,
-    /// Time to write a report.
+    /// Maximum time to write a report.
     pub write: Duration,
-    /// Time until the answer to a report begins, and again until it is complete.
+    /// Maximum time until the first byte of the answer to a report, and again from there to its last byte.
     pub answer: Duration,
 }
 
 /// An event of a connection to an allocator.
 #[derive(Debug)]
 pub enum AllocatorEvent {
-    /// An allocator's answer.
+    /// The allocator answered a report.
     Answer(Grant),
-    /// The answer is invalid. The connection is closed.
+    /// The allocator's answer is invalid. The connection is closed.
     Unreadable {
-        /// The allocator.
+        /// Number of the allocator.
         allocator: u32,
         /// Why the answer is invalid.
         reason: MessageError,
     },
-    /// The allocator can't be reached, or the connection failed before it answered.
+    /// The allocator is unreachable, or the connection failed before the allocator answered.
     Lost {
-        /// The allocator.
+        /// Number of the allocator.
         allocator: u32,
     },
 }
 
-/// Receives the events of all connections. Must not block.
+/// Callback for the events of all connections. It must not block.
 pub type AllocatorEventHandler = Arc<dyn Fn(AllocatorEvent) + Send + Sync>;
 
 /// The connections of a limiter to all allocators.
 #[derive(Clone)]
 pub struct AllocatorLinks {
-    reports: Vec<Sender<Report>>,
+    /// Queue of each connection, by number of the allocator.
+    queues: Vec<Sender<Report>>,
 }
 
 impl AllocatorLinks {
-    /// Starts a thread for each allocator. The index of an address is the allocator's number.
+    /// Starts a thread for each allocator. The index of an address in `addresses` is the allocator's
+    /// number.
     ///
     /// # Errors
     ///
@@ -79,8 +83,8 @@
         on_event: &AllocatorEventHandler,
         log: &Logger,
     ) -> io::Result<Self> {
-        let link = |(number, address): (usize, &SocketAddr)| {
-            let (reports, queue) = bounded(QUEUED_REPORTS);
+        let start_link = |(number, address): (usize, &SocketAddr)| {
+            let (queue, reports) = bounded(QUEUED_REPORTS);
             let link = Link {
                 allocator: number as u32,
                 address: *address,
@@ -90,32 +94,32 @@
                 backoff: Backoff::default(),
                 log: log.clone(),
             };
-            spawn("allocator-link", move || link.run(&queue))?;
-            Ok(reports)
+            spawn("allocator-link", move || link.run(&reports))?;
+            Ok(queue)
         };
-        let reports = addresses
+        let queues = addresses
             .iter()
             .enumerate()
-            .map(link)
+            .map(start_link)
             .collect::<io::Result<_>>()?;
-        Ok(Self { reports })
+        Ok(Self { queues })
     }
 
-    /// Queues a report for an allocator. It is dropped if another one waits already.
+    /// Queues a report for an allocator, or drops it if the queue is full.
     pub fn send(&self, allocator: u32, report: Report) {
-        if let Some(queue) = self.reports.get(allocator as usize) {
-            // The holder retries a report without an answer.
+        if let Some(queue) = self.queues.get(allocator as usize) {
+            // A dropped report is not lost: the holder retries reports that are not answered.
             _ = queue.try_send(report);
         }
     }
 }
 
-/// Why a report was not answered.
+/// Reason why a report was not answered.
 #[derive(Debug, Error)]
 enum LinkError {
-    #[error("not connected: {0}")]
+    #[error("connecting failed: {0}")]
     Connect(#[source] io::Error),
-    #[error("not tried again yet")]
+    #[error("no connection attempt before the end of the backoff")]
     Backoff,
     #[error(transparent)]
     Frame(#[from] FrameError),
@@ -135,25 +139,27 @@
 }
 
 impl Link {
-    fn run(mut self, queue: &Receiver<Report>) {
-        for report in queue {
+    /// Exchanges reports until all senders of them are dropped.
+    fn run(mut self, reports: &Receiver<Report>) {
+        for report in reports {
             match self.exchange(&report.encode_to_vec()) {
                 Ok(grant) => (self.on_event)(AllocatorEvent::Answer(grant)),
-                Err(error) => self.lose(error),
+                Err(error) => self.handle_failure(error),
             }
         }
     }
 
-    /// Sends a report and waits for its answer. A connection that was closed since its last answer is
-    /// replaced once: an allocator answers a retry, but grants units for it only once.
+    /// Sends a report and waits for its answer. If the open connection was closed since its last answer,
+    /// the report is sent again on a new one. That is safe as an allocator grants units only once for a
+    /// report that it receives twice.
     fn exchange(&mut self, report: &[u8]) -> Result<Grant, LinkError> {
-        if let Some(idle) = self.connection.take() {
-            match self.exchange_on(&idle, report) {
+        if let Some(open) = self.connection.take() {
+            match self.exchange_on(&open, report) {
                 Err(LinkError::Frame(
                     FrameError::Closed | FrameError::Truncated | FrameError::Io(_),
                 )) => {}
                 Ok(grant) => {
-                    self.connection = Some(idle);
+                    self.connection = Some(open);
                     return Ok(grant);
                 }
                 Err(error) => return Err(error),
@@ -164,7 +170,7 @@
         if self.backoff.has_failed() {
             info!(self.log, "allocator answers again"; "allocator" => self.allocator);
         }
-        self.backoff.succeeded();
+        self.backoff.record_success();
         self.connection = Some(new);
         Ok(grant)
     }
@@ -192,14 +198,14 @@
         Ok(grant)
     }
 
-    fn lose(&mut self, error: LinkError) {
+    fn handle_failure(&mut self, error: LinkError) {
         let allocator = self.allocator;
         if !matches!(error, LinkError::Backoff) {
             if !self.backoff.has_failed() {
                 warn!(self.log, "allocator lost"; "allocator" => allocator,
                     "address" => %self.address, "error" => %error);
             }
-            self.backoff.failed(Instant::now());
+            self.backoff.record_failure(Instant::now());
         }
         if let LinkError::Message(reason) = error {
             (self.on_event)(AllocatorEvent::Unreadable { allocator, reason });
@@ -208,12 +214,13 @@
     }
 }
 
-/// Exponential backoff with jitter, so that the limiters do not reconnect to a restarted allocator
-/// all at once.
+/// Exponential backoff with jitter, so that the limiters do not all reconnect to a restarted allocator
+/// at the same time.
 #[derive(Default)]
 struct Backoff {
     failures: u32,
-    until: Option<Instant>,
+    /// End of the current backoff; `None` without a failure.
+    ends: Option<Instant>,
 }
 
 impl Backoff {
@@ -222,21 +229,21 @@
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        self.until.is_none_or(|until| now >= until)
+        self.ends.is_none_or(|ends| now >= ends)
     }
 
-    fn failed(&mut self, now: Instant) {
-        let longest = FIRST_BACKOFF
+    fn record_failure(&mut self, now: Instant) {
+        let upper_bound = FIRST_BACKOFF
             .saturating_mul(1 << self.failures.min(MAX_BACKOFF_DOUBLINGS))
             .min(MAX_BACKOFF);
         self.failures += 1;
-        self.until = Some(
-            now + longest
+        self.ends = Some(
+            now + upper_bound
                 .mul_f64(MIN_BACKOFF_FRACTION + (1.0 - MIN_BACKOFF_FRACTION) * fastrand::f64()),
         );
     }
 
-    fn succeeded(&mut self) {
+    fn record_success(&mut self) {
         *self = Self::default();
     }
 }
--- a/src/quota_lease/mod.rs
+++ b/src/quota_lease/mod.rs
@@ -1,8 +1,9 @@
-//! Quota leases: limiters obtain units of an account's quota ahead of use, from the allocator that
+//! Quota leases: a limiter obtains units of an account's quota ahead of use from the allocator that
 //! owns the account.
 //!
-//! `docs/quota-leases.md` has the design and the bound on what may exceed a quota. [`allocator`] and
-//! [`holder`] are state machines without I/O; [`server`] runs the one and [`link`] connects the other.
+//! `docs/quota-leases.md` describes the design and bounds the number of units by which a quota may be
+//! exceeded. [`allocator`] and [`holder`] are state machines without I/O: [`server`] runs an allocator
+//! as a process, and [`link`] connects a limiter's holder to the allocators.
 
 pub mod allocator;
 pub mod bucket;
--- a/src/quota_lease/placement.rs
+++ b/src/quota_lease/placement.rs
@@ -1,11 +1,12 @@
-//! Which allocator owns an account: rendezvous hashing (highest random weight) over the allocators that serve.
+//! Ownership of accounts by rendezvous hashing (highest random weight): of the serving allocators,
+//! the one with the highest weight for an account owns it.
 
 use super::message::AccountKey;
 
-/// The most allocators: messages have one bit for each.
+/// Maximum number of allocators. Messages carry sets of allocators as 64-bit sets.
 pub const MAX_ALLOCATORS: u32 = 64;
 
-/// Returns the weight of an account at an allocator. The owner has the highest among those that serve.
+/// Returns the weight of an account at an allocator.
 fn weight(account: AccountKey, allocator: u32) -> u64 {
     let mut input = [0; size_of::<u64>() + size_of::<u32>()];
     let (key, number) = input.split_at_mut(size_of::<u64>());
@@ -14,16 +15,17 @@
     xxhash_rust::xxh3::xxh3_64(&input)
 }
 
-/// Returns the owner of an account among `allocators` numbered from 0, without those in the bit set
-/// `reassigned`; `None` if that has all of them.
+/// Returns the number of the allocator that owns an account. The allocators are numbered from 0 to
+/// `allocators` - 1; those in the bit set `reassigned` own nothing. Returns `None` if all are in it.
 pub fn owner(account: AccountKey, allocators: u32, reassigned: u64) -> Option<u32> {
-    let serves = |number: &u32| reassigned >> number & 1 == 0;
-    let candidates = (0..allocators.min(MAX_ALLOCATORS)).filter(serves);
+    let is_serving = |number: &u32| reassigned >> number & 1 == 0;
+    let candidates = (0..allocators.min(MAX_ALLOCATORS)).filter(is_serving);
     candidates.max_by_key(|number| (weight(account, *number), *number))
 }
 
-/// Returns the bit set of the allocators with a higher weight than `number`, which owns the account
-/// once all of them are reassigned; `None` if there is no allocator with this number.
+/// Returns the bit set of the allocators whose weight for the account is higher than that of allocator
+/// `number`, which owns the account once all of them are reassigned. Returns `None` if there is no
+/// allocator `number`.
 pub fn ahead_of(account: AccountKey, allocators: u32, number: u32) -> Option<u64> {
     let allocators = allocators.min(MAX_ALLOCATORS);
     if number >= allocators {
