--- a/src/quota_lease/allocator/account.rs
+++ b/src/quota_lease/allocator/account.rs
@@ -1,25 +1,29 @@
-//! An allocator's state of one account: its token bucket and the grants of the last time slots.
+//! An allocator's state of one account: the token bucket, and the units granted in the last time slots.
 
 use crate::decision::Micros;
 use crate::quota_lease::bucket::{burst_level, Bucket, FillRate};
 use crate::quota_lease::message::{MilliUnits, PlanLimits, ReportEntry};
 
-/// Time slots for which an account's grants are recorded.
+/// Number of time slots, including the current one, for which an account's grants are recorded.
 const SLOTS: usize = 6;
-/// Time slots in the duration of a lease. Of the recorded slots, one is the present one, and one may
-/// pass until unused units are returned.
+/// Number of time slots in the duration of a lease. [`SLOTS`] has two more: the current slot, and one
+/// slot after the end of a lease in which its unused units can be returned.
 pub(super) const LEASE_SLOTS: u64 = 4;
-/// Where not all of the requested units are available, whole units are granted: most requests need one.
+/// One unit in thousandths. If fewer units are available than are requested, whole units are
+/// granted, as most requests need one unit.
 const UNIT: MilliUnits = 1_000;
 
-/// Numbers the time slots, from 1.
+/// Division of time into slots of equal width, numbered from 1.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlotClock {
+    /// Start of slot 1.
     pub origin: Micros,
+    /// Duration of a slot in µs.
     pub width: Micros,
 }
 
 impl SlotClock {
+    /// Returns the number of the slot that contains `now`.
     pub fn slot(self, now: Micros) -> u64 {
         now.saturating_sub(self.origin) / self.width.max(1) + 1
     }
@@ -30,19 +34,21 @@
     }
 }
 
-/// Units granted for one entry of a report, and how long to wait for what is missing.
+/// Units granted for one entry of a report, and the hold-off if units are missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Granted {
     pub units: MilliUnits,
+    /// Time in µs for which the limiter is to request no units of the account.
     pub hold_off: Option<Micros>,
 }
 
-/// Rules for grants, the same for all accounts.
+/// Limits on grants that are the same for all accounts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantRules {
-    /// One over the fraction of the remaining units that goes to the expected requests of one limiter.
-    pub forecast_share: u64,
-    /// The longest time until a limiter may request units of an exhausted account again.
+    /// Divisor of the remaining units; see
+    /// [`AllocatorSettings::forecast_divisor`](super::AllocatorSettings::forecast_divisor).
+    pub forecast_divisor: u64,
+    /// Maximum time in µs for which a limiter is to request no units of an exhausted account.
     pub max_hold_off: Micros,
 }
 
@@ -51,17 +57,20 @@
 pub(super) struct Account {
     limits: PlanLimits,
     bucket: Bucket,
-    /// The bucket was empty at this time or later.
+    /// Time at which this state begins. The bucket starts empty then.
     opened_at: Micros,
-    /// Units granted and not returned, by slot; the index of a slot is its number modulo [`SLOTS`].
+    /// Units granted and not returned, by time slot. The index of a slot is its number modulo
+    /// [`SLOTS`].
     granted: [MilliUnits; SLOTS],
+    /// Number of the latest slot in `granted`.
     newest_slot: u64,
-    /// Units for all limiters that were held off have accrued by this time.
+    /// Time by which the missing units of all limiters that were held off will have accrued.
     reserved_until: Micros,
 }
 
 impl Account {
-    /// Returns the state of an account of which no units were granted since `owned_since`.
+    /// Returns the state of an account of which no units were granted since `owned_since`. Its
+    /// bucket was empty at that time.
     pub fn open(owned_since: Micros, limits: PlanLimits) -> Self {
         Self {
             limits,
@@ -73,12 +82,13 @@
         }
     }
 
-    /// Returns whether another allocator may have owned the account since it was opened.
-    pub fn is_older_than(&self, owned_since: Micros) -> bool {
+    /// Returns whether this state begins before `owned_since`, so that another allocator may have
+    /// granted units of the account in the meantime.
+    pub fn opened_before(&self, owned_since: Micros) -> bool {
         self.opened_at < owned_since
     }
 
-    /// Updates the bucket, its limits and the slots to `now`.
+    /// Updates the bucket and the recorded slots to `now`, and sets the limits.
     pub fn refresh(&mut self, now: Micros, clock: SlotClock, limits: PlanLimits) {
         self.fill(now);
         if limits != self.limits {
@@ -87,8 +97,8 @@
             self.fill(now);
         }
         let slot = clock.slot(now);
-        for previous in (self.newest_slot..slot).take(SLOTS) {
-            self.granted[slot_index(previous + 1)] = 0;
+        for preceding in (self.newest_slot..slot).take(SLOTS) {
+            self.granted[slot_index(preceding + 1)] = 0;
         }
         self.newest_slot = self.newest_slot.max(slot);
     }
@@ -101,10 +111,10 @@
         );
     }
 
-    /// Returns units that were granted in `slot` to the bucket, up to the level that it would have if
-    /// they had never been granted. So the units granted and not returned keep to the rate and burst over
-    /// any time span that begins with a slot.
-    pub fn take_back(&mut self, now: Micros, clock: SlotClock, units: MilliUnits, slot: u64) {
+    /// Adds returned units that were granted in `slot` to the bucket, up to the level that the
+    /// bucket would have if they had never been granted. Over any time span that begins with a
+    /// slot, the units that are granted and not returned therefore stay within the rate and burst.
+    pub fn accept_return(&mut self, now: Micros, clock: SlotClock, units: MilliUnits, slot: u64) {
         if slot == 0 || slot > self.newest_slot || self.newest_slot - slot >= SLOTS as u64 {
             return;
         }
@@ -124,28 +134,29 @@
         self.bucket.add(accepted, max_level);
     }
 
-    /// Takes the units that were used of a fallback share. The bucket may owe one burst.
+    /// Takes units of a fallback share that a limiter used. At most one burst can be owed to the
+    /// bucket.
     pub fn charge(&mut self, units: MilliUnits) {
         self.bucket.charge(units, self.limits.burst);
     }
 
-    /// Grants the units that an entry requests: first for waiting requests, then for expected ones, which
-    /// get a fraction of the remaining units.
+    /// Grants units for an entry: first for waiting requests, then for expected ones, which get at
+    /// most a fraction of the remaining units.
     pub fn grant(&mut self, now: Micros, entry: &ReportEntry, rules: GrantRules) -> Granted {
         let available = self.bucket.available();
-        let for_waiting = whole_units(entry.waiting, available);
-        let forecast_units = (available - for_waiting) / rules.forecast_share.max(1);
+        let for_waiting = grantable_units(entry.waiting, available);
+        let max_for_expected = (available - for_waiting) / rules.forecast_divisor.max(1);
         let missing = entry.waiting - for_waiting;
         let for_expected = if missing == 0 {
-            whole_units(entry.expected, forecast_units)
+            grantable_units(entry.expected, max_for_expected)
         } else {
             0
         };
         let units = for_waiting + for_expected;
         self.bucket.take(units);
         self.granted[slot_index(self.newest_slot)] += units;
-        let overdrawn = entry.fallback_used > 0 && self.bucket.owed() > 0;
-        let hold_off = if missing > 0 || overdrawn {
+        let is_overdrawn = entry.fallback_used > 0 && self.bucket.owed() > 0;
+        let hold_off = if missing > 0 || is_overdrawn {
             Some(self.hold_off(now, missing, rules.max_hold_off))
         } else {
             None
@@ -153,12 +164,13 @@
         Granted { units, hold_off }
     }
 
-    /// Returns the time after which the limiter may request the missing units. Limiters that are held off
-    /// form a queue: the time is that by which the units for all before and this one have accrued.
+    /// Returns the time for which the limiter is to wait before it requests the missing units.
+    /// Limiters that are held off form a queue: by that time, the missing units of this limiter and
+    /// of all before it have accrued.
     fn hold_off(&mut self, now: Micros, missing: MilliUnits, max_hold_off: Micros) -> Micros {
         let rate = FillRate::per_second(self.limits.rate);
         let exceeds_burst = self.limits.burst < missing.min(UNIT);
-        // The units in the bucket are for the first in the queue.
+        // The units in the bucket count towards those that the first limiter in the queue is missing.
         let is_first = self.reserved_until <= now;
         let missing = if is_first {
             missing.saturating_sub(self.bucket.available())
@@ -178,8 +190,8 @@
         self.reserved_until.saturating_sub(now)
     }
 
-    /// Returns whether the account can be dropped. The bucket is full and no units can be returned, so
-    /// an account opened anew would not hold more.
+    /// Returns whether the state can be removed. That is the case if the bucket is full and no recorded
+    /// grant can be returned: a state created later will not hold more units.
     pub fn is_idle(&mut self, now: Micros, clock: SlotClock) -> bool {
         self.refresh(now, clock, self.limits);
         self.bucket.is_full(self.limits.burst) && self.granted.iter().all(|units| *units == 0)
@@ -190,10 +202,11 @@
     (slot % SLOTS as u64) as usize
 }
 
-/// Returns the units to grant of `wanted`: all if available, otherwise whole units.
-fn whole_units(wanted: MilliUnits, available: MilliUnits) -> MilliUnits {
-    if wanted <= available {
-        wanted
+/// Returns how many of the requested units to grant: all if available, otherwise the whole units
+/// that are available.
+fn grantable_units(requested: MilliUnits, available: MilliUnits) -> MilliUnits {
+    if requested <= available {
+        requested
     } else {
         available - available % UNIT
     }
--- a/src/quota_lease/allocator/mod.rs
+++ b/src/quota_lease/allocator/mod.rs
@@ -1,6 +1,7 @@
-//! An allocator: grants units from the token buckets of the accounts that it owns.
+//! The allocator: grants units from the token buckets of the accounts that it owns.
 //!
-//! It has no I/O and no clock. `docs/quota-leases.md` derives the bounds.
+//! It is a state machine without I/O and clock. `docs/quota-leases.md` derives the bounds on what it
+//! grants.
 
 mod account;
 mod ownership;
@@ -18,8 +19,8 @@
 pub use ownership::Ownership;
 
 const MICROS_PER_MILLI: Micros = 1_000;
-/// Accounts checked for removal with each report, besides one for each entry.
-const CHECKED_PER_REPORT: usize = 8;
+/// Number of accounts checked for removal with each report, in addition to one for each of its entries.
+const REMOVAL_CHECKS_PER_REPORT: usize = 8;
 
 const NOT_OWNER: GrantEntry = GrantEntry {
     verdict: Verdict::NotOwner,
@@ -30,15 +31,18 @@
 /// Settings of an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AllocatorSettings {
-    /// Configured limiters. Reports from other numbers are dropped.
+    /// Number of configured limiters, which are numbered from 0. Reports with other numbers are
+    /// dropped.
     pub limiters: u32,
-    /// Duration of a lease in µs, from the first sending of the report.
+    /// Duration of a lease in µs, from the time at which the report was first sent.
     pub lease: Micros,
-    /// The expected requests of one limiter get at most one over this of the remaining units.
-    pub forecast_share: u32,
-    /// The longest time in µs until a limiter may request units of an exhausted account again.
+    /// Divisor of the units that remain after those for waiting requests. At most the quotient is
+    /// granted for the expected requests of one limiter.
+    pub forecast_divisor: u32,
+    /// Maximum time in µs for which a limiter is to request no units of an exhausted account.
     pub max_hold_off: Micros,
-    /// The most accounts in memory. Further ones are answered as exhausted.
+    /// Maximum number of accounts in memory. Requests for further accounts are answered with
+    /// [`Verdict::Exhausted`].
     pub max_accounts: usize,
 }
 
@@ -47,14 +51,14 @@
         Self {
             limiters: 2_000,
             lease: 10_000_000,
-            forecast_share: 4,
+            forecast_divisor: 4,
             max_hold_off: 5_000_000,
             max_accounts: 200_000,
         }
     }
 }
 
-/// The last answer to a limiter, which a retry of its report gets again.
+/// The last answer to a limiter. It is sent again if the limiter retries the report.
 #[derive(Clone, Debug)]
 struct CachedAnswer {
     incarnation: u64,
@@ -72,15 +76,16 @@
     ownership: OwnershipHistory,
     clock: SlotClock,
     accounts: HashMap<AccountKey, Account>,
-    /// All accounts, in the order in which they are checked for removal.
+    /// All accounts in memory, in the order in which they are checked for removal.
     removal_queue: VecDeque<AccountKey>,
-    /// By limiter.
+    /// The last answer to each limiter, by the limiter's number.
     cached_answers: HashMap<u32, CachedAnswer>,
     dropped: DroppedMessages,
 }
 
 impl Allocator {
-    /// Returns allocator `number` of `allocators`. `incarnation` is higher at each start and not 0.
+    /// Returns allocator `number` of `allocators`, which are numbered from 0. `incarnation` is not
+    /// 0 and higher than at each previous start of this allocator.
     pub fn new(
         number: u32,
         allocators: u32,
@@ -103,23 +108,26 @@
         }
     }
 
-    /// Sets the leases of the allocators. To be called whenever they change and well before they end.
+    /// Sets the leases of the allocators. To be called whenever they change, and well before they
+    /// expire.
     pub fn set_ownership(&mut self, now: Micros, ownership: Ownership) {
         self.clock.origin = self.clock.origin.min(now);
         self.ownership.set(now, ownership);
     }
 
-    /// Grants units for a report. A retry of the last report gets the same answer again.
+    /// Grants units for a report. A retry of a limiter's last report is answered with the same
+    /// grant again.
     ///
     /// # Errors
     ///
-    /// If the report is invalid, its sender unknown, or a later one was answered. The error is counted.
+    /// If the report is invalid, its sender is unknown, or a later report was already answered. The
+    /// error is counted.
     pub fn on_report(&mut self, now: Micros, report: &Report) -> Result<Grant, MessageError> {
         self.answer(now, report)
             .inspect_err(|reason| self.dropped.count(reason))
     }
 
-    /// Returns the counts of dropped reports.
+    /// Returns the number of dropped reports, by reason.
     pub fn dropped(&self) -> DroppedMessages {
         self.dropped
     }
@@ -134,7 +142,7 @@
         self.accounts.len()
     }
 
-    /// Returns the bytes of the cached answers.
+    /// Returns the size of the cached answers in bytes.
     pub fn cached_answer_bytes(&self) -> usize {
         self.cached_answers
             .values()
@@ -142,9 +150,9 @@
             .sum()
     }
 
-    /// Returns whether the allocator holds its own lease.
+    /// Returns whether the allocator holds its own lease from the fleet of allocators.
     pub fn is_serving(&self, now: Micros) -> bool {
-        self.ownership.serving(now)
+        self.ownership.is_serving(now)
     }
 
     fn answer(&mut self, now: Micros, report: &Report) -> Result<Grant, MessageError> {
@@ -169,7 +177,7 @@
             bytes: grant.encode_to_vec(),
         };
         self.cached_answers.insert(report.limiter, answer);
-        self.remove_idle(now, CHECKED_PER_REPORT + report.accounts.len());
+        self.remove_idle(now, REMOVAL_CHECKS_PER_REPORT + report.accounts.len());
         Ok(grant)
     }
 
@@ -181,7 +189,7 @@
             incarnation: self.incarnation,
             limiter_incarnation: report.incarnation,
             sequence: report.sequence,
-            serving: self.ownership.serving(now),
+            serving: self.ownership.is_serving(now),
             reassigned: self.ownership.reassigned(now),
             slot: self.clock.slot(now),
             lease_ms: u32::try_from(lease_ms).unwrap_or(u32::MAX),
@@ -194,7 +202,8 @@
         grant
     }
 
-    /// Grants an entry of a report to the incarnation `addressed_to`, 0 for any.
+    /// Grants units for an entry of a report that is addressed to the incarnation `addressed_to`,
+    /// or to any incarnation if that is 0.
     fn grant_addressed(
         &mut self,
         now: Micros,
@@ -202,7 +211,8 @@
         entry: ReportEntry,
     ) -> GrantEntry {
         if addressed_to == 0 {
-            // Units can be returned, and use reported, only to the incarnation that granted them.
+            // Only the incarnation that granted units may take them back, and use of the fallback
+            // share is reported only to a known incarnation.
             let request_only = ReportEntry {
                 returned: 0,
                 fallback_used: 0,
@@ -221,7 +231,7 @@
             return NOT_OWNER;
         };
         let rules = GrantRules {
-            forecast_share: self.settings.forecast_share.into(),
+            forecast_divisor: self.settings.forecast_divisor.into(),
             max_hold_off: self.settings.max_hold_off,
         };
         let clock = self.clock;
@@ -229,7 +239,7 @@
             return exhausted(0, rules.max_hold_off);
         };
         account.refresh(now, clock, entry.limits);
-        account.take_back(now, clock, entry.returned, entry.returned_slot);
+        account.accept_return(now, clock, entry.returned, entry.returned_slot);
         account.charge(entry.fallback_used);
         let granted = account.grant(now, entry, rules);
         match granted.hold_off {
@@ -242,8 +252,9 @@
         }
     }
 
-    /// Returns the account, opened anew if it is not in memory or another allocator may have owned it in
-    /// the meantime; `None` if there are too many.
+    /// Returns the state of an account. The state is created if it is not in memory, and replaced
+    /// by a new one if another allocator may have owned the account since it was created. Returns
+    /// `None` if there are too many accounts in memory.
     fn account(
         &mut self,
         now: Micros,
@@ -252,34 +263,37 @@
     ) -> Option<&mut Account> {
         if !self.accounts.contains_key(&entry.account) {
             if self.accounts.len() >= self.settings.max_accounts {
-                self.remove_idle(now, CHECKED_PER_REPORT);
+                self.remove_idle(now, REMOVAL_CHECKS_PER_REPORT);
             }
             if self.accounts.len() >= self.settings.max_accounts {
                 return None;
             }
             self.removal_queue.push_back(entry.account);
         }
-        let new = || Account::open(owned_since, entry.limits);
-        let account = self.accounts.entry(entry.account).or_insert_with(new);
-        if account.is_older_than(owned_since) {
-            *account = new();
+        let new_account = || Account::open(owned_since, entry.limits);
+        let account = self
+            .accounts
+            .entry(entry.account)
+            .or_insert_with(new_account);
+        if account.opened_before(owned_since) {
+            *account = new_account();
         }
         Some(account)
     }
 
-    /// Checks the next `count` accounts; removes those that this allocator does not own any more, and
-    /// those with a full bucket of which no units are leased.
+    /// Checks the next `count` accounts. Removes those that this allocator does not own any more, and
+    /// those with a full bucket of which no granted units may still be returned.
     fn remove_idle(&mut self, now: Micros, count: usize) {
         for _ in 0..count.min(self.removal_queue.len()) {
             let Some(key) = self.removal_queue.pop_front() else {
                 return;
             };
-            let owned = self.ownership.owned_since(now, key).is_some();
+            let is_owned = self.ownership.owned_since(now, key).is_some();
             let clock = self.clock;
             let removable = self
                 .accounts
                 .get_mut(&key)
-                .is_none_or(|account| !owned || account.is_idle(now, clock));
+                .is_none_or(|account| !is_owned || account.is_idle(now, clock));
             if removable {
                 self.accounts.remove(&key);
             } else {
@@ -289,6 +303,7 @@
     }
 }
 
+/// Returns the result for an account that does not have the units that requests wait for.
 fn exhausted(units: u64, hold_off: Micros) -> GrantEntry {
     let hold_off_ms = u32::try_from(hold_off.div_ceil(MICROS_PER_MILLI))
         .unwrap_or(u32::MAX)
--- a/src/quota_lease/bucket.rs
+++ b/src/quota_lease/bucket.rs
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Adds the units that have accrued since the last call, up to a level of `burst`. Unless the bucket
-    /// becomes full, the time in which a fraction of a thousandth accrued is carried over to the next call.
+    /// Adds the units that have accrued since the last call, up to a level of `burst`. Unless the
+    /// bucket becomes full, the time in which a fraction of a thousandth accrued is carried over to
+    /// the next call.
     pub fn fill(&mut self, now: Micros, rate: FillRate, burst: MilliUnits) {
         let elapsed = now.saturating_sub(self.filled_until);
         let capacity = burst_level(burst).saturating_sub(self.level);
@@ -96,8 +97,8 @@
         };
     }
 
-    /// Discards the fraction of a thousandth that has accrued by `now`. Called when the rate changes, as
-    /// the fraction accrued at the previous rate.
+    /// Discards the fraction of a thousandth that has accrued by `now`. Called when the rate
+    /// changes, as the fraction accrued at the previous rate.
     pub fn discard_fraction(&mut self, now: Micros) {
         self.filled_until = self.filled_until.max(now);
     }
--- a/src/quota_lease/frame.rs
+++ b/src/quota_lease/frame.rs
@@ -127,8 +127,8 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// A stream on which a sequence of reads or writes has one common deadline. A socket timeout alone would
-/// start again with each byte that a slow peer sends or accepts.
+/// A stream on which a sequence of reads or writes has one common deadline. A socket timeout alone
+/// would start again with each byte that a slow peer sends or accepts.
 struct DeadlineStream<'a> {
     stream: &'a TcpStream,
     deadline: Instant,
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -37,7 +37,8 @@
     pub connect: Duration,
     /// Maximum time to write a report.
     pub write: Duration,
-    /// Maximum time until the first byte of the answer to a report, and again from there to its last byte.
+    /// Maximum time until the first byte of the answer to a report, and again from there to its
+    /// last byte.
     pub answer: Duration,
 }
 
@@ -149,9 +150,9 @@
         }
     }
 
-    /// Sends a report and waits for its answer. If the open connection was closed since its last answer,
-    /// the report is sent again on a new one. That is safe as an allocator grants units only once for a
-    /// report that it receives twice.
+    /// Sends a report and waits for its answer. If the open connection was closed since its last
+    /// answer, the report is sent again on a new one. That is safe as an allocator grants units
+    /// only once for a report that it receives twice.
     fn exchange(&mut self, report: &[u8]) -> Result<Grant, LinkError> {
         if let Some(open) = self.connection.take() {
             match self.exchange_on(&open, report) {
--- a/src/quota_lease/message/columns.rs
+++ b/src/quota_lease/message/columns.rs
@@ -1,14 +1,14 @@
-//! Columns of numbers, and the checks that both kinds of message have in common.
+//! Access to columns of numbers, and the checks that reports and grants have in common.
 
 use super::{MessageError, MilliUnits, FORMAT, MAX_BYTES, MAX_ENTRIES, MAX_UNITS};
 use prost::Message;
 
-/// Returns the value of an entry, zero in a column that is left out.
+/// Returns the value of an entry in a column; zero if the column is left out.
 pub(super) fn value<T: Copy + Default>(column: &[T], index: usize) -> T {
     column.get(index).copied().unwrap_or_default()
 }
 
-/// Empties a column that holds only zeros.
+/// Empties a column that holds only zeros, so that it is left out of the encoded message.
 pub(super) fn omit_if_zero<T: Default + PartialEq>(column: &mut Vec<T>) {
     if column.iter().all(|value| *value == T::default()) {
         column.clear();
@@ -23,6 +23,7 @@
     M::decode(bytes).map_err(MessageError::Malformed)
 }
 
+/// Checks that the version of the format is [`FORMAT`].
 pub(super) fn check_format(format: u32) -> Result<(), MessageError> {
     if format != FORMAT {
         return Err(MessageError::Format(format));
@@ -30,7 +31,8 @@
     Ok(())
 }
 
-/// Checks the number of entries and that each column has as many or is left out.
+/// Checks that there are no more than [`MAX_ENTRIES`], and that each column has a value for each
+/// entry or is left out.
 pub(super) fn check_columns(entries: usize, lengths: &[usize]) -> Result<(), MessageError> {
     if entries > MAX_ENTRIES {
         return Err(MessageError::Entries("too many"));
@@ -44,6 +46,7 @@
     Ok(())
 }
 
+/// Checks that no number of units exceeds [`MAX_UNITS`].
 pub(super) fn check_units(mut units: impl Iterator<Item = MilliUnits>) -> Result<(), MessageError> {
     if units.any(|units| units > MAX_UNITS) {
         return Err(MessageError::Entries("too many units"));
--- a/src/quota_lease/message/error.rs
+++ b/src/quota_lease/message/error.rs
@@ -1,50 +1,53 @@
-//! Errors of messages, and how often each occurred.
+//! Reasons for dropping messages, and counters of dropped messages.
 
 use super::{FORMAT, MAX_BYTES};
 use thiserror::Error;
 
-/// Why a message is dropped.
+/// Reason why a message is dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// Longer than [`MAX_BYTES`].
-    #[error("message of {0} bytes, {MAX_BYTES} at most")]
+    /// The message is longer than [`MAX_BYTES`]; has its length in bytes.
+    #[error("message of {0} bytes, expected at most {MAX_BYTES}")]
     TooLong(usize),
-    /// Not a protocol buffer of this type, or truncated.
-    #[error("message can't be read: {0}")]
+    /// The message is truncated or not a protocol buffer of the expected type.
+    #[error("message cannot be decoded: {0}")]
     Malformed(#[source] prost::DecodeError),
-    /// Another version of the format.
-    #[error("message of format {0}, wanted {FORMAT}")]
+    /// The message has another version of the format than [`FORMAT`].
+    #[error("message of format {0}, expected {FORMAT}")]
     Format(u32),
-    /// Too many entries, columns of different lengths, or an index or number out of range.
-    #[error("entries of the message don't fit together: {0}")]
+    /// The message has too many entries, columns of different lengths, or an index or number out of
+    /// range.
+    #[error("message with invalid entries: {0}")]
     Entries(&'static str),
-    /// The sender is not a configured member.
-    #[error("unknown sender {0}")]
+    /// The number of the sender is not that of a configured limiter or allocator, or not that of the
+    /// allocator on this connection.
+    #[error("message from unknown sender {0}")]
     UnknownSender(u32),
-    /// Older than the last message of this sender, or not the answer to the last report.
+    /// The message is older than the last one of its sender, or does not answer the report in
+    /// flight; has its sequence number.
     #[error("outdated message with sequence {0}")]
     Outdated(u64),
 }
 
-/// Counts dropped messages by reason.
+/// Number of dropped messages, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DroppedMessages {
-    /// [`MessageError::TooLong`].
+    /// Messages with [`MessageError::TooLong`].
     pub too_long: u64,
-    /// [`MessageError::Malformed`].
+    /// Messages with [`MessageError::Malformed`].
     pub malformed: u64,
-    /// [`MessageError::Format`].
+    /// Messages with [`MessageError::Format`].
     pub format: u64,
-    /// [`MessageError::Entries`].
+    /// Messages with [`MessageError::Entries`].
     pub entries: u64,
-    /// [`MessageError::UnknownSender`].
+    /// Messages with [`MessageError::UnknownSender`].
     pub unknown_sender: u64,
-    /// [`MessageError::Outdated`].
+    /// Messages with [`MessageError::Outdated`].
     pub outdated: u64,
 }
 
 impl DroppedMessages {
-    /// Counts one message.
+    /// Counts one message that is dropped for `reason`.
     pub fn count(&mut self, reason: &MessageError) {
         let counter = match reason {
             MessageError::TooLong(_) => &mut self.too_long,
--- a/src/quota_lease/message/grant.rs
+++ b/src/quota_lease/message/grant.rs
@@ -1,26 +1,28 @@
-//! Grants: what allocators answer to reports.
+//! Grants: the answers of allocators to reports.
 
 use super::columns::{check_columns, check_format, check_units, decode, omit_if_zero, value};
 use super::{MessageError, MilliUnits};
 use prost::Message;
 
-/// Result of one entry of a report.
+/// Whether the units that an entry of a report requests were granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Verdict {
-    /// The units are leased.
+    /// The units that requests wait for are granted.
     Granted = 0,
-    /// The bucket does not hold the units that requests wait for. What it does hold is leased; the rest
-    /// is not available before the time in `hold_off_ms` has passed.
+    /// The account's bucket does not hold all units that requests wait for. Those that it holds are
+    /// granted; the rest is not available before the time in `hold_off_ms` has passed.
     Exhausted = 1,
-    /// The account belongs to another allocator, or no allocator may grant for it now.
+    /// This allocator does not own the account: another one does, or no allocator may grant its
+    /// units now.
     NotOwner = 2,
 }
 
-/// From an allocator to a limiter: the answer to one report, entry by entry in its order.
+/// Message from an allocator to a limiter that answers one report, with one entry for each entry of the
+/// report, in the same order.
 #[derive(Clone, PartialEq, Message)]
 pub struct Grant {
-    /// [`FORMAT`](super::FORMAT).
+    /// Version of the message format, [`FORMAT`](super::FORMAT).
     #[prost(uint32, tag = "1")]
     pub format: u32,
     /// Number of the allocator.
@@ -32,63 +34,67 @@
     /// Incarnation of the limiter whose report is answered.
     #[prost(uint64, tag = "4")]
     pub limiter_incarnation: u64,
-    /// Number of the report that is answered.
+    /// Sequence number of the report that is answered.
     #[prost(uint64, tag = "5")]
     pub sequence: u64,
-    /// The allocator holds its own lease. Otherwise the rest of the answer is invalid.
+    /// Whether the allocator holds its own lease from the fleet of allocators. If not, `reassigned` is
+    /// to be ignored and nothing is granted.
     #[prost(bool, tag = "6")]
     pub serving: bool,
-    /// Bit set of the allocators whose accounts are reassigned to the others, by number.
+    /// Bit set, by number, of the allocators whose accounts are reassigned to the other allocators.
     #[prost(uint64, tag = "7")]
     pub reassigned: u64,
-    /// Time slot in which the units are granted; units are returned with its number.
+    /// Number of the time slot in which the units are granted. Returned units carry this number.
     #[prost(uint64, tag = "8")]
     pub slot: u64,
-    /// Duration of the lease in ms, from the first sending of the report.
+    /// Duration of the lease in ms, from the time at which the report was first sent.
     #[prost(uint32, tag = "9")]
     pub lease_ms: u32,
     /// Number of entries.
     #[prost(uint32, tag = "10")]
     pub entries: u32,
-    /// By entry: a [`Verdict`].
+    /// By entry: the [`Verdict`].
     #[prost(enumeration = "Verdict", repeated, tag = "11")]
     pub verdict: Vec<i32>,
-    /// By entry: units that are leased.
+    /// By entry: units that are granted.
     #[prost(uint64, repeated, tag = "12")]
     pub units: Vec<MilliUnits>,
-    /// By entry: ms from the arrival of the answer; see [`Verdict::Exhausted`].
+    /// By entry: time in ms, from the arrival of the answer, for which the limiter is to request no
+    /// units of the account; see [`Verdict::Exhausted`].
     #[prost(uint32, repeated, tag = "13")]
     pub hold_off_ms: Vec<u32>,
 }
 
-/// Result of one entry of a report.
+/// One entry of a grant: the result of one entry of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantEntry {
-    /// Granted, exhausted or not the owner.
+    /// Whether the requested units are granted.
     pub verdict: Verdict,
-    /// Units that are leased.
+    /// Units that are granted.
     pub units: MilliUnits,
-    /// With [`Verdict::Exhausted`]: time in ms before the next request for the account.
+    /// With [`Verdict::Exhausted`]: time in ms for which the limiter is to request no units of the
+    /// account.
     pub hold_off_ms: u32,
 }
 
 impl Grant {
-    /// Decodes and checks an answer.
+    /// Decodes and checks a grant.
     ///
     /// # Errors
     ///
-    /// If it can't be decoded or [`check`](Self::check) fails.
+    /// If the bytes cannot be decoded or [`check`](Self::check) fails.
     pub fn read(bytes: &[u8]) -> Result<Self, MessageError> {
         let grant: Self = decode(bytes)?;
         grant.check()?;
         Ok(grant)
     }
 
-    /// Checks that the entries fit together.
+    /// Checks that the columns have equal lengths and all values are in range.
     ///
     /// # Errors
     ///
-    /// If the format, the length of a column, a verdict or a number is out of range.
+    /// If the format is unsupported, columns have different lengths, a verdict is unknown, or a
+    /// number of entries or units exceeds its maximum.
     pub fn check(&self) -> Result<(), MessageError> {
         check_format(self.format)?;
         let columns = [self.verdict.len(), self.units.len(), self.hold_off_ms.len()];
@@ -103,7 +109,7 @@
         check_units(self.units.iter().copied())
     }
 
-    /// Adds an entry. [`Self::leave_out_zeros`] must not have been called before.
+    /// Adds an entry. Must not be called after [`Self::leave_out_zeros`], which empties columns.
     pub fn push(&mut self, entry: &GrantEntry) {
         self.entries += 1;
         self.verdict.push(entry.verdict as i32);
@@ -111,14 +117,14 @@
         self.hold_off_ms.push(entry.hold_off_ms);
     }
 
-    /// Leaves out the columns that hold only zeros.
+    /// Empties the columns that hold only zeros, so that they are left out of the encoded message.
     pub fn leave_out_zeros(&mut self) {
         omit_if_zero(&mut self.verdict);
         omit_if_zero(&mut self.units);
         omit_if_zero(&mut self.hold_off_ms);
     }
 
-    /// Returns the entries of an answer that was checked.
+    /// Returns the entries of a grant that has passed [`check`](Self::check).
     pub fn entries(&self) -> impl Iterator<Item = GrantEntry> + '_ {
         (0..self.entries as usize).map(|index| GrantEntry {
             verdict: Verdict::try_from(value(&self.verdict, index)).unwrap_or(Verdict::NotOwner),
--- a/src/quota_lease/message/mod.rs
+++ b/src/quota_lease/message/mod.rs
@@ -1,7 +1,7 @@
 //! Messages between limiters and allocators.
 //!
-//! Entries of a message are columns of equal length, as protocol buffers pack a column of numbers
-//! without a tag for each. A column that holds only zeros may be left out.
+//! The entries of a message are encoded as columns of equal length, because protocol buffers pack a
+//! column of numbers without a tag for each number. A column of zeros only may be left out.
 
 mod columns;
 mod error;
@@ -16,17 +16,17 @@
 
 /// Version of the message format.
 pub const FORMAT: u32 = 1;
-/// The most entries of one report. Further ones go with the next report.
+/// Maximum number of entries in one report. Further entries go into the next report.
 pub const MAX_ENTRIES: usize = 1_024;
-/// The longest encoded message, in bytes.
+/// Maximum length of an encoded message, in bytes.
 pub const MAX_BYTES: usize = 256 * 1_024;
-/// The most plans of one report.
+/// Maximum number of plans in one report.
 pub const MAX_PLANS: usize = 256;
-/// The largest number of units, rate or burst in a message. Sums over a whole message stay far from
-/// overflow.
+/// Maximum of each number of units, rate and burst in a message, low enough that sums over a whole
+/// message cannot overflow.
 pub const MAX_UNITS: MilliUnits = 1_000_000_000_000_000;
 
-/// Units of a quota in thousandths.
+/// Quota units in thousandths of a unit.
 pub type MilliUnits = u64;
 
 /// Identifies an account in messages and in placement.
@@ -34,8 +34,8 @@
 pub struct AccountKey(pub u64);
 
 impl AccountKey {
-    /// Returns the key of the account with this name, the same at every limiter: the first eight bytes
-    /// of its BLAKE3 hash, big endian.
+    /// Returns the key of the account with this name: the first eight bytes of the name's BLAKE3
+    /// hash as a big-endian integer. Every limiter computes the same key.
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let mut key = [0; size_of::<u64>()];
@@ -47,7 +47,7 @@
 /// Rate and burst of one plan in the sending limiter's configuration.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct PlanLimits {
-    /// Thousandths of a unit a second.
+    /// Thousandths of a unit per second.
     #[prost(uint64, tag = "1")]
     pub rate: MilliUnits,
     /// Capacity of the token bucket in thousandths of a unit.
--- a/src/quota_lease/message/report.rs
+++ b/src/quota_lease/message/report.rs
@@ -1,27 +1,29 @@
-//! Reports: what limiters send to allocators.
+//! Reports: the messages of limiters to allocators.
 
 use super::columns::{check_columns, check_format, check_units, decode, omit_if_zero, value};
 use super::{AccountKey, MessageError, MilliUnits, PlanLimits, MAX_PLANS};
 use prost::Message;
 
-/// From a limiter to an allocator: the accounts for which it requests or returns units.
+/// Message from a limiter to an allocator: the accounts for which the limiter requests or returns
+/// units, or reports use of the fallback share.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// [`FORMAT`](super::FORMAT).
+    /// Version of the message format, [`FORMAT`](super::FORMAT).
     #[prost(uint32, tag = "1")]
     pub format: u32,
     /// Number of the limiter.
     #[prost(uint32, tag = "2")]
     pub limiter: u32,
-    /// Incarnation of the limiter: fixed at the start of its process, higher in a later one.
+    /// Incarnation of the limiter: set when its process starts, and higher in each later process.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Sequence number of the limiter's reports to this allocator, from 1. A retry keeps its number.
+    /// Sequence number among the limiter's reports to this allocator, from 1. A retry has the number of
+    /// the report that it repeats.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
-    /// Incarnation of the allocator as the limiter knows it; another incarnation grants nothing for the
-    /// report. 0 addresses any, and such a report neither returns units nor reports use of the fallback
-    /// share.
+    /// Incarnation of the allocator that the report is addressed to, the last one known to the limiter.
+    /// Any other incarnation grants nothing for the report. 0 addresses any incarnation; such a report
+    /// neither returns units nor reports use of the fallback share.
     #[prost(uint64, tag = "5")]
     pub addressed_to: u64,
     /// Limits of the plans that the entries refer to.
@@ -33,19 +35,19 @@
     /// By entry: index into `plans`.
     #[prost(uint32, repeated, tag = "8")]
     pub plan_index: Vec<u32>,
-    /// By entry: units for requests that wait for them.
+    /// By entry: units for requests that are waiting for them.
     #[prost(uint64, repeated, tag = "9")]
     pub waiting: Vec<MilliUnits>,
-    /// By entry: units for requests that are expected within a lease's lifetime.
+    /// By entry: units for requests that are expected within the duration of a lease.
     #[prost(uint64, repeated, tag = "10")]
     pub expected: Vec<MilliUnits>,
-    /// By entry: units of an expired lease that were not used.
+    /// By entry: unused units of an expired lease, which are returned.
     #[prost(uint64, repeated, tag = "11")]
     pub returned: Vec<MilliUnits>,
-    /// By entry: slot of the grant that the returned units came with.
+    /// By entry: time slot in which the returned units were granted.
     #[prost(uint64, repeated, tag = "12")]
     pub returned_slot: Vec<u64>,
-    /// By entry: units that requests used of the fallback share.
+    /// By entry: units of the fallback share that requests used.
     #[prost(uint64, repeated, tag = "13")]
     pub fallback_used: Vec<MilliUnits>,
 }
@@ -53,24 +55,24 @@
 /// One entry of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportEntry {
-    /// The account.
+    /// Key of the account.
     pub account: AccountKey,
-    /// Its plan.
+    /// Limits of the account's plan.
     pub limits: PlanLimits,
-    /// Units for requests that wait.
+    /// Units for requests that are waiting for them.
     pub waiting: MilliUnits,
-    /// Units for requests that are expected.
+    /// Units for requests that are expected within the duration of a lease.
     pub expected: MilliUnits,
-    /// Units that were not used.
+    /// Unused units of an expired lease, which are returned.
     pub returned: MilliUnits,
-    /// Slot in which they were granted.
+    /// Time slot in which the returned units were granted.
     pub returned_slot: u64,
-    /// Units that requests used of the fallback share.
+    /// Units of the fallback share that requests used.
     pub fallback_used: MilliUnits,
 }
 
 impl ReportEntry {
-    /// Returns an entry that requests nothing.
+    /// Returns an entry that neither requests, returns nor reports units.
     pub fn new(account: AccountKey, limits: PlanLimits) -> Self {
         Self {
             account,
@@ -89,18 +91,19 @@
     ///
     /// # Errors
     ///
-    /// If it can't be decoded or [`check`](Self::check) fails.
+    /// If the bytes cannot be decoded or [`check`](Self::check) fails.
     pub fn read(bytes: &[u8]) -> Result<Self, MessageError> {
         let report: Self = decode(bytes)?;
         report.check()?;
         Ok(report)
     }
 
-    /// Checks that the entries fit together.
+    /// Checks that the columns have equal lengths and all values are in range.
     ///
     /// # Errors
     ///
-    /// If the format, the length of a column, the index of a plan or a number is out of range.
+    /// If the format is unsupported, columns have different lengths, the index of a plan is out of
+    /// range, or a number of entries, plans or units exceeds its maximum.
     pub fn check(&self) -> Result<(), MessageError> {
         check_format(self.format)?;
         let columns = [
@@ -135,10 +138,11 @@
         check_units(plan_values.chain(entry_columns.into_iter().flatten().copied()))
     }
 
-    /// Adds an entry. [`Self::leave_out_zeros`] must not have been called before.
+    /// Adds an entry, and its plan if the report does not have it yet. Must not be called after
+    /// [`Self::leave_out_zeros`], which empties columns.
     pub fn push(&mut self, entry: &ReportEntry) {
-        let known = self.plans.iter().position(|plan| *plan == entry.limits);
-        let plan = known.unwrap_or_else(|| {
+        let existing = self.plans.iter().position(|plan| *plan == entry.limits);
+        let plan = existing.unwrap_or_else(|| {
             self.plans.push(entry.limits);
             self.plans.len() - 1
         });
@@ -151,7 +155,7 @@
         self.fallback_used.push(entry.fallback_used);
     }
 
-    /// Leaves out the columns that hold only zeros.
+    /// Empties the columns that hold only zeros, so that they are left out of the encoded message.
     pub fn leave_out_zeros(&mut self) {
         omit_if_zero(&mut self.plan_index);
         omit_if_zero(&mut self.waiting);
@@ -161,7 +165,7 @@
         omit_if_zero(&mut self.fallback_used);
     }
 
-    /// Returns the entries of a report that was checked.
+    /// Returns the entries of a report that has passed [`check`](Self::check).
     pub fn entries(&self) -> impl Iterator<Item = ReportEntry> + '_ {
         self.accounts.iter().enumerate().map(|(index, account)| {
             let plan = value(&self.plan_index, index) as usize;
