--- a/src/quota_lease/server/connections.rs
+++ b/src/quota_lease/server/connections.rs
@@ -1,8 +1,8 @@
-//! The connections of limiters.
+//! Connections from limiters.
 //!
-//! Each connection has a thread of its own that reads a report, passes it to the owner of the allocator,
-//! waits for the grant and writes it. A limiter that is slow, silent or sends garbage so delays its own
-//! connection only.
+//! Each connection has its own thread, which reads a report, passes it to the allocator thread, waits for
+//! the grant and writes it. A limiter that is slow, sends nothing or sends invalid data therefore delays
+//! only its own connection.
 
 use super::input::Input;
 use crate::log_throttle::LogThrottle;
@@ -18,14 +18,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Pause after an error of the listener, such as a lack of file descriptors.
+/// Pause after an error of the listener. An error such as a lack of file descriptors would otherwise
+/// recur at once.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// Counts open connections, and those closed because of an error, by reason.
+/// Number of open connections, and numbers of connections closed because of an error, by reason.
 #[derive(Default)]
 pub(super) struct ConnectionCounters {
     open: AtomicUsize,
-    /// There were too many connections.
+    /// Connections over the limit of open connections.
     refused: AtomicU64,
     idle: AtomicU64,
     frame_timeout: AtomicU64,
@@ -76,14 +77,14 @@
     }
 }
 
-/// Why a connection ends.
+/// Reason why a connection is closed.
 #[derive(Debug, Error)]
 enum ConnectionError {
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error(transparent)]
     Message(#[from] MessageError),
-    #[error("the allocator ends")]
+    #[error("the allocator is shutting down")]
     Stopping,
 }
 
@@ -91,7 +92,7 @@
 pub(super) struct Connections {
     pub(super) inputs: Sender<Input>,
     pub(super) timeouts: Timeouts,
-    /// The most open connections.
+    /// Maximum number of open connections.
     pub(super) limit: usize,
     pub(super) counters: ConnectionCounters,
     pub(super) error_throttle: LogThrottle,
@@ -99,7 +100,7 @@
 }
 
 impl Connections {
-    /// Accepts connections for ever.
+    /// Accepts connections; never returns.
     pub(super) fn accept(self: Arc<Self>, listener: &TcpListener) {
         loop {
             match listener.accept() {
@@ -112,8 +113,9 @@
         }
     }
 
+    /// Starts a thread that serves a connection, or closes it if there are too many.
     fn open(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
-        let open = OpenConnection::new(self.clone());
+        let open_guard = OpenConnectionGuard::new(self.clone());
         if self.counters.open.load(Ordering::Relaxed) > self.limit {
             self.counters.refused.fetch_add(1, Ordering::Relaxed);
             return self.log_closed(Some(peer), "too many connections");
@@ -121,7 +123,7 @@
         let connections = self.clone();
         let serve = move || {
             let error = connections.serve(&stream);
-            drop(open);
+            drop(open_guard);
             connections.record_closed(peer, &error);
         };
         if let Err(error) = spawn("limiter", serve) {
@@ -130,6 +132,7 @@
         }
     }
 
+    /// Counts a closed connection, and logs it unless the limiter closed it or the allocator is stopping.
     fn record_closed(&self, peer: SocketAddr, error: &ConnectionError) {
         if let ConnectionError::Frame(error) = error {
             self.counters.count_closed(error);
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Answers reports until an error ends the connection.
+    /// Answers reports until the connection is to be closed, and returns the reason.
     fn serve(&self, stream: &TcpStream) -> ConnectionError {
         if let Err(error) = stream.set_nodelay(true) {
             return FrameError::Io(error).into();
@@ -155,13 +158,14 @@
         }
     }
 
+    /// Reads one report and writes its grant.
     fn answer_report(&self, stream: &TcpStream) -> Result<(), ConnectionError> {
         let bytes = frame::read(stream, self.timeouts)?;
         let report = Report::read(&bytes).inspect_err(|reason| {
-            // Without the owner there is nobody to count it.
+            // Sending fails only if the allocator thread has ended. The message is not counted then.
             _ = self.inputs.send(Input::Undecodable(reason.clone()));
         })?;
-        let (answer, answered) = bounded(1);
+        let (answer, grants) = bounded(1);
         let input = Input::Report {
             report: Box::new(report),
             answer,
@@ -169,12 +173,13 @@
         self.inputs
             .send(input)
             .map_err(|_| ConnectionError::Stopping)?;
-        match answered.recv().map_err(|_| ConnectionError::Stopping)? {
+        match grants.recv().map_err(|_| ConnectionError::Stopping)? {
             Ok(grant) => {
                 frame::write(stream, &grant.encode_to_vec(), self.timeouts.frame)?;
                 Ok(())
             }
-            // A later report was answered already, so the limiter does not wait for this answer.
+            // The allocator has already answered a later report, so the limiter does not wait for this
+            // answer.
             Err(MessageError::Outdated(_)) => Ok(()),
             Err(reason) => Err(reason.into()),
         }
@@ -188,17 +193,17 @@
     }
 }
 
-/// Counts a connection as long as it is open.
-struct OpenConnection(Arc<Connections>);
+/// Counts a connection as open until it is dropped.
+struct OpenConnectionGuard(Arc<Connections>);
 
-impl OpenConnection {
+impl OpenConnectionGuard {
     fn new(connections: Arc<Connections>) -> Self {
         connections.counters.open.fetch_add(1, Ordering::Relaxed);
         Self(connections)
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.counters.open.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/quota_lease/server/input.rs
+++ b/src/quota_lease/server/input.rs
@@ -1,23 +1,23 @@
-//! Inputs of the thread that owns the allocator.
+//! Inputs of the allocator thread.
 
 use crate::quota_lease::allocator::Ownership;
 use crate::quota_lease::message::{Grant, MessageError, Report};
 use crossbeam_channel::Sender;
 
-/// An input of the thread. A connection has at most one report in the queue, so the number of connections
-/// bounds it.
+/// An input of the allocator thread. The queue of inputs is bounded by the number of connections, as each
+/// connection has at most one report in it.
 pub(super) enum Input {
-    /// A report of a limiter.
+    /// A limiter sent a report.
     Report {
         /// The report.
         report: Box<Report>,
-        /// Receives the grant.
+        /// Channel for the grant, or for the reason why the report is dropped.
         answer: Sender<Result<Grant, MessageError>>,
     },
-    /// A message that could not be decoded.
+    /// A limiter sent a message that is not a valid report.
     Undecodable(MessageError),
-    /// The leases of the allocators have changed.
+    /// The leases of the fleet of allocators have changed.
     Ownership(Ownership),
-    /// Stop, and send a message on this channel.
+    /// The thread is to stop, and to confirm that on this channel.
     Stop(Sender<()>),
 }
--- a/src/quota_lease/server/mod.rs
+++ b/src/quota_lease/server/mod.rs
@@ -1,5 +1,5 @@
-//! The allocator's process: connections of limiters, the fleet of allocators, and the thread that owns the
-//! [`Allocator`](super::allocator::Allocator).
+//! The allocator's process: the connections from limiters, the membership in the fleet of allocators, and
+//! the allocator thread, which owns the [`Allocator`](super::allocator::Allocator).
 
 mod connections;
 mod input;
@@ -13,7 +13,7 @@
 use connections::{ConnectionCounters, Connections};
 use crossbeam_channel::{bounded, unbounded, Sender};
 use input::Input;
-use owner::{ownership, Owner};
+use owner::{ownership_from_shares, AllocatorThread};
 use rustix::process::{getrlimit, Resource};
 use slog::{info, o, warn, Logger};
 use socket2::{Domain, Socket, Type};
@@ -24,12 +24,12 @@
 
 pub use settings::ServerSettings;
 
-/// The longest wait for the last answers when the process ends.
+/// Maximum time that a shutdown waits for the last answers.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections that wait to be accepted. All limiters may reconnect within one second, and one that is
-/// refused retries after a second or more.
+/// Maximum number of connections that wait to be accepted. All limiters may reconnect within the same
+/// second, and a limiter whose connection is refused retries only after a second or more.
 const BACKLOG: i32 = 4_096;
-/// Bound on the file descriptors that are not connections of limiters.
+/// Upper bound on the number of file descriptors that are not connections from limiters.
 const OTHER_DESCRIPTORS: usize = 32;
 
 /// An allocator that serves limiters.
@@ -45,11 +45,11 @@
     ///
     /// # Errors
     ///
-    /// If the address is not available or a thread can't be started.
+    /// If listening on the address fails or a thread cannot be started.
     pub fn start(settings: ServerSettings, log: &Logger) -> io::Result<Self> {
         warn_if_few_descriptors(&settings, log);
         let clock = Clock::start();
-        let (inputs, received) = unbounded();
+        let (inputs, input_queue) = unbounded();
         let listener = listen(settings.listen)?;
         let address = listener.local_addr()?;
         let connections = Arc::new(Connections {
@@ -60,9 +60,10 @@
             error_throttle: LogThrottle::default(),
             log: log.new(o!("part" => "connections")),
         });
-        let owner_log = log.new(o!("part" => "allocator"));
-        let owner = Owner::new(&settings, clock, connections.clone(), owner_log);
-        spawn("allocator", move || owner.run(&received))?;
+        let allocator_log = log.new(o!("part" => "allocator"));
+        let allocator_thread =
+            AllocatorThread::new(&settings, clock, connections.clone(), allocator_log);
+        spawn("allocator", move || allocator_thread.run(&input_queue))?;
         spawn("accept", move || connections.accept(&listener))?;
         let fleet = start_fleet(settings.fleet, clock, inputs.clone(), log)?;
         info!(log, "listening"; "address" => %address, "allocator" => settings.number,
@@ -74,8 +75,8 @@
         })
     }
 
-    /// Stops in a graceful shutdown: answers the reports received, grants nothing after that, and leaves
-    /// the fleet of allocators.
+    /// Shuts down gracefully: answers the reports that have been received, grants nothing after that, and
+    /// leaves the fleet of allocators.
     pub fn stop(self) {
         let (done, stopped) = bounded(1);
         if self.inputs.send(Input::Stop(done)).is_ok() {
@@ -85,7 +86,7 @@
     }
 }
 
-/// Joins the fleet of allocators, whose leases decide on the ownership of accounts.
+/// Joins the fleet of allocators, whose leases determine which allocator owns an account.
 fn start_fleet(
     settings: FleetSettings,
     clock: Clock,
@@ -95,8 +96,8 @@
     let fleet = Fleet::start(
         settings,
         clock,
-        // The thread of the owner ends only with the process.
-        move |shares| _ = inputs.send(Input::Ownership(ownership(&shares))),
+        // Sending fails only during shutdown, after the allocator thread has ended.
+        move |shares| _ = inputs.send(Input::Ownership(ownership_from_shares(&shares))),
         log.new(o!("part" => "membership")),
     )?;
     fleet.set_active(true);
@@ -111,7 +112,8 @@
     Ok(socket.into())
 }
 
-/// Logs a warning if the limit of file descriptors is too low for the configured connections.
+/// Logs a warning if the limit on open file descriptors is too low for the configured number of
+/// connections.
 fn warn_if_few_descriptors(settings: &ServerSettings, log: &Logger) {
     let wanted = (settings.connections + OTHER_DESCRIPTORS) as u64;
     let Some(allowed) = getrlimit(Resource::Nofile).current else {
--- a/src/quota_lease/server/owner.rs
+++ b/src/quota_lease/server/owner.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the allocator: it processes reports and logs figures.
+//! The allocator thread: it owns the [`Allocator`], processes reports and logs metrics.
 
 use super::connections::Connections;
 use super::input::Input;
@@ -12,15 +12,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Whether the thread goes on.
+/// Whether the thread continues after an input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flow {
     Continue,
     Stop,
 }
 
-/// Returns the ownership of accounts by the leases of the fleet of allocators.
-pub(super) fn ownership(shares: &QuotaShares) -> Ownership {
+/// Converts the leases of the fleet of allocators to the state that determines the ownership of accounts.
+pub(super) fn ownership_from_shares(shares: &QuotaShares) -> Ownership {
     let mut reassigned = 0;
     for (number, is_reassigned) in shares.reassigned.iter().enumerate() {
         if *is_reassigned {
@@ -34,14 +34,16 @@
     }
 }
 
-/// Counters of answered reports since the start.
+/// Counters of answered reports since the start of the process.
 #[derive(Default)]
 struct ReportCounters {
     reports: u64,
     entries: u64,
-    /// In thousandths of a unit.
+    /// Granted units in thousandths of a unit.
     granted: u64,
+    /// Entries answered with [`Verdict::Exhausted`].
     exhausted: u64,
+    /// Entries answered with [`Verdict::NotOwner`].
     not_owner: u64,
 }
 
@@ -60,25 +62,27 @@
     }
 }
 
-/// The allocator's own lease, as logged last.
+/// The allocator's own lease.
 #[derive(Default)]
-struct LoggedLease {
-    held: bool,
+struct OwnLease {
+    /// Whether the lease was held when its state was last logged.
+    logged_held: bool,
+    /// End of the lease, as last received from the fleet.
     ends: Micros,
 }
 
-/// The state of the thread.
-pub(super) struct Owner {
+/// State of the allocator thread.
+pub(super) struct AllocatorThread {
     allocator: Allocator,
     clock: Clock,
     connections: Arc<Connections>,
     counters: ReportCounters,
-    lease: LoggedLease,
+    lease: OwnLease,
     log_interval: Duration,
     log: Logger,
 }
 
-impl Owner {
+impl AllocatorThread {
     pub(super) fn new(
         settings: &ServerSettings,
         clock: Clock,
@@ -102,17 +106,17 @@
             clock,
             connections,
             counters: ReportCounters::default(),
-            lease: LoggedLease::default(),
+            lease: OwnLease::default(),
             log_interval: settings.log_interval,
             log,
         }
     }
 
-    /// Runs until [`Input::Stop`], or until every sender of inputs has been dropped.
+    /// Processes inputs until [`Input::Stop`], or until all senders of inputs have been dropped.
     pub(super) fn run(mut self, inputs: &Receiver<Input>) {
-        let mut next_figures = Instant::now() + self.log_interval;
+        let mut next_metrics_log = Instant::now() + self.log_interval;
         loop {
-            let flow = match inputs.recv_deadline(self.wake_at(next_figures)) {
+            let flow = match inputs.recv_deadline(self.wake_at(next_metrics_log)) {
                 Ok(input) => self.process(input),
                 Err(RecvTimeoutError::Timeout) => Flow::Continue,
                 Err(RecvTimeoutError::Disconnected) => Flow::Stop,
@@ -121,19 +125,20 @@
                 return;
             }
             self.log_lease_change();
-            if Instant::now() >= next_figures {
-                self.log_figures();
-                next_figures = Instant::now() + self.log_interval;
+            if Instant::now() >= next_metrics_log {
+                self.log_metrics();
+                next_metrics_log = Instant::now() + self.log_interval;
             }
         }
     }
 
-    /// Returns when to log without an input: figures, or the end of the own lease.
-    fn wake_at(&self, next_figures: Instant) -> Instant {
-        if self.lease.held {
-            next_figures.min(self.clock.moment(self.lease.ends))
+    /// Returns the next time at which the thread must run even without an input: to log metrics, or to log
+    /// the end of the allocator's own lease.
+    fn wake_at(&self, next_metrics_log: Instant) -> Instant {
+        if self.lease.logged_held {
+            next_metrics_log.min(self.clock.moment(self.lease.ends))
         } else {
-            next_figures
+            next_metrics_log
         }
     }
 
@@ -145,7 +150,7 @@
                 if let Ok(grant) = &grant {
                     self.counters.count(grant);
                 }
-                // The connection may have ended.
+                // Sending fails if the thread of the connection has ended.
                 _ = answer.send(grant);
             }
             Input::Undecodable(reason) => self.allocator.count_dropped(&reason),
@@ -154,8 +159,8 @@
                 self.allocator.set_ownership(now, ownership);
             }
             Input::Stop(done) => {
-                self.log_figures();
-                // The other side may have stopped waiting.
+                self.log_metrics();
+                // Sending fails if the shutdown has stopped waiting.
                 _ = done.send(());
                 return Flow::Stop;
             }
@@ -163,16 +168,17 @@
         Flow::Continue
     }
 
+    /// Logs whether the allocator holds its own lease, if that has changed.
     fn log_lease_change(&mut self) {
         let held = self.allocator.is_serving(self.clock.now());
-        if held != self.lease.held {
-            self.lease.held = held;
+        if held != self.lease.logged_held {
+            self.lease.logged_held = held;
             info!(self.log, "own lease"; "held" => held);
         }
     }
 
-    /// Logs all figures. Their names are an interface for operators.
-    fn log_figures(&self) {
+    /// Logs all metrics. Their names are an interface for operators.
+    fn log_metrics(&self) {
         let now = self.clock.now();
         let counters = &self.counters;
         let dropped = self.allocator.dropped();
--- a/src/quota_lease/server/settings.rs
+++ b/src/quota_lease/server/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the server of an allocator.
+//! Settings of the allocator's server.
 
 use crate::membership::fleet::FleetSettings;
 use crate::quota_lease::frame::Timeouts;
@@ -8,24 +8,24 @@
 /// Settings of a [`Server`](super::Server).
 #[derive(Clone)]
 pub struct ServerSettings {
-    /// Number of the allocator, from 0.
+    /// Number of this allocator, from 0.
     pub number: u32,
-    /// Number of allocators.
+    /// Number of allocators in the fleet.
     pub allocators: u32,
     /// Local address that limiters connect to.
     pub listen: SocketAddr,
     /// Number of limiters, which are numbered from 0.
     pub limiters: u32,
-    /// Duration of a lease.
+    /// Duration of a quota lease.
     pub lifetime: Duration,
-    /// The most accounts in memory.
+    /// Maximum number of accounts in memory.
     pub accounts: usize,
-    /// Timeouts after which a connection is closed.
+    /// Timeouts for reading reports and writing grants. A connection that exceeds one is closed.
     pub timeouts: Timeouts,
-    /// Interval between two lines of figures in the log.
+    /// Interval at which metrics are logged.
     pub log_interval: Duration,
-    /// The most open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Settings of the member of the fleet of allocators.
+    /// Settings of this allocator's membership in the fleet of allocators.
     pub fleet: FleetSettings,
 }
