--- a/src/quota_lease/holder/accounts.rs
+++ b/src/quota_lease/holder/accounts.rs
@@ -1,15 +1,16 @@
-//! The accounts in memory, their timers, and the eviction of unused ones.
+//! The accounts in memory: their timers, and the eviction of unused accounts.
 
 use super::leased_account::ReportDue;
 use super::Holder;
 use crate::decision::Micros;
 use crate::quota_lease::message::AccountKey;
 
-/// Accounts considered for eviction when there are too many.
+/// Maximum number of accounts that are considered for eviction when there are too many.
 const EVICTION_CANDIDATES: usize = 32;
 
 impl Holder {
-    /// Sets the timer of an account. One that has expired already is left as it is.
+    /// Sets the timer of an account to its next check. A timer that has already expired is left
+    /// unchanged.
     pub(super) fn set_timer(&mut self, now: Micros, key: AccountKey) {
         let Some(account) = self.accounts.get_mut(&key) else {
             return;
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Removes an account that is idle; otherwise has its leases renewed or returned if necessary.
+    /// Removes an account if it is idle. Otherwise adds it to the next report if leases are to be
+    /// renewed or returned.
     fn check_account(&mut self, now: Micros, key: AccountKey) {
         let settings = self.settings;
         let has_waiters = self.waiters.contains_key(&key);
@@ -55,8 +57,9 @@
         self.set_timer(now, key);
     }
 
-    /// Makes space for one more account; returns false if there is none. An account whose fallback
-    /// share is not full may be evicted, so accounts opened after that start with an empty share.
+    /// Makes space for one more account, and returns whether there is space. The fallback share of an
+    /// evicted account may be less than full, so the share of every account created after an eviction
+    /// starts empty at the time of that eviction.
     pub(super) fn make_space(&mut self, now: Micros) -> bool {
         if self.accounts.len() < self.settings.max_accounts {
             return true;
--- a/src/quota_lease/holder/answers.rs
+++ b/src/quota_lease/holder/answers.rs
@@ -1,4 +1,5 @@
-//! Grants: which report a grant answers, and what its entries mean for the accounts.
+//! Processing of grants: finds the report that a grant answers, and applies its entries to the
+//! accounts.
 
 use super::exchange::ReportInFlight;
 use super::leased_account::ReportDue;
@@ -8,16 +9,16 @@
 use crate::decision::Micros;
 use crate::quota_lease::message::{AccountKey, Grant, GrantEntry, MessageError, ReportEntry};
 
-/// A request that waits follows its account to another owner this many times. Then it gets units of the
-/// fallback share, or none.
-const MAX_REROUTES: u8 = 2;
+/// Maximum number of times that the units of a waiting request are requested again after a report was
+/// unsuccessful. After that, the request is served from the fallback share or denied.
+const MAX_REPEATED_REQUESTS: u8 = 2;
 
 impl Holder {
     /// Removes and returns the report in flight that a grant answers.
     ///
     /// # Errors
     ///
-    /// If the grant is invalid or does not answer that report.
+    /// If the grant is invalid or does not answer the report in flight.
     pub(super) fn answered_report(
         &mut self,
         grant: &Grant,
@@ -37,14 +38,16 @@
         let in_flight = exchange.in_flight.as_ref();
         let entries = in_flight.map(|in_flight| in_flight.report.accounts.len());
         if entries != Some(grant.entries as usize) {
-            return Err(MessageError::Entries("not as many as were asked for"));
+            return Err(MessageError::Entries("not as many as in the report"));
         }
         exchange.incarnation = grant.incarnation;
         exchange.in_flight.take().ok_or(outdated)
     }
 
-    /// Adds granted units to an account and answers the requests that the report was sent for.
-    pub(super) fn on_units(
+    /// Handles an entry that is not
+    /// [`Verdict::NotOwner`](crate::quota_lease::message::Verdict::NotOwner): adds the granted
+    /// units to the account, and answers the requests for which they were requested.
+    pub(super) fn on_granted(
         &mut self,
         now: Micros,
         origin: LeaseOrigin,
@@ -65,8 +68,8 @@
             account.held_off_until = now.saturating_add(hold_off);
         }
         self.serve_waiters(now, key, answers);
-        // Requests that arrived after the report was sent wait for the next one, unless the account is
-        // held off.
+        // Requests that arrived after the report was sent wait for the next report, unless the
+        // account is held off.
         let is_answered =
             |waiter: &Waiter| hold_off > 0 || waiter.requested_from == Some(origin.allocator);
         for waiter in self.take_waiters(key, is_answered) {
@@ -76,8 +79,8 @@
         self.set_timer(now, key);
     }
 
-    /// The allocator does not own the account, and has not counted the use of the fallback share that
-    /// the report contained.
+    /// Handles an entry for an account that the allocator does not own. The allocator has not
+    /// counted the use of the fallback share in the entry, so it is reported again.
     pub(super) fn on_not_owner(
         &mut self,
         now: Micros,
@@ -94,14 +97,15 @@
                 self.unreported.insert(key);
             }
         }
-        let moved = self
+        let has_other_owner = self
             .available_owner(key)
             .is_some_and(|owner| owner != allocator);
-        self.request_again(now, allocator, key, moved, answers);
+        self.on_unsuccessful_report(now, allocator, key, has_other_owner, answers);
     }
 
-    /// The report was addressed to an earlier process of the allocator, which may have processed it. So
-    /// the use of the fallback share and the returned units in it are not reported again.
+    /// Handles an entry of a report that was addressed to an earlier incarnation of the allocator.
+    /// That incarnation may have processed the report, so the use of the fallback share and the
+    /// returned units in it are not reported again.
     pub(super) fn on_restart(
         &mut self,
         now: Micros,
@@ -110,12 +114,13 @@
         answers: &mut Vec<Answer>,
     ) {
         let has_owner = self.available_owner(requested.account).is_some();
-        self.request_again(now, allocator, requested.account, has_owner, answers);
+        self.on_unsuccessful_report(now, allocator, requested.account, has_owner, answers);
     }
 
-    /// Leaves the requests of an unsuccessful report waiting for the next one if that `can_succeed`;
-    /// otherwise they get units of the fallback share, or none.
-    fn request_again(
+    /// Handles the requests for which a report was unsuccessful. If the next report `can_succeed`,
+    /// they wait for it, up to [`MAX_REPEATED_REQUESTS`] times; otherwise they are served from the
+    /// fallback share or denied.
+    fn on_unsuccessful_report(
         &mut self,
         now: Micros,
         allocator: u32,
@@ -123,15 +128,15 @@
         can_succeed: bool,
         answers: &mut Vec<Answer>,
     ) {
-        let gives_up = |waiter: &Waiter| {
-            let waits_on = can_succeed && waiter.reroutes < MAX_REROUTES;
-            waiter.requested_from == Some(allocator) && !waits_on
+        let stops_waiting = |waiter: &Waiter| {
+            let keeps_waiting = can_succeed && waiter.repeated_requests < MAX_REPEATED_REQUESTS;
+            waiter.requested_from == Some(allocator) && !keeps_waiting
         };
-        self.fall_back(now, key, gives_up, answers);
+        self.answer_from_fallback(now, key, stops_waiting, answers);
         for waiter in self.waiters.get_mut(&key).into_iter().flatten() {
             if waiter.requested_from == Some(allocator) {
                 waiter.requested_from = None;
-                waiter.reroutes += 1;
+                waiter.repeated_requests += 1;
             }
         }
         if self.waiters.contains_key(&key) {
--- a/src/quota_lease/holder/fallback.rs
+++ b/src/quota_lease/holder/fallback.rs
@@ -1,5 +1,5 @@
-//! The fallback share: units of an account that a limiter may use without a lease, while the account's
-//! owner does not answer.
+//! The fallback share: units of an account's quota that a limiter may use without a lease while the
+//! account's owner does not answer.
 
 use super::settings::HolderSettings;
 use crate::decision::Micros;
@@ -7,14 +7,14 @@
 use crate::quota_lease::message::{MilliUnits, PlanLimits};
 use thiserror::Error;
 
-/// The fallback share is a fraction of the quota in thousandths.
-const THOUSAND: u128 = 1_000;
+/// Denominator of a fraction that is given in thousandths.
+const THOUSANDTHS_DENOMINATOR: u128 = 1_000;
 
-/// The fallback share does not hold the units of a request.
+/// Error of a request for more units than the fallback share holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the fallback share does not hold the units")]
+#[error("the fallback share holds too few units for the request")]
 pub(super) struct FallbackExhausted {
-    /// Time after which it will hold them; `None` if it never will.
+    /// Time in µs until the share will hold the units; `None` if it never will.
     pub(super) retry_after: Option<Micros>,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl FallbackLimits {
-    /// Returns the share of one of the `limiter_count` limiters that receive the account's requests.
+    /// Returns the limits for each of the `limiter_count` limiters that receive the account's requests.
     pub(super) fn new(limits: PlanLimits, limiter_count: u32, settings: &HolderSettings) -> Self {
         let thousandths = settings.fallback_thousandths;
         Self {
@@ -36,12 +36,13 @@
     }
 }
 
+/// Returns the burst of the fallback share at each of `limiter_count` limiters.
 fn fallback_burst(burst: MilliUnits, limiter_count: u32, settings: &HolderSettings) -> MilliUnits {
     if settings.fallback_thousandths == 0 {
         return 0;
     }
     let fraction = u128::from(burst) * u128::from(settings.fallback_thousandths);
-    let share = fraction / (THOUSAND * u128::from(limiter_count.max(1)));
+    let share = fraction / (THOUSANDTHS_DENOMINATOR * u128::from(limiter_count.max(1)));
     u64::try_from(share)
         .unwrap_or(u64::MAX)
         .max(settings.fallback_min_burst.min(burst))
@@ -54,19 +55,19 @@
 }
 
 impl FallbackShare {
-    /// Returns a share that was empty at `empty_since` or later.
+    /// Returns a share that was empty at `empty_since` and fills from then on.
     pub(super) fn new(empty_since: Micros) -> Self {
         Self {
             bucket: Bucket::empty(empty_since),
         }
     }
 
-    /// Adds what has accrued until now.
+    /// Adds the units that have accrued until `now`.
     pub(super) fn refill(&mut self, now: Micros, limits: FallbackLimits) {
         self.bucket.fill(now, limits.rate, limits.burst);
     }
 
-    /// Prepares for other limits from now on.
+    /// Ends the validity of the `previous` limits at `now`: adds the units that accrued at their rate.
     pub(super) fn change_limits(&mut self, now: Micros, previous: FallbackLimits) {
         self.refill(now, previous);
         self.bucket.discard_fraction(now);
@@ -76,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// If the share does not hold as many units.
+    /// If the share holds too few units.
     pub(super) fn take(
         &mut self,
         now: Micros,
@@ -94,20 +95,20 @@
         Ok(())
     }
 
-    /// Takes as many as possible of units that were used of a lease, so that the share holds no more
-    /// than this limiter has surely not used of its part of the quota.
-    pub(super) fn take_up_to(&mut self, now: Micros, units: MilliUnits, limits: FallbackLimits) {
+    /// Takes units that were used from a lease, as far as the share holds them. The share then
+    /// never holds more units than this limiter has certainly left unused of its part of the quota.
+    pub(super) fn deduct_leased(&mut self, now: Micros, units: MilliUnits, limits: FallbackLimits) {
         self.refill(now, limits);
         self.bucket.take(units.min(self.bucket.available()));
     }
 
-    /// Returns whether the share is full, after a refill.
+    /// Returns whether the share is full after adding the units that have accrued until `now`.
     pub(super) fn is_full(&mut self, now: Micros, limits: FallbackLimits) -> bool {
         self.refill(now, limits);
         self.bucket.is_full(limits.burst)
     }
 
-    /// Returns when the share will be full, [`Micros::MAX`] for never.
+    /// Returns the time at which the share will be full; [`Micros::MAX`] if it never will be.
     pub(super) fn full_at(&self, limits: FallbackLimits) -> Micros {
         let missing = limits.burst.saturating_sub(self.bucket.available());
         match limits.rate.time_to_accrue(missing) {
--- a/src/quota_lease/holder/lease_set.rs
+++ b/src/quota_lease/holder/lease_set.rs
@@ -1,23 +1,24 @@
-//! The leases of one account.
+//! The leases that a holder has for one account.
 
 use super::receipt::{LeaseOrigin, ReceiptPart};
 use crate::decision::Micros;
 use crate::quota_lease::message::MilliUnits;
 
-/// The most leases of one account.
+/// Maximum number of leases of one account.
 const MAX_LEASES: usize = 4;
-/// Unused units of an expired lease are returned within one over this of a lease duration. The
-/// allocator rejects later returns.
-const RETURN_FRACTION: Micros = 4;
-/// A lease is used up early if more than one over this of its duration is left.
-const EARLY_FRACTION: Micros = 2;
+/// Divisor of a lease's duration. Unused units are returned within the quotient after the end of a
+/// lease; the allocator rejects later returns.
+const RETURN_TIME_DIVISOR: Micros = 4;
+/// Divisor of a lease's duration. A lease is used up early if more than the quotient is left until
+/// its end.
+const EARLY_USE_DIVISOR: Micros = 2;
 
 #[derive(Clone, Debug)]
 struct Lease {
     origin: LeaseOrigin,
-    /// Units that are not used.
+    /// Units that have not been used.
     units: MilliUnits,
-    /// Units granted.
+    /// Units that were granted.
     granted: MilliUnits,
 }
 
@@ -27,11 +28,11 @@
     }
 }
 
-/// Units taken from leases.
+/// Units that were taken from leases.
 #[derive(Debug)]
 pub(super) struct TakenUnits {
     pub(super) parts: Vec<ReceiptPart>,
-    /// One of the leases was used up long before its end.
+    /// Whether one of the leases was used up long before its end.
     pub(super) used_up_early: bool,
 }
 
@@ -39,26 +40,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReturnedUnits {
     pub(super) units: MilliUnits,
-    /// The allocator's time slot of the grant.
+    /// The allocator's time slot in which the units were granted.
     pub(super) slot: u64,
 }
 
-/// What was left of expired leases.
+/// Unused units of expired leases.
 #[derive(Debug)]
 pub(super) struct ExpiredLeases {
+    /// Units to be returned, by lease.
     pub(super) returned: Vec<ReturnedUnits>,
-    /// More than half of the units of one of the leases were not used.
+    /// Whether more than half of the units of one of the leases were not used.
     pub(super) mostly_unused: bool,
 }
 
-/// The leases of one account, a few at most.
+/// The leases of one account, at most [`MAX_LEASES`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeaseSet {
     leases: Vec<Lease>,
 }
 
 impl LeaseSet {
-    /// Returns the units of leases that have not expired.
+    /// Returns the unused units of leases that have not expired.
     pub(super) fn units(&self, now: Micros) -> MilliUnits {
         self.leases
             .iter()
@@ -67,7 +69,8 @@
             .sum()
     }
 
-    /// Takes units from leases, first from those that expire first; `None` if they do not hold as many.
+    /// Takes units from leases, in the order in which they expire. Takes nothing and returns `None`
+    /// if the leases hold too few units.
     pub(super) fn take(
         &mut self,
         now: Micros,
@@ -96,7 +99,8 @@
                 units: taken,
             });
             let remaining_time = lease.origin.expires - now;
-            used_up_early |= lease.units == 0 && remaining_time > lease_duration / EARLY_FRACTION;
+            used_up_early |=
+                lease.units == 0 && remaining_time > lease_duration / EARLY_USE_DIVISOR;
         }
         Some(TakenUnits {
             parts,
@@ -104,8 +108,9 @@
         })
     }
 
-    /// Puts units back into the lease that they were taken from. If it is no longer there, they are
-    /// added as one, and returned to the allocator if it has expired.
+    /// Puts units back into the lease that they were taken from. If that lease has been removed,
+    /// the units are added as a new lease; if its end has passed, they are returned to the
+    /// allocator.
     pub(super) fn put_back(&mut self, origin: LeaseOrigin, units: MilliUnits) {
         match self.leases.iter_mut().find(|lease| lease.origin == origin) {
             Some(lease) => lease.units = lease.units.saturating_add(units),
@@ -113,8 +118,9 @@
         }
     }
 
-    /// Adds granted units. If there are too many leases, they join the last one of the same allocator
-    /// process that expires no later, or replace the lease that expires first.
+    /// Adds a lease. If there are too many leases, its units are added to the last lease from the
+    /// same incarnation of the allocator that expires no later than it; if there is none, it
+    /// replaces the lease that expires first.
     pub(super) fn add(&mut self, origin: LeaseOrigin, units: MilliUnits) {
         let lease = Lease {
             origin,
@@ -126,12 +132,12 @@
             return;
         }
         self.leases.sort_by_key(|lease| lease.origin.expires);
-        let joinable = |other: &&mut Lease| {
+        let is_mergeable = |other: &&mut Lease| {
             other.origin.allocator == origin.allocator
                 && other.origin.incarnation == origin.incarnation
                 && other.origin.expires <= origin.expires
         };
-        match self.leases.iter_mut().rev().find(joinable) {
+        match self.leases.iter_mut().rev().find(is_mergeable) {
             Some(last) => {
                 last.units = last.units.saturating_add(units);
                 last.granted = last.granted.saturating_add(units);
@@ -140,9 +146,10 @@
         }
     }
 
-    /// Removes leases that are used up, and those that expired too long ago to be returned.
+    /// Removes leases that are used up, and those whose units can no longer be returned because
+    /// they expired too long ago.
     pub(super) fn remove_finished(&mut self, now: Micros, lease_duration: Micros) {
-        let return_time = lease_duration / RETURN_FRACTION;
+        let return_time = lease_duration / RETURN_TIME_DIVISOR;
         self.leases.retain(|lease| {
             lease.units > 0 && now < lease.origin.expires.saturating_add(return_time)
         });
@@ -160,8 +167,8 @@
         self.leases.iter().all(|lease| lease.units == 0)
     }
 
-    /// Removes the expired leases and returns the unused units that this process of the allocator
-    /// granted. Those that another one granted are lost.
+    /// Removes the expired leases and returns the unused units that the given incarnation of the
+    /// allocator granted. Units that another allocator or incarnation granted are lost.
     pub(super) fn take_expired(
         &mut self,
         now: Micros,
@@ -190,8 +197,9 @@
         }
     }
 
-    /// Returns the next time at which a lease is to be renewed, `renewal_time` before its end, or to be
-    /// returned, or can't be returned any more; `None` without unused units.
+    /// Returns the next time after `now` at which a lease is to be renewed (`renewal_time` before
+    /// its end), is to be returned (at its end), or can no longer be returned. Returns `None` if
+    /// there are no unused units.
     pub(super) fn next_deadline(
         &self,
         now: Micros,
@@ -203,7 +211,7 @@
             let deadlines = [
                 expires.saturating_sub(renewal_time),
                 expires,
-                expires + lease_duration / RETURN_FRACTION,
+                expires + lease_duration / RETURN_TIME_DIVISOR,
             ];
             deadlines.into_iter().find(|deadline| *deadline > now)
         };
@@ -214,7 +222,7 @@
             .min()
     }
 
-    /// Returns the bytes on the heap.
+    /// Returns the number of bytes that the leases occupy on the heap.
     pub(super) fn heap_bytes(&self) -> usize {
         self.leases.capacity() * size_of::<Lease>()
     }
--- a/src/quota_lease/holder/leased_account.rs
+++ b/src/quota_lease/holder/leased_account.rs
@@ -1,4 +1,4 @@
-//! A limiter's state of one account: its leases, the forecast of its use, and its fallback share.
+//! A limiter's state of one account: the leases, the forecast of use, and the fallback share.
 
 use super::demand::Demand;
 use super::fallback::{FallbackExhausted, FallbackLimits, FallbackShare};
@@ -8,20 +8,21 @@
 use crate::decision::Micros;
 use crate::quota_lease::message::{MilliUnits, PlanLimits};
 
-/// A lease is renewed this many report intervals before its end, or before its units are used up.
+/// Number of report intervals by which a lease is renewed before its end, or before its units are
+/// expected to be used up.
 const RENEWAL_INTERVALS: u64 = 2;
-/// An account is checked at least once in this many lease durations.
-const MAX_CHECK_LEASES: u64 = 64;
+/// Maximum time between two checks of an account, in lease durations.
+const MAX_CHECK_INTERVAL_LEASES: u64 = 64;
 
-/// Whether and when the next report to an account's owner includes the account.
+/// Whether and when the next report to an account's owner is to include the account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ReportDue {
-    /// It does not.
+    /// The report need not include the account.
     #[default]
     No,
-    /// The report is sent at the next interval.
+    /// The report is to be sent at the next report interval.
     NextInterval,
-    /// Requests wait: the report is sent as soon as possible.
+    /// The report is to be sent as soon as possible, as requests are waiting.
     Immediately,
 }
 
@@ -29,22 +30,23 @@
 #[derive(Clone, Debug)]
 pub(super) struct LeasedAccount {
     pub(super) limits: PlanLimits,
-    /// Limiters that receive the account's requests.
+    /// Number of limiters that receive the account's requests.
     limiter_count: u32,
     pub(super) report_due: ReportDue,
     demand: Demand,
     leases: LeaseSet,
     fallback: FallbackShare,
-    /// Units used of the fallback share and not yet reported.
+    /// Used units of the fallback share that have not been reported yet.
     pub(super) unreported_fallback: MilliUnits,
-    /// The owner has no units for this limiter before this time.
+    /// Time before which the owner has no units for this limiter.
     pub(super) held_off_until: Micros,
-    /// When the account is to be checked next, [`Micros::MAX`] if no timer is set.
+    /// Time at which the account is to be checked next; [`Micros::MAX`] if no timer is set.
     pub(super) timer: Micros,
 }
 
 impl LeasedAccount {
-    /// Returns an account whose fallback share was empty at `fallback_empty_since` or later.
+    /// Returns an account that is first used at `now` and whose fallback share was empty at
+    /// `fallback_empty_since`.
     pub(super) fn new(
         now: Micros,
         limits: PlanLimits,
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Sets the limits and the number of limiters of the request's configuration.
+    /// Sets the limits of the account's plan and the number of limiters, as configured for the
+    /// latest request.
     pub(super) fn set_limits(
         &mut self,
         now: Micros,
@@ -80,8 +83,8 @@
         }
     }
 
-    /// Counts a request as demand, unless the account is held off.
-    pub(super) fn count_demand(
+    /// Records a request in the demand. Its units are not counted while the account is held off.
+    pub(super) fn record_demand(
         &mut self,
         now: Micros,
         units: MilliUnits,
@@ -91,12 +94,12 @@
         self.demand.record(now, units, counted, settings.lease);
     }
 
-    /// Returns the units of leases that have not expired.
+    /// Returns the unused units of leases that have not expired.
     pub(super) fn leased(&self, now: Micros) -> MilliUnits {
         self.leases.units(now)
     }
 
-    /// Takes units from leases; `None` if they do not hold as many.
+    /// Takes units from leases. Takes nothing and returns `None` if they hold too few units.
     pub(super) fn take_leased(
         &mut self,
         now: Micros,
@@ -104,7 +107,7 @@
         settings: &HolderSettings,
     ) -> Option<Vec<ReceiptPart>> {
         let taken = self.leases.take(now, units, settings.lease)?;
-        // In the first lease duration the forecast projects the use already.
+        // During the first lease duration, the forecast already extrapolates the use so far.
         let forecast_too_low = taken.used_up_early
             && self.demand.is_established(now, settings.lease)
             && self.leased(now) == 0;
@@ -112,7 +115,7 @@
             self.demand.raise_forecast();
         }
         let limits = self.fallback_limits(settings);
-        self.fallback.take_up_to(now, units, limits);
+        self.fallback.deduct_leased(now, units, limits);
         Some(taken.parts)
     }
 
@@ -120,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// If it does not hold as many.
+    /// If the fallback share holds too few units.
     pub(super) fn take_fallback(
         &mut self,
         now: Micros,
@@ -136,8 +139,9 @@
         })
     }
 
-    /// Puts back what [`Self::take_leased`] or [`Self::take_fallback`] took. The fallback share itself
-    /// gets nothing back; its use is no longer reported.
+    /// Puts back units that [`Self::take_leased`] or [`Self::take_fallback`] took. Units of the
+    /// fallback share are only removed from the use that is still to be reported; the share itself
+    /// is not refilled.
     pub(super) fn put_back(&mut self, part: ReceiptPart) {
         match part.origin {
             Some(origin) => self.leases.put_back(origin, part.units),
@@ -147,12 +151,13 @@
         }
     }
 
-    /// Adds granted units.
+    /// Adds a lease with granted units.
     pub(super) fn add_lease(&mut self, origin: LeaseOrigin, units: MilliUnits) {
         self.leases.add(origin, units);
     }
 
-    /// Removes leases that are used up, and those that expired too long ago to be returned.
+    /// Removes leases that are used up, and those whose units can no longer be returned because
+    /// they expired too long ago.
     pub(super) fn remove_finished_leases(&mut self, now: Micros, settings: &HolderSettings) {
         self.leases.remove_finished(now, settings.lease);
     }
@@ -162,8 +167,8 @@
         self.leases.has_expired(now)
     }
 
-    /// Removes the expired leases and returns the unused units that this process of the allocator
-    /// granted.
+    /// Removes the expired leases and returns the unused units that the given incarnation of the
+    /// allocator granted.
     pub(super) fn take_expired(
         &mut self,
         now: Micros,
@@ -177,9 +182,10 @@
         expired.returned
     }
 
-    /// Returns the units to request besides those that requests wait for: the expected use within a
-    /// lease duration, less what is leased for long enough.
-    pub(super) fn expected(
+    /// Returns the units to request in addition to the `waiting` ones: the use that is expected
+    /// within a lease duration, less the units of leases that do not expire within the renewal
+    /// time.
+    pub(super) fn expected_units(
         &self,
         now: Micros,
         waiting: MilliUnits,
@@ -194,16 +200,17 @@
         forecast.saturating_sub(self.leased(now.saturating_add(renewal_time(settings))))
     }
 
-    /// Returns whether the leases will be used up or expire before a later report could renew them.
+    /// Returns whether the leases are expected to be used up or expire before a later report could
+    /// renew them.
     pub(super) fn wants_renewal(&self, now: Micros, settings: &HolderSettings) -> bool {
         let renewal_time = renewal_time(settings);
-        let leased_then = self.leased(now.saturating_add(renewal_time));
-        let used_until_then = self.demand.decayed(now, settings.lease) * renewal_time as f32
+        let leased_at_renewal = self.leased(now.saturating_add(renewal_time));
+        let used_until_renewal = self.demand.decayed_use(now, settings.lease) * renewal_time as f32
             / settings.lease.max(1) as f32;
-        (leased_then as f32) < used_until_then && self.expected(now, 0, settings) > 0
+        (leased_at_renewal as f32) < used_until_renewal && self.expected_units(now, 0, settings) > 0
     }
 
-    /// Returns when the account is to be checked next.
+    /// Returns the time at which the account is to be checked next.
     pub(super) fn next_timer(&self, now: Micros, settings: &HolderSettings) -> Micros {
         let deadline = self
             .leases
@@ -213,32 +220,32 @@
         }
         let idle_at = self.idle_at(settings);
         if idle_at > now {
-            idle_at.min(now.saturating_add(MAX_CHECK_LEASES * settings.lease))
+            idle_at.min(now.saturating_add(MAX_CHECK_INTERVAL_LEASES * settings.lease))
         } else {
             now.saturating_add(settings.report_interval)
         }
     }
 
-    /// Returns whether the account can be removed. Its fallback share is full, so an account opened
-    /// anew would not hold more.
+    /// Returns whether the account can be removed. That requires a full fallback share, so that the
+    /// share of an account created later will not hold more units.
     pub(super) fn is_idle(&mut self, now: Micros, settings: &HolderSettings) -> bool {
         let limits = self.fallback_limits(settings);
         let fallback_full = self.fallback.is_full(now, limits);
-        let unused_since = self.demand.last_use().saturating_add(settings.lease);
-        fallback_full && self.is_unused(now) && now >= unused_since
+        let idle_from = self.demand.last_use().saturating_add(settings.lease);
+        fallback_full && self.is_unused(now) && now >= idle_from
     }
 
-    /// Returns whether the account has no leased units, no hold-off and nothing to report.
+    /// Returns whether the account has no leased units, no use to report, and is not held off.
     pub(super) fn is_unused(&self, now: Micros) -> bool {
         self.leases.is_used_up() && self.unreported_fallback == 0 && now >= self.held_off_until
     }
 
-    /// Returns the bytes on the heap.
+    /// Returns the number of bytes that the account occupies on the heap.
     pub(super) fn heap_bytes(&self) -> usize {
         self.leases.heap_bytes()
     }
 
-    /// Returns when the account can be removed if it is not used until then.
+    /// Returns the time at which the account can be removed if it is not used until then.
     fn idle_at(&self, settings: &HolderSettings) -> Micros {
         self.fallback
             .full_at(self.fallback_limits(settings))
@@ -251,6 +258,8 @@
     }
 }
 
+/// Returns the time by which a lease is renewed before its end, or before its units are expected to be
+/// used up.
 fn renewal_time(settings: &HolderSettings) -> Micros {
     RENEWAL_INTERVALS * settings.report_interval
 }
--- a/src/quota_lease/holder/mod.rs
+++ b/src/quota_lease/holder/mod.rs
@@ -1,8 +1,9 @@
-//! The holder of a limiter's leases: takes requests' units from leases, asks the allocators for more, and
-//! uses a fallback share of the quota while an account's owner does not answer.
+//! The holder of a limiter's leases: takes the units of requests from leases, requests more units
+//! from the allocators, and uses a fallback share of the quota while an account's owner does not
+//! answer.
 //!
-//! It has no I/O and no clock: the caller transfers reports and grants, and calls [`Holder::poll`] by
-//! [`Holder::next_wake`].
+//! It is a state machine without I/O and clock. The caller delivers reports and grants, and calls
+//! [`Holder::poll`] no later than at [`Holder::next_wake`].
 
 mod accounts;
 mod allocators;
@@ -40,9 +41,10 @@
 struct Waiter {
     ticket: Ticket,
     units: MilliUnits,
-    /// The allocator whose report in flight requests the units.
+    /// The allocator for which a report that requests the units is in flight, if any.
     requested_from: Option<u32>,
-    reroutes: u8,
+    /// Number of times that the units were requested again after an unsuccessful report.
+    repeated_requests: u8,
 }
 
 /// The state of one limiter's leases.
@@ -50,18 +52,21 @@
 pub struct Holder {
     settings: HolderSettings,
     accounts: HashMap<AccountKey, LeasedAccount>,
-    /// By allocator.
+    /// By number of the allocator.
     exchanges: Vec<Exchange>,
+    /// Waiting requests of each account that has any, in order of arrival.
     waiters: BTreeMap<AccountKey, VecDeque<Waiter>>,
-    /// Waiters of all accounts.
+    /// Number of waiting requests of all accounts.
     waiting: usize,
-    /// Accounts whose use of the fallback share is not reported yet.
+    /// Accounts with use of the fallback share that has not been reported yet.
     unreported: BTreeSet<AccountKey>,
+    /// Times at which accounts are to be checked.
     timers: BTreeSet<(Micros, AccountKey)>,
-    /// Bit set of the allocators whose accounts are reassigned, by the last answer of an allocator that
-    /// held its lease.
+    /// Bit set of the allocators whose accounts are reassigned, as received with the last answer
+    /// from an allocator that held its lease.
     reassigned: u64,
-    /// The fallback share of an account that is not in memory was empty at this time or later.
+    /// Time at which the fallback share of an account that is not in memory is assumed to have been
+    /// empty.
     fallback_empty_since: Micros,
     next_ticket: u64,
     dropped: DroppedMessages,
@@ -69,7 +74,7 @@
 }
 
 impl Holder {
-    /// Returns the holder of a limiter that starts now.
+    /// Returns the holder of a limiter that starts at `now`.
     pub fn new(now: Micros, settings: HolderSettings) -> Self {
         let allocators = settings.allocators.min(MAX_ALLOCATORS);
         Self {
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Takes the units of one request of an account whose requests `limiter_count` limiters receive.
+    /// Takes units for one request of an account. `limiter_count` is the number of limiters that
+    /// receive requests of this account.
     pub fn take(
         &mut self,
         now: Micros,
@@ -101,11 +107,11 @@
         units: MilliUnits,
     ) -> TakeResult {
         if units > plan.burst || plan.burst > MAX_UNITS || plan.rate > MAX_UNITS {
-            return self.denied(Micros::MAX);
+            return self.deny(Micros::MAX);
         }
         let settings = self.settings;
         if !self.accounts.contains_key(&key) && !self.make_space(now) {
-            return self.denied(settings.report_interval);
+            return self.deny(settings.report_interval);
         }
         let fallback_empty_since = self.fallback_empty_since;
         let account = self
@@ -113,7 +119,7 @@
             .entry(key)
             .or_insert_with(|| LeasedAccount::new(now, plan, limiter_count, fallback_empty_since));
         account.set_limits(now, plan, limiter_count, &settings);
-        account.count_demand(now, units, &settings);
+        account.record_demand(now, units, &settings);
         let result = self.take_or_wait(now, key, units);
         let wants_renewal = self
             .accounts
@@ -126,7 +132,7 @@
         result
     }
 
-    /// Puts back the units that a request took and did not use.
+    /// Puts back units that a request has taken but not used.
     pub fn put_back(&mut self, now: Micros, receipt: Receipt) {
         let Some(account) = self.accounts.get_mut(&receipt.account) else {
             return;
@@ -140,7 +146,7 @@
         self.set_timer(now, receipt.account);
     }
 
-    /// Processes an allocator's grant and returns the answers to waiting requests.
+    /// Processes a grant and returns the answers to requests that no longer wait.
     ///
     /// # Errors
     ///
@@ -161,11 +167,11 @@
             slot: grant.slot,
             expires: answered.first_sent.saturating_add(lease),
         };
-        let reached_process = addressed_to == 0 || addressed_to == grant.incarnation;
+        let is_from_addressee = addressed_to == 0 || addressed_to == grant.incarnation;
         for (requested, granted) in answered.report.entries().zip(grant.entries()) {
             if granted.verdict != Verdict::NotOwner {
-                self.on_units(now, origin, &requested, granted, &mut answers);
-            } else if reached_process {
+                self.on_granted(now, origin, &requested, granted, &mut answers);
+            } else if is_from_addressee {
                 self.on_not_owner(now, grant.allocator, &requested, &mut answers);
             } else {
                 self.on_restart(now, grant.allocator, &requested, &mut answers);
@@ -174,8 +180,8 @@
         Ok(answers)
     }
 
-    /// Handles a broken connection to an allocator: the requests that wait for it get units of the
-    /// fallback share, or none.
+    /// Handles a lost connection to an allocator. The requests that wait for the allocator are
+    /// served from the fallback share or denied.
     pub fn on_connection_lost(&mut self, now: Micros, allocator: u32) -> Vec<Answer> {
         let mut answers = Vec::new();
         if (allocator as usize) < self.exchanges.len() {
@@ -184,7 +190,7 @@
         answers
     }
 
-    /// Returns the reports to send now, and the answers to requests that need not wait any longer.
+    /// Returns the reports to send now, and the answers to requests that no longer wait.
     pub fn poll(&mut self, now: Micros) -> Poll {
         let mut poll = Poll::default();
         self.run_timers(now);
@@ -214,27 +220,29 @@
         match exchange.step(now, probe_when_idle, &settings) {
             Step::Wait => None,
             Step::Retry => exchange.retry(now),
-            Step::Probe => Some(self.send(now, allocator, Report::default())),
+            Step::Probe => Some(self.finish_report(now, allocator, Report::default())),
             Step::Report => {
-                let report = self.collect_report(now, allocator);
-                // Without an entry it is still due as a probe, or if not all accounts fitted.
+                let report = self.build_report(now, allocator);
+                // A report without entries is sent only if a probe is due, or if accounts are still due
+                // because not all of them fitted.
                 let exchange = &self.exchanges[allocator as usize];
-                let still_due = exchange.wake(probe_when_idle, &settings) <= now;
+                let still_due = exchange.next_wake(probe_when_idle, &settings) <= now;
                 if !still_due && report.accounts.is_empty() {
                     return None;
                 }
-                Some(self.send(now, allocator, report))
+                Some(self.finish_report(now, allocator, report))
             }
         }
     }
 
-    /// Returns when [`Self::poll`] has something to do at the earliest; [`Micros::MAX`] for never.
+    /// Returns the earliest time at which [`Self::poll`] has something to do; [`Micros::MAX`] if it has
+    /// nothing to do until the next call of another method.
     pub fn next_wake(&self) -> Micros {
         let probe_when_idle = self.any_unavailable();
         let exchanges = self
             .exchanges
             .iter()
-            .map(|exchange| exchange.wake(probe_when_idle, &self.settings));
+            .map(|exchange| exchange.next_wake(probe_when_idle, &self.settings));
         let timer = self.timers.first().map(|(at, _)| *at);
         exchanges.chain(timer).min().unwrap_or(Micros::MAX)
     }
@@ -245,12 +253,12 @@
             .any(|exchange| !exchange.is_available())
     }
 
-    /// Returns the metrics since the start.
+    /// Returns the metrics since the start of the holder.
     pub fn figures(&self) -> HolderFigures {
         self.figures
     }
 
-    /// Returns the counts of dropped grants.
+    /// Returns the number of dropped grants, by reason.
     pub fn dropped(&self) -> DroppedMessages {
         self.dropped
     }
@@ -265,19 +273,19 @@
         self.accounts.len()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Returns whether an allocator answers, as far as is known.
+    /// Returns whether an allocator is considered available.
     pub fn is_available(&self, allocator: u32) -> bool {
         self.exchanges
             .get(allocator as usize)
             .is_some_and(Exchange::is_available)
     }
 
-    /// Returns the bytes of the accounts in memory, without the overhead of the maps.
+    /// Returns the size in bytes of the accounts in memory, without the overhead of the maps.
     pub fn account_bytes(&self) -> usize {
         let entry = size_of::<(AccountKey, LeasedAccount)>() + size_of::<(Micros, AccountKey)>();
         self.accounts
@@ -286,7 +294,7 @@
             .sum()
     }
 
-    /// Returns the units of an account's leases that have not expired.
+    /// Returns the unused units of an account's leases that have not expired.
     pub fn leased(&self, now: Micros, key: AccountKey) -> MilliUnits {
         self.accounts
             .get(&key)
--- a/src/quota_lease/holder/receipt.rs
+++ b/src/quota_lease/holder/receipt.rs
@@ -1,31 +1,32 @@
-//! Receipts: which units a request has taken, so that unused ones can be put back.
+//! Receipts: records of the units that a request has taken, with which unused units can be put back.
 
 use crate::decision::Micros;
 use crate::quota_lease::message::{AccountKey, MilliUnits};
 
-/// The grant that units came with.
+/// Identifies the grant that created a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseOrigin {
+    /// Number of the allocator that granted the lease.
     pub(super) allocator: u32,
     /// Incarnation of the allocator.
     pub(super) incarnation: u64,
-    /// The allocator's time slot.
+    /// The allocator's time slot in which the units were granted.
     pub(super) slot: u64,
     /// End of the lease.
     pub(super) expires: Micros,
 }
 
-/// Units that one request has taken.
+/// Record of the units that one request has taken.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Receipt {
     pub(super) account: AccountKey,
     pub(super) parts: Vec<ReceiptPart>,
 }
 
-/// Units of one lease, or of the fallback share.
+/// Units that were taken from one lease, or from the fallback share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReceiptPart {
-    /// The grant of the lease; `None` for the fallback share.
+    /// Grant of the lease; `None` for the fallback share.
     pub(super) origin: Option<LeaseOrigin>,
     pub(super) units: MilliUnits,
 }
@@ -36,12 +37,12 @@
         self.account
     }
 
-    /// Returns the units of leases.
+    /// Returns the units that were taken from leases.
     pub fn leased(&self) -> MilliUnits {
         self.units(|part| part.origin.is_some())
     }
 
-    /// Returns the units of the fallback share, which no allocator has granted.
+    /// Returns the units that were taken from the fallback share, which no allocator has granted.
     pub fn fallback(&self) -> MilliUnits {
         self.units(|part| part.origin.is_none())
     }
--- a/src/quota_lease/holder/reports.rs
+++ b/src/quota_lease/holder/reports.rs
@@ -1,4 +1,4 @@
-//! Reports: the accounts that are due for one allocator.
+//! Reports: their entries for the accounts that are due for an allocator.
 
 use super::lease_set::ReturnedUnits;
 use super::leased_account::{LeasedAccount, ReportDue};
@@ -9,12 +9,18 @@
 };
 use crate::quota_lease::placement;
 
-/// Entries that one account may need in a report.
+/// Maximum number of entries that one account needs in a report: one for each lease whose units are
+/// returned.
 const ENTRIES_PER_ACCOUNT: usize = 4;
 
 impl Holder {
-    /// Addresses a report and records that it is sent now.
-    pub(super) fn send(&mut self, now: Micros, allocator: u32, mut report: Report) -> Report {
+    /// Addresses a report that the caller sends at `now`, counts it and records it as in flight.
+    pub(super) fn finish_report(
+        &mut self,
+        now: Micros,
+        allocator: u32,
+        mut report: Report,
+    ) -> Report {
         let exchange = &mut self.exchanges[allocator as usize];
         exchange.address(&mut report, &self.settings);
         report.leave_out_zeros();
@@ -24,12 +30,12 @@
         report
     }
 
-    /// Returns a report with the accounts that are due for an allocator. Those that do not fit remain
-    /// due.
-    pub(super) fn collect_report(&mut self, now: Micros, allocator: u32) -> Report {
+    /// Returns a report with the accounts that are due for an allocator. Accounts that do not fit
+    /// remain due.
+    pub(super) fn build_report(&mut self, now: Micros, allocator: u32) -> Report {
         let mut report = Report::default();
         for key in self.exchanges[allocator as usize].take_due() {
-            let full = report.accounts.len() + ENTRIES_PER_ACCOUNT > MAX_ENTRIES
+            let is_full = report.accounts.len() + ENTRIES_PER_ACCOUNT > MAX_ENTRIES
                 || report.plans.len() >= MAX_PLANS;
             let Some(account) = self.accounts.get_mut(&key) else {
                 continue;
@@ -39,7 +45,7 @@
                 continue;
             }
             let owner = placement::owner(key, self.settings.allocators, self.reassigned);
-            if full || owner != Some(allocator) {
+            if is_full || owner != Some(allocator) {
                 self.mark_due(key, due);
                 continue;
             }
@@ -49,7 +55,8 @@
         report
     }
 
-    /// Adds the entries of one account: the returned units, then what is requested.
+    /// Adds the entries of one account: first those with only returned units, then the one with the
+    /// requested units, the last return and the use of the fallback share.
     fn add_entries(&mut self, now: Micros, allocator: u32, key: AccountKey, report: &mut Report) {
         let settings = self.settings;
         let incarnation = self.exchanges[allocator as usize].incarnation;
@@ -61,21 +68,22 @@
         account.remove_finished_leases(now, &settings);
         let mut entry = ReportEntry {
             waiting,
-            expected: account.expected(now, waiting, &settings),
+            expected: account.expected_units(now, waiting, &settings),
             ..ReportEntry::new(key, account.limits)
         };
-        // Use of the fallback share can be reported only to a process that is known.
+        // Use of the fallback share is reported only to a known incarnation of the allocator.
         if incarnation != 0 {
             entry.fallback_used = std::mem::take(&mut account.unreported_fallback);
             self.unreported.remove(&key);
         }
-        self.figures.returned += returned.iter().map(|part| part.units).sum::<MilliUnits>();
+        self.figures.returned += returned.iter().map(|lease| lease.units).sum::<MilliUnits>();
         if let Some(last) = returned.pop() {
             entry.returned = last.units;
             entry.returned_slot = last.slot;
         }
         push_returned(account, key, &returned, report);
-        // An entry without a request asks for the incarnation, so that use can be reported to it.
+        // If use of the fallback share is still unreported, an empty entry is sent as well: its answer
+        // contains the incarnation, to which the use can then be reported.
         let is_empty = entry == ReportEntry::new(key, account.limits);
         if !is_empty || account.unreported_fallback > 0 {
             report.push(&entry);
@@ -85,8 +93,8 @@
         }
     }
 
-    /// Marks the waiting requests of an account as requested from an allocator, as far as the sum of
-    /// their units fits into a report, and returns that sum.
+    /// Marks the units of an account's waiting requests as requested from an allocator, as far as
+    /// their sum fits into a report. Returns that sum.
     fn request_for_waiters(&mut self, allocator: u32, key: AccountKey) -> MilliUnits {
         let mut units: MilliUnits = 0;
         for waiter in self.waiters.get_mut(&key).into_iter().flatten() {
@@ -102,6 +110,7 @@
         units
     }
 
+    /// Returns whether a report has yet to request the units of a waiting request.
     fn has_unrequested_waiter(&self, key: AccountKey) -> bool {
         self.waiters
             .get(&key)
@@ -111,18 +120,18 @@
     }
 }
 
-/// Adds an entry for each return. They come before the request, as the allocator processes entries in
-/// order and returned units can be granted again.
+/// Adds an entry for the returned units of each lease. They precede the entry with the request,
+/// because the allocator processes entries in order and can grant the returned units again.
 fn push_returned(
     account: &LeasedAccount,
     key: AccountKey,
     returned: &[ReturnedUnits],
     report: &mut Report,
 ) {
-    for part in returned {
+    for lease in returned {
         report.push(&ReportEntry {
-            returned: part.units,
-            returned_slot: part.slot,
+            returned: lease.units,
+            returned_slot: lease.slot,
             ..ReportEntry::new(key, account.limits)
         });
     }
--- a/src/quota_lease/holder/requests.rs
+++ b/src/quota_lease/holder/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that take units, wait for them, or use the fallback share.
+//! Processing of requests: they take leased units, wait for units, or use the fallback share.
 
 use super::fallback::FallbackExhausted;
 use super::leased_account::ReportDue;
@@ -10,13 +10,14 @@
 use std::collections::VecDeque;
 
 impl Holder {
-    /// Counts a denied request.
-    pub(super) fn denied(&mut self, retry_after: Micros) -> TakeResult {
+    /// Counts a denied request and returns its result.
+    pub(super) fn deny(&mut self, retry_after: Micros) -> TakeResult {
         self.figures.denied += 1;
         TakeResult::Denied { retry_after }
     }
 
-    /// Takes the units of a request, or lets it wait for the account's owner.
+    /// Takes the units of a request from leases or the fallback share, lets the request wait for the
+    /// account's owner, or denies it.
     pub(super) fn take_or_wait(
         &mut self,
         now: Micros,
@@ -24,22 +25,22 @@
         units: MilliUnits,
     ) -> TakeResult {
         let Some(account) = self.accounts.get(&key) else {
-            return self.denied(self.settings.report_interval);
+            return self.deny(self.settings.report_interval);
         };
         let hold_off = account.held_off_until.saturating_sub(now);
-        // Requests that wait already come first.
+        // Requests that are already waiting are served first.
         if !self.waiters.contains_key(&key) {
             if let Some(receipt) = self.take_leased(now, key, units) {
                 return TakeResult::Taken(receipt);
             }
         }
         if hold_off > 0 {
-            return self.denied(hold_off);
+            return self.deny(hold_off);
         }
         if self.available_owner(key).is_none() {
             return match self.take_fallback(now, key, units) {
                 Outcome::Taken(receipt) => TakeResult::Taken(receipt),
-                Outcome::Denied { retry_after } => self.denied(retry_after),
+                Outcome::Denied { retry_after } => self.deny(retry_after),
             };
         }
         if self.settings.use_fallback_first {
@@ -48,12 +49,13 @@
                 return TakeResult::Taken(receipt);
             }
         }
-        self.wait(key, units)
+        self.enqueue_waiter(key, units)
     }
 
-    fn wait(&mut self, key: AccountKey, units: MilliUnits) -> TakeResult {
+    /// Lets a request wait for the account's owner, or denies it if too many requests are waiting.
+    fn enqueue_waiter(&mut self, key: AccountKey, units: MilliUnits) -> TakeResult {
         if self.waiting >= self.settings.max_waiting {
-            return self.denied(self.settings.report_interval);
+            return self.deny(self.settings.report_interval);
         }
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
@@ -63,14 +65,14 @@
             ticket,
             units,
             requested_from: None,
-            reroutes: 0,
+            repeated_requests: 0,
         };
         self.waiters.entry(key).or_default().push_back(waiter);
         self.mark_due(key, ReportDue::Immediately);
         TakeResult::Waiting(ticket)
     }
 
-    /// Takes the units of a request from leases; `None` if they do not hold as many.
+    /// Takes the units of a request from leases; returns `None` if they hold too few units.
     fn take_leased(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Option<Receipt> {
         let account = self.accounts.get_mut(&key)?;
         let parts = account.take_leased(now, units, &self.settings)?;
@@ -81,7 +83,7 @@
         })
     }
 
-    /// Takes the units of a request from the fallback share.
+    /// Takes the units of a request from the fallback share, or denies it if the share holds too few.
     fn take_fallback(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Outcome {
         let settings = self.settings;
         let Some(account) = self.accounts.get_mut(&key) else {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Answers a request that waited.
+    /// Answers a request that has waited. It must have been removed from the waiting requests.
     pub(super) fn resolve(&mut self, waiter: &Waiter, outcome: Outcome, answers: &mut Vec<Answer>) {
         if matches!(outcome, Outcome::Denied { .. }) {
             self.figures.denied += 1;
@@ -116,7 +118,8 @@
         });
     }
 
-    /// Answers an account's waiting requests, in their order, as long as leases hold enough units.
+    /// Answers an account's waiting requests from leases, in order of arrival, up to the first for
+    /// which the leases hold too few units.
     pub(super) fn serve_waiters(
         &mut self,
         now: Micros,
@@ -136,31 +139,32 @@
         self.waiters.get(&key)?.front().cloned()
     }
 
-    /// Removes and returns the `chosen` waiting requests of an account.
+    /// Removes and returns the waiting requests of an account for which `predicate` is true.
     pub(super) fn take_waiters(
         &mut self,
         key: AccountKey,
-        chosen: impl Fn(&Waiter) -> bool,
+        predicate: impl Fn(&Waiter) -> bool,
     ) -> VecDeque<Waiter> {
         let Some(queue) = self.waiters.remove(&key) else {
             return VecDeque::new();
         };
-        let (taken, left): (VecDeque<_>, VecDeque<_>) = queue.into_iter().partition(chosen);
-        if !left.is_empty() {
-            self.waiters.insert(key, left);
+        let (taken, remaining): (VecDeque<_>, VecDeque<_>) = queue.into_iter().partition(predicate);
+        if !remaining.is_empty() {
+            self.waiters.insert(key, remaining);
         }
         taken
     }
 
-    /// Answers the `chosen` waiting requests of an account from the fallback share.
-    pub(super) fn fall_back(
+    /// Answers the waiting requests of an account for which `predicate` is true: they are served
+    /// from the fallback share, or denied if it holds too few units.
+    pub(super) fn answer_from_fallback(
         &mut self,
         now: Micros,
         key: AccountKey,
-        chosen: impl Fn(&Waiter) -> bool,
+        predicate: impl Fn(&Waiter) -> bool,
         answers: &mut Vec<Answer>,
     ) {
-        for waiter in self.take_waiters(key, chosen) {
+        for waiter in self.take_waiters(key, predicate) {
             let outcome = self.take_fallback(now, key, waiter.units);
             self.resolve(&waiter, outcome, answers);
         }
--- a/src/quota_lease/holder/settings.rs
+++ b/src/quota_lease/holder/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a holder.
+//! Settings of the holder.
 
 use crate::decision::Micros;
 use crate::quota_lease::message::MilliUnits;
@@ -6,37 +6,41 @@
 /// Settings of a [`Holder`](super::Holder). Times are in µs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderSettings {
-    /// The limiter's number.
+    /// Number of the limiter.
     pub limiter: u32,
-    /// Incarnation of the limiter: fixed at the start of its process, higher in a later one.
+    /// Incarnation of the limiter: set when its process starts, and higher in each later process.
     pub incarnation: u64,
     /// Number of allocators, which are numbered from 0.
     pub allocators: u32,
-    /// The longest duration of a lease. Expected use is forecast for the same time.
+    /// Maximum duration of a lease. An account's expected use is forecast for the same duration.
     pub lease: Micros,
-    /// Interval of the reports for which no request waits.
+    /// Interval of reports that are not for waiting requests.
     pub report_interval: Micros,
-    /// Shortest time between two reports to an allocator.
+    /// Minimum time between two reports to the same allocator.
     pub min_report_spacing: Micros,
-    /// Time without an answer after which a report is retried.
+    /// Time after the last sending of a report at which it is retried if it is not answered.
     pub retry_report_after: Micros,
-    /// Time without an answer after which an allocator counts as unavailable.
+    /// Time after the first sending of a report at which its allocator is considered unavailable if the
+    /// report is not answered.
     pub unavailable_after: Micros,
-    /// Time after which a report is sent to an unavailable allocator again.
+    /// Time after which a report is sent to an unavailable allocator again, to probe it. It is also the
+    /// interval at which available allocators are probed while another one is unavailable.
     pub probe_after: Micros,
-    /// Thousandths of the quota that the limiters which receive an account's requests share while its
-    /// owner does not answer.
+    /// Thousandths of an account's quota that the limiters which receive its requests share while its
+    /// owner does not answer. 0 disables the fallback.
     pub fallback_thousandths: u32,
-    /// Least burst of a limiter's fallback share, if there is a fallback. With 0, an account whose share
-    /// of the burst is less than a request is not served without its owner.
+    /// Minimum burst of a limiter's fallback share, unless the fallback is disabled. With 0, a
+    /// request for more units than the limiter's share of the burst is not served while the owner
+    /// does not answer.
     pub fallback_min_burst: MilliUnits,
-    /// A request without a lease does not wait for the owner but takes units from the fallback share,
-    /// which the next report includes. The bound on the units that exceed the quota is then that of the
-    /// fallback at all times.
+    /// Whether a request that finds too few leased units takes them from the fallback share, if
+    /// that holds enough, instead of waiting for the owner. The next report includes this use. The
+    /// number of units that may exceed the quota is then at all times bounded as it otherwise is
+    /// during fallback.
     pub use_fallback_first: bool,
-    /// The most accounts in memory.
+    /// Maximum number of accounts in memory.
     pub max_accounts: usize,
-    /// The most requests that wait. Further ones are denied.
+    /// Maximum number of waiting requests. Further requests that would have to wait are denied.
     pub max_waiting: usize,
 }
 
--- a/src/quota_lease/holder/types.rs
+++ b/src/quota_lease/holder/types.rs
@@ -1,74 +1,74 @@
-//! Results of the calls of a holder, and its metrics.
+//! Results of the methods of a holder, and its metrics.
 
 use super::receipt::Receipt;
 use crate::decision::Micros;
 use crate::quota_lease::message::{MilliUnits, Report};
 
-/// Identifies a request that waits.
+/// Identifies a request that waits for units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Result of a request for units.
+/// Result of [`Holder::take`](super::Holder::take).
 #[derive(Debug, PartialEq, Eq)]
 pub enum TakeResult {
-    /// The units are taken.
+    /// The units were taken.
     Taken(Receipt),
-    /// The owner is asked for units; an [`Answer`] with this ticket follows.
+    /// The request waits until the account's owner answers. An [`Answer`] with this ticket follows.
     Waiting(Ticket),
-    /// No units are available.
+    /// The units are not available.
     Denied {
-        /// Time in µs before which none will be available; [`Micros::MAX`] if they never will.
+        /// Time in µs for which the units will not be available; [`Micros::MAX`] if they never will be.
         retry_after: Micros,
     },
 }
 
-/// Result of a request that waited.
+/// Result of a request that has waited for units.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The units are taken.
+    /// The units were taken.
     Taken(Receipt),
-    /// No units are available.
+    /// The units are not available.
     Denied {
-        /// Time in µs before which none will be available; [`Micros::MAX`] if they never will.
+        /// Time in µs for which the units will not be available; [`Micros::MAX`] if they never will be.
         retry_after: Micros,
     },
 }
 
-/// Answer to a request that waited.
+/// Answer to a request that has waited for units.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The ticket of [`TakeResult::Waiting`].
+    /// The ticket that the request received with [`TakeResult::Waiting`].
     pub ticket: Ticket,
-    /// The result.
+    /// Result of the request.
     pub outcome: Outcome,
 }
 
-/// What the caller has to do.
+/// Reports and answers that the caller of [`Holder::poll`](super::Holder::poll) has to deliver.
 #[derive(Debug, Default, PartialEq)]
 pub struct Poll {
-    /// Reports to send, each with the number of its allocator.
+    /// Reports to send, each with the number of the allocator that it is for.
     pub reports: Vec<(u32, Report)>,
-    /// Answers to requests that need not wait any longer.
+    /// Answers to requests that no longer wait.
     pub answers: Vec<Answer>,
 }
 
-/// Metrics since the start.
+/// Metrics since the start of the holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HolderFigures {
-    /// Reports sent, without retries.
+    /// Number of reports sent, without retries.
     pub reports: u64,
-    /// Entries in them.
+    /// Number of entries in the reports sent, without retries.
     pub entries: u64,
-    /// Units that were granted.
+    /// Units that allocators granted.
     pub granted: MilliUnits,
-    /// Units that were returned.
+    /// Units that were returned to allocators.
     pub returned: MilliUnits,
     /// Units that requests took from leases.
     pub taken: MilliUnits,
     /// Units that requests took from fallback shares.
     pub fallback: MilliUnits,
-    /// Requests that waited for an allocator.
+    /// Number of requests that waited for an allocator.
     pub waited: u64,
-    /// Requests that were denied.
+    /// Number of requests that were denied.
     pub denied: u64,
 }
--- a/src/quota_lease/server/connections.rs
+++ b/src/quota_lease/server/connections.rs
@@ -1,8 +1,8 @@
 //! Connections from limiters.
 //!
-//! Each connection has its own thread, which reads a report, passes it to the allocator thread, waits for
-//! the grant and writes it. A limiter that is slow, sends nothing or sends invalid data therefore delays
-//! only its own connection.
+//! Each connection has its own thread, which reads a report, passes it to the allocator thread,
+//! waits for the grant and writes it. A limiter that is slow, sends nothing or sends invalid data
+//! therefore delays only its own connection.
 
 use super::input::Input;
 use crate::log_throttle::LogThrottle;
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Counts a closed connection, and logs it unless the limiter closed it or the allocator is stopping.
+    /// Counts a closed connection, and logs it unless the limiter closed it or the allocator is
+    /// stopping.
     fn record_closed(&self, peer: SocketAddr, error: &ConnectionError) {
         if let ConnectionError::Frame(error) = error {
             self.counters.count_closed(error);
--- a/src/quota_lease/server/input.rs
+++ b/src/quota_lease/server/input.rs
@@ -4,8 +4,8 @@
 use crate::quota_lease::message::{Grant, MessageError, Report};
 use crossbeam_channel::Sender;
 
-/// An input of the allocator thread. The queue of inputs is bounded by the number of connections, as each
-/// connection has at most one report in it.
+/// An input of the allocator thread. The queue of inputs is bounded by the number of connections,
+/// as each connection has at most one report in it.
 pub(super) enum Input {
     /// A limiter sent a report.
     Report {
--- a/src/quota_lease/server/mod.rs
+++ b/src/quota_lease/server/mod.rs
@@ -1,5 +1,5 @@
-//! The allocator's process: the connections from limiters, the membership in the fleet of allocators, and
-//! the allocator thread, which owns the [`Allocator`](super::allocator::Allocator).
+//! The allocator's process: the connections from limiters, the membership in the fleet of
+//! allocators, and the allocator thread, which owns the [`Allocator`](super::allocator::Allocator).
 
 mod connections;
 mod input;
@@ -75,8 +75,8 @@
         })
     }
 
-    /// Shuts down gracefully: answers the reports that have been received, grants nothing after that, and
-    /// leaves the fleet of allocators.
+    /// Shuts down gracefully: answers the reports that have been received, grants nothing after
+    /// that, and leaves the fleet of allocators.
     pub fn stop(self) {
         let (done, stopped) = bounded(1);
         if self.inputs.send(Input::Stop(done)).is_ok() {
--- a/src/quota_lease/server/owner.rs
+++ b/src/quota_lease/server/owner.rs
@@ -19,7 +19,8 @@
     Stop,
 }
 
-/// Converts the leases of the fleet of allocators to the state that determines the ownership of accounts.
+/// Converts the leases of the fleet of allocators to the state that determines the ownership of
+/// accounts.
 pub(super) fn ownership_from_shares(shares: &QuotaShares) -> Ownership {
     let mut reassigned = 0;
     for (number, is_reassigned) in shares.reassigned.iter().enumerate() {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Returns the next time at which the thread must run even without an input: to log metrics, or to log
-    /// the end of the allocator's own lease.
+    /// Returns the next time at which the thread must run even without an input: to log metrics, or
+    /// to log the end of the allocator's own lease.
     fn wake_at(&self, next_metrics_log: Instant) -> Instant {
         if self.lease.logged_held {
             next_metrics_log.min(self.clock.moment(self.lease.ends))
