--- a/src/quota_lease/bucket.rs
+++ b/src/quota_lease/bucket.rs
@@ -7,8 +7,8 @@
 /// Denominator of a fraction that is given in thousandths.
 const THOUSANDTHS_DENOMINATOR: u128 = 1_000;
 
-/// Fill rate of a bucket: `milli_units` in every `period` of microseconds. It is kept as a fraction so
-/// that small shares of low rates stay exact.
+/// Fill rate of a bucket: `milli_units` thousandths of a unit accrue in each `period` of
+/// microseconds. It is kept as a fraction so that small shares of low rates stay exact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillRate {
     milli_units: u128,
--- a/src/quota_lease/frame.rs
+++ b/src/quota_lease/frame.rs
@@ -38,12 +38,12 @@
     Io(#[source] io::Error),
 }
 
-/// Timeouts for reading a frame.
+/// Timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
     /// Maximum time until the first byte of a frame arrives.
     pub idle: Duration,
-    /// Maximum time from the first byte of a frame to its last.
+    /// Maximum time from the first byte of a frame to its last byte.
     pub frame: Duration,
 }
 
--- a/src/quota_lease/message/mod.rs
+++ b/src/quota_lease/message/mod.rs
@@ -1,7 +1,8 @@
 //! Messages between limiters and allocators.
 //!
 //! The entries of a message are encoded as columns of equal length, because protocol buffers pack a
-//! column of numbers without a tag for each number. A column of zeros only may be left out.
+//! column of numbers without a tag for each number. A column that holds only zeros may be
+//! left out.
 
 mod columns;
 mod error;
--- a/src/quota_lease/placement.rs
+++ b/src/quota_lease/placement.rs
@@ -3,7 +3,7 @@
 
 use super::message::AccountKey;
 
-/// Maximum number of allocators. Messages carry sets of allocators as 64-bit sets.
+/// Maximum number of allocators. Messages encode a set of allocators as the bits of a 64-bit integer.
 pub const MAX_ALLOCATORS: u32 = 64;
 
 /// Returns the weight of an account at an allocator.
