--- a/benches/fleet/main.rs
+++ b/benches/fleet/main.rs
@@ -1,8 +1,10 @@
-//! How soon a fleet knows of deaths and splits, and at what price: the view against a plain heartbeat to all.
+//! How fast a fleet detects deaths and recovers from partitions, and at what cost in datagrams and
+//! CPU time: the membership view compared with a plain heartbeat to all members.
 //!
 //!     cargo bench --bench fleet -- --sizes 30,300 --losses 0,0.06
 //!
-//! Times are hand-made, nothing is sent over any wire, and the same seed gives the same figures.
+//! Time is virtual and no datagram leaves the process. Apart from CPU times, the same seed gives the
+//! same figures.
 
 #[path = "../../tests/common/net.rs"]
 #[allow(dead_code)]
@@ -17,144 +19,167 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// The processor time of at most so many limiters is measured, as reading the clock is slow.
-const MEASURED: usize = 32;
+/// Maximum number of limiters whose CPU time is measured, as reading the clock is slow.
+const MAX_MEASURED: usize = 32;
 
-/// What a fleet of views knows when, beside a plain heartbeat to all.
+/// Compares the membership view with a plain heartbeat to all members.
 #[derive(Parser)]
-struct Words {
-    /// Limiters.
+struct Arguments {
+    /// Numbers of limiters.
     #[arg(long, value_delimiter = ',', default_value = "3,30,300,1000")]
     sizes: Vec<u32>,
-    /// Part of the datagrams that is lost.
+    /// Fractions of the datagrams that are lost.
     #[arg(long, value_delimiter = ',', default_value = "0,0.06,0.3")]
     losses: Vec<f64>,
-    /// Plays of each.
+    /// Number of runs for each size and loss, each with another seed.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Seconds in which false deaths are looked for, at a fleet of 30; a larger one gets as many member-seconds.
+    /// Seconds per run in which false deaths are counted, in a fleet of up to 30 limiters; a larger
+    /// fleet gets as many member-seconds as one of 30.
     #[arg(long, default_value_t = 3600)]
     quiet: u64,
-    /// Seconds from the start of all to the first loss; if none are given 20, and a tenth for each limiter.
+    /// Seconds from the start of all limiters until datagrams are lost; by default 20, and 0.1 for
+    /// each limiter.
     #[arg(long)]
     start: Option<u64>,
-    /// The least of the quiet seconds in a play.
+    /// Minimum number of seconds per run in which false deaths are counted.
     #[arg(long, default_value_t = 60)]
     least_quiet: u64,
-    /// Lines of JSON alone.
+    /// Prints each result as a line of JSON.
     #[arg(long)]
     json: bool,
-    /// As cargo calls a benchmark.
+    /// Accepted because cargo passes it to each benchmark.
     #[arg(long, hide = true)]
     bench: bool,
 }
 
-/// Median and 99th percentile of what was seen; of few plays the latter is the worst one.
-fn spread(mut seen: Vec<f64>) -> (f64, f64) {
-    if seen.is_empty() {
+/// Returns the median and the 99th percentile of the samples. Of fewer than 100 samples, the latter
+/// is the largest one.
+fn median_and_p99(mut samples: Vec<f64>) -> (f64, f64) {
+    if samples.is_empty() {
         return (f64::NAN, f64::NAN);
     }
-    seen.sort_by(f64::total_cmp);
-    let at =
-        |part: f64| seen[((seen.len() as f64 * part).ceil() as usize).clamp(1, seen.len()) - 1];
+    samples.sort_by(f64::total_cmp);
+    let at = |quantile: f64| {
+        samples[((samples.len() as f64 * quantile).ceil() as usize).clamp(1, samples.len()) - 1]
+    };
     (at(0.5), at(0.99))
 }
 
-/// What one way of knowing shows.
+/// Results of one detection method, with one sample or more for each run.
 #[derive(Default)]
-struct Seen {
-    /// Seconds until all know of a death, and until all are settled after a split of 10 s has healed.
-    death: Vec<f64>,
-    heal: Vec<f64>,
-    /// Members taken for dead in vain, per hour of the fleet.
-    falsely: Vec<f64>,
-    /// Datagrams and bytes a second sent by one member while nothing happens.
-    datagrams: Vec<f64>,
-    bytes: Vec<f64>,
-    /// Processor time while nothing happens: us a member and second in all, and us for one datagram taken in, one wake
-    /// (questions, suspicions, gossip) and one look at what the member may count on.
-    spent: Vec<f64>,
-    heard: Vec<f64>,
-    woken: Vec<f64>,
-    standing: Vec<f64>,
-    /// The same in all from the split to the end of the heal.
-    spent_heal: Vec<f64>,
-    /// Seconds from the start of all at once until each knows all.
-    start: Vec<f64>,
-    /// Plays in which this, the death or the heal was not known to all within the time given for it.
+struct Measurements {
+    /// Seconds from a member's death until all others have detected it.
+    death_s: Vec<f64>,
+    /// Seconds from the end of a partition of 10 s until no running member is believed dead.
+    heal_s: Vec<f64>,
+    /// Running members declared dead, per hour in the whole fleet.
+    false_deaths_per_hour: Vec<f64>,
+    /// Datagrams per second that one member sends while no member starts or dies.
+    datagrams_per_s: Vec<f64>,
+    /// Bytes per second that one member sends while no member starts or dies.
+    bytes_per_s: Vec<f64>,
+    /// CPU time in µs per member and second while no member starts or dies.
+    cpu_us_per_s: Vec<f64>,
+    /// CPU time in µs for one received datagram.
+    receive_us: Vec<f64>,
+    /// CPU time in µs for one wake: probes, suspicion timeouts and gossip.
+    wake_us: Vec<f64>,
+    /// CPU time in µs for computing a member's quota shares once.
+    quota_shares_us: Vec<f64>,
+    /// CPU time in µs per member and second from the start of the partition to the end of the heal.
+    heal_cpu_us_per_s: Vec<f64>,
+    /// Seconds from the start of all members at once until each believes all others alive.
+    start_s: Vec<f64>,
+    /// Number of runs in which the start, the detection of the death and the heal did not complete
+    /// in time.
     unsettled: [u32; 3],
 }
 
-impl Seen {
-    fn tell(self, way: &str, size: u32, loss: f64, words: &Words) {
+impl Measurements {
+    /// Prints the median and the 99th percentile of each result.
+    fn print(self, method: &str, size: u32, loss: f64, arguments: &Arguments) {
         let columns = [
-            ("death_s", self.death),
-            ("heal_s", self.heal),
-            ("false_an_hour", self.falsely),
-            ("datagrams_s", self.datagrams),
-            ("bytes_s", self.bytes),
-            ("start_s", self.start),
-            ("cpu_us_s", self.spent),
-            ("cpu_heal_us_s", self.spent_heal),
-            ("heard_us", self.heard),
-            ("wake_us", self.woken),
-            ("standing_us", self.standing),
+            ("death_s", self.death_s),
+            ("heal_s", self.heal_s),
+            ("false_an_hour", self.false_deaths_per_hour),
+            ("datagrams_s", self.datagrams_per_s),
+            ("bytes_s", self.bytes_per_s),
+            ("start_s", self.start_s),
+            ("cpu_us_s", self.cpu_us_per_s),
+            ("cpu_heal_us_s", self.heal_cpu_us_per_s),
+            ("heard_us", self.receive_us),
+            ("wake_us", self.wake_us),
+            ("standing_us", self.quota_shares_us),
         ];
-        let mut line = json!({"way": way, "size": size, "loss": loss, "seeds": words.seeds});
+        let mut line = json!({"way": method, "size": size, "loss": loss, "seeds": arguments.seeds});
         line["unsettled_start_death_heal"] = json!(self.unsettled);
         let mut row = format!(
-            "{way:<10} {size:>5} {loss:>5.2}  unsettled {:?}",
+            "{method:<10} {size:>5} {loss:>5.2}  unsettled {:?}",
             self.unsettled
         );
-        for (name, seen) in columns.into_iter().filter(|(_, seen)| !seen.is_empty()) {
-            let (median, worst) = spread(seen);
-            line[name] = json!([median, worst]);
-            row += &format!("  {name} {median:.2} / {worst:.2}");
+        for (name, samples) in columns
+            .into_iter()
+            .filter(|(_, samples)| !samples.is_empty())
+        {
+            let (median, p99) = median_and_p99(samples);
+            line[name] = json!([median, p99]);
+            row += &format!("  {name} {median:.2} / {p99:.2}");
         }
-        println!("{}", if words.json { line.to_string() } else { row });
+        println!(
+            "{}",
+            if arguments.json {
+                line.to_string()
+            } else {
+                row
+            }
+        );
     }
 }
 
-/// Processor time of this thread.
-fn processor_time() -> Duration {
+/// Returns the CPU time of this thread.
+fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Measures at most [`MEASURED`] limiters from now on.
-fn meter(size: u32) -> CpuMeter {
-    let every = (size as usize).div_ceil(MEASURED);
+/// Returns a meter that measures at most [`MAX_MEASURED`] limiters.
+fn new_meter(size: u32) -> CpuMeter {
+    let every = (size as usize).div_ceil(MAX_MEASURED);
     CpuMeter {
-        clock: Some(processor_time),
+        clock: Some(thread_cpu_time),
         every,
         ..CpuMeter::default()
     }
 }
 
-/// Processor time in us a member and second.
-fn spent(meter: &CpuMeter, size: u32, span: u64) -> f64 {
+/// Returns the measured CPU time in µs per member and second, for a measurement of `span` µs.
+fn cpu_us_per_member_second(meter: &CpuMeter, size: u32, span: u64) -> f64 {
     let all = meter.receive.cpu_time + meter.wake.cpu_time + meter.quota_shares.cpu_time;
     let members = (size as usize).div_ceil(meter.every);
     all.as_secs_f64() * 1e6 / members as f64 / (span as f64 / 1e6)
 }
 
-/// Notes the seconds that something took; 1 if it did not come to its end.
-fn reached(took: Option<u64>, seen: &mut Vec<f64>) -> u32 {
-    seen.extend(took.map(|took| took as f64 / 1e6));
-    u32::from(took.is_none())
+/// Adds a duration in µs to `samples_s`, in seconds. Returns 1 if there is none, as the event timed
+/// out, and else 0.
+fn record_duration(duration: Option<u64>, samples_s: &mut Vec<f64>) -> u32 {
+    samples_s.extend(duration.map(|duration| duration as f64 / 1e6));
+    u32::from(duration.is_none())
 }
 
-fn each(usage: CpuUsage) -> f64 {
+/// Returns the mean CPU time in µs of an event.
+fn mean_us(usage: CpuUsage) -> f64 {
     usage.cpu_time.as_secs_f64() * 1e6 / usage.events as f64
 }
 
-fn view(size: u32, loss: f64, words: &Words) -> Seen {
-    let mut all = Seen::default();
-    for seed in 0..words.seeds {
+/// Measures a fleet of views on a simulated network.
+fn measure_view(size: u32, loss: f64, arguments: &Arguments) -> Measurements {
+    let mut results = Measurements::default();
+    for seed in 0..arguments.seeds {
         let mut net = SimulatedNetwork::new(size, 1_000 + seed);
-        net.shares_every = (size as usize).div_ceil(MEASURED);
+        net.shares_every = (size as usize).div_ceil(MAX_MEASURED);
         net.start_all();
-        let first = words
+        let start_span = arguments
             .start
             .map_or(20 * SECOND + u64::from(size) * SECOND / 10, |start| {
                 start * SECOND
@@ -162,69 +187,94 @@
         let began = net.now;
         let joined = |net: &SimulatedNetwork| {
             net.running()
-                .all(|(_, p)| p.view.alive().iter().all(|lives| *lives))
+                .all(|(_, p)| p.view.alive().iter().all(|alive| *alive))
         };
-        all.unsettled[0] += reached(net.run_until(first, joined), &mut all.start);
-        net.run((began + first).saturating_sub(net.now));
+        results.unsettled[0] +=
+            record_duration(net.run_until(start_span, joined), &mut results.start_s);
+        net.run((began + start_span).saturating_sub(net.now));
         net.loss = loss;
         net.run(10 * SECOND);
-        // As much of the members' time as of 30 for the whole span, a twentieth of it in each play.
-        let span =
-            (words.quiet * SECOND * 30 / u64::from(size.max(30))).max(words.least_quiet * SECOND);
-        let (sent, bytes): (u64, u64) = (net.sent.iter().sum(), net.sent_bytes.iter().sum());
-        let before = net.changes.len();
-        net.meter = meter(size);
+        // As many member-seconds as a fleet of 30 has in the seconds of `quiet`.
+        let span = (arguments.quiet * SECOND * 30 / u64::from(size.max(30)))
+            .max(arguments.least_quiet * SECOND);
+        let (sent_before, bytes_before): (u64, u64) =
+            (net.sent.iter().sum(), net.sent_bytes.iter().sum());
+        let changes_before = net.changes.len();
+        net.meter = new_meter(size);
         net.run(span);
-        let quiet = std::mem::replace(&mut net.meter, meter(size));
-        all.spent.push(spent(&quiet, size, span));
-        all.heard.push(each(quiet.receive));
-        all.woken.push(each(quiet.wake));
-        all.standing.push(each(quiet.quota_shares));
-        let of = |now: u64, then: u64| (now - then) as f64 / f64::from(size) / (span as f64 / 1e6);
-        all.datagrams.push(of(net.sent.iter().sum(), sent));
-        all.bytes.push(of(net.sent_bytes.iter().sum(), bytes));
-        // Told of by its finder; what others make of the same word counts once.
-        let found = |c: &&(u64, usize, mossrill::membership::view::StateChange)| {
+        let quiet = std::mem::replace(&mut net.meter, new_meter(size));
+        results
+            .cpu_us_per_s
+            .push(cpu_us_per_member_second(&quiet, size, span));
+        results.receive_us.push(mean_us(quiet.receive));
+        results.wake_us.push(mean_us(quiet.wake));
+        results.quota_shares_us.push(mean_us(quiet.quota_shares));
+        let per_member_second =
+            |now: u64, before: u64| (now - before) as f64 / f64::from(size) / (span as f64 / 1e6);
+        results
+            .datagrams_per_s
+            .push(per_member_second(net.sent.iter().sum(), sent_before));
+        results
+            .bytes_per_s
+            .push(per_member_second(net.sent_bytes.iter().sum(), bytes_before));
+        // Counts a death only in the view of the member that declared it, as the other views get it
+        // by gossip.
+        let declared_dead = |c: &&(u64, usize, mossrill::membership::view::StateChange)| {
             c.2.state == MemberState::Dead && c.2.reported_by as usize == c.1
         };
-        let falsely = net.changes[before..].iter().filter(found).count();
-        all.falsely.push(falsely as f64 * 3600e6 / span as f64);
+        let false_deaths = net.changes[changes_before..]
+            .iter()
+            .filter(declared_dead)
+            .count();
+        results
+            .false_deaths_per_hour
+            .push(false_deaths as f64 * 3600e6 / span as f64);
         net.changes.clear();
-        let knows = |net: &SimulatedNetwork| {
+        let detected = |net: &SimulatedNetwork| {
             net.running()
                 .all(|(_, p)| p.view.state(0) >= MemberState::Dead)
         };
         net.kill(0);
-        all.unsettled[1] += reached(net.run_until(60 * SECOND, knows), &mut all.death);
-        (net.meter, net.changes) = (meter(size), Vec::new());
-        let split = net.now;
-        net.partition = (0..size).map(|who| u8::from(who >= size / 2)).collect();
+        results.unsettled[1] +=
+            record_duration(net.run_until(60 * SECOND, detected), &mut results.death_s);
+        (net.meter, net.changes) = (new_meter(size), Vec::new());
+        let partitioned_at = net.now;
+        net.partition = (0..size)
+            .map(|limiter| u8::from(limiter >= size / 2))
+            .collect();
         net.run(10 * SECOND);
         net.partition = vec![0; size as usize];
-        // With datagrams lost somebody is under suspicion at nearly any moment: nobody may be taken for dead.
+        // Suspects count as alive: while datagrams are lost, some member is suspected at nearly any
+        // moment.
         let healed = |net: &SimulatedNetwork| {
             net.running()
-                .all(|(_, p)| p.view.alive()[1..].iter().all(|lives| *lives))
+                .all(|(_, p)| p.view.alive()[1..].iter().all(|alive| *alive))
         };
-        all.unsettled[2] += reached(net.run_until(300 * SECOND, healed), &mut all.heal);
-        all.spent_heal
-            .push(spent(&net.meter, size, net.now - split));
+        results.unsettled[2] +=
+            record_duration(net.run_until(300 * SECOND, healed), &mut results.heal_s);
+        results.heal_cpu_us_per_s.push(cpu_us_per_member_second(
+            &net.meter,
+            size,
+            net.now - partitioned_at,
+        ));
     }
-    all
+    results
 }
 
-/// A datagram to every other one each half second; dead after five missing ones. What a pair sees depends on nobody
-/// else, so pairs are played one by one: of large fleets a sample.
-fn heartbeat(size: u32, loss: f64, words: &Words) -> Seen {
-    const PERIOD: f64 = 0.5;
-    const MISSING: u32 = 5;
-    let mut all = Seen::default();
+/// Measures a heartbeat: each member sends a datagram to every other one each half second, and
+/// declares a member dead after five missing datagrams. A member detects the death of another one
+/// independently of the rest of the fleet, so each pair is simulated on its own, and of large fleets
+/// a sample of the pairs.
+fn measure_heartbeat(size: u32, loss: f64, arguments: &Arguments) -> Measurements {
+    const PERIOD_S: f64 = 0.5;
+    const DEAD_AFTER_MISSING: u32 = 5;
+    let mut results = Measurements::default();
     let pairs = u64::from(size) * u64::from(size - 1);
-    for seed in 0..words.seeds {
+    for seed in 0..arguments.seeds {
         let mut rng = StdRng::seed_from_u64(2_000 + seed);
-        let beats = (words.quiet as f64 / PERIOD) as u64;
+        let beats = (arguments.quiet as f64 / PERIOD_S) as u64;
         let sample = pairs.min(20_000_000 / beats.max(1));
-        let mut falsely = 0;
+        let mut false_deaths = 0;
         for _ in 0..sample {
             let mut missing = 0;
             for _ in 0..beats {
@@ -233,41 +283,56 @@
                 } else {
                     0
                 };
-                falsely += u32::from(missing == MISSING);
+                false_deaths += u32::from(missing == DEAD_AFTER_MISSING);
             }
         }
-        let scale = pairs as f64 / sample as f64 * 3600.0 / words.quiet as f64;
-        all.falsely.push(f64::from(falsely) * scale);
-        // The last one that is heard before the death tells when it is missed; after a heal, the next one that comes.
-        let late = || PERIOD;
-        let (mut death, mut heal): (f64, f64) = (0.0, 0.0);
+        let scale = pairs as f64 / sample as f64 * 3600.0 / arguments.quiet as f64;
+        results
+            .false_deaths_per_hour
+            .push(f64::from(false_deaths) * scale);
+        // A death is detected once five datagrams in a row are missing after the last one that
+        // arrived; the end of a partition, when the next datagram arrives.
+        let period_s = || PERIOD_S;
+        let (mut death_s, mut heal_s): (f64, f64) = (0.0, 0.0);
         for _ in 1..size {
-            let (mut before, mut after) =
-                (rng.random_range(0.0..late()), rng.random_range(0.0..late()));
+            let (mut before_s, mut after_s) = (
+                rng.random_range(0.0..period_s()),
+                rng.random_range(0.0..period_s()),
+            );
             while rng.random_bool(loss) {
-                before += PERIOD;
+                before_s += PERIOD_S;
             }
             while rng.random_bool(loss) {
-                after += PERIOD;
+                after_s += PERIOD_S;
             }
-            death = death
-                .max(f64::from(MISSING) * PERIOD - before.min(f64::from(MISSING) * PERIOD) + 0.03);
-            heal = heal.max(after);
+            death_s = death_s.max(
+                f64::from(DEAD_AFTER_MISSING) * PERIOD_S
+                    - before_s.min(f64::from(DEAD_AFTER_MISSING) * PERIOD_S)
+                    + 0.03,
+            );
+            heal_s = heal_s.max(after_s);
         }
-        all.death.push(death);
-        all.heal.push(heal);
-        all.datagrams.push(f64::from(size - 1) / PERIOD);
-        all.bytes.push(f64::from(size - 1) / PERIOD * 90.0);
+        results.death_s.push(death_s);
+        results.heal_s.push(heal_s);
+        results.datagrams_per_s.push(f64::from(size - 1) / PERIOD_S);
+        results
+            .bytes_per_s
+            .push(f64::from(size - 1) / PERIOD_S * 90.0);
     }
-    all
+    results
 }
 
 fn main() {
-    let words = Words::parse();
-    for size in &words.sizes {
-        for loss in &words.losses {
-            view(*size, *loss, &words).tell("view", *size, *loss, &words);
-            heartbeat(*size, *loss, &words).tell("heartbeat", *size, *loss, &words);
+    let arguments = Arguments::parse();
+    for size in &arguments.sizes {
+        for loss in &arguments.losses {
+            measure_view(*size, *loss, &arguments).print("view", *size, *loss, &arguments);
+            measure_heartbeat(*size, *loss, &arguments).print(
+                "heartbeat",
+                *size,
+                *loss,
+                &arguments,
+            );
         }
     }
 }
--- a/tests/fleet/checker.rs
+++ b/tests/fleet/checker.rs
@@ -1,174 +1,187 @@
-//! What must hold of a record of all processes, whatever was done to them.
+//! Checks the recorded events of a fleet against the rules that hold whatever faults a test injects.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// A cold node topples when it is sent so many times what it can do.
-const MULTIPLE: f64 = 4.0;
+/// Load, as a multiple of its capacity, at which a cold server collapses.
+const OVERLOAD_MULTIPLE: f64 = 4.0;
 
-/// How a request was answered.
+/// How a client's request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum RequestResult {
     Served(String),
     Refused,
     Failed,
-    /// The connection ended first.
-    Nothing,
+    /// The connection was closed before an answer came.
+    ConnectionClosed,
 }
 
-/// What happened. Times are left out where the order of the record is enough.
+/// An event of a test. An event has a time only if a check needs more than its place in the record.
 #[derive(Clone, Debug)]
-pub enum Entry {
-    /// A client has asked: at which limiter, in which class, for how many units of which account.
-    Asked {
+pub enum Event {
+    /// A client sent a request of `units` quota units to a limiter.
+    RequestSent {
         id: String,
         limiter: usize,
         class: &'static str,
         account: String,
         units: u32,
     },
-    Answered {
+    RequestEnded {
         id: String,
-        told: Told,
+        result: RequestResult,
     },
-    /// A upstream server has taken it.
-    Ran {
+    /// An upstream server received the request.
+    RequestExecuted {
         id: String,
-        node: usize,
+        server: usize,
         at: Instant,
     },
-    /// A limiter was killed or told to stop: what it had taken may be without an answer.
-    Ended {
+    /// A limiter was killed or told to stop. Requests that it had accepted may go unanswered.
+    LimiterStopped {
         limiter: usize,
     },
-    /// From here on nothing new may go to this node.
-    Barred {
-        node: usize,
+    /// From this time on, no new request may be sent to this server.
+    ServerDrained {
+        server: usize,
         at: Instant,
     },
-    /// This node has just started: it can do so much of what a warm one can, and all of it after `warm` seconds.
-    Cold {
-        node: usize,
+    /// This server has just started. Its capacity is the fraction `initial_share` of that of a warm
+    /// server, and reaches all of it after `warm_up_s` seconds.
+    ServerColdStarted {
+        server: usize,
         at: Instant,
-        share: f64,
-        warm: f64,
+        initial_share: f64,
+        warm_up_s: f64,
     },
 }
 
-/// What the checker is told of the day.
-pub struct Bounds {
-    /// Units that one account may use at once, and in a second.
+/// The quota against which the units of each account are checked.
+pub struct QuotaBounds {
+    /// Units that one account may use at once.
     pub burst: f64,
+    /// Units per second that one account may use.
     pub rate: f64,
-    /// For so long it was asked, in seconds.
-    pub span: f64,
-    /// What goes beyond these by chance of windows and claims, as a part.
+    /// Duration in seconds in which requests may have been sent.
+    pub span_s: f64,
+    /// Fraction by which the use of one account may exceed the quota, as the limits are enforced in
+    /// windows and by claims.
     pub slack: f64,
 }
 
-/// Every broken rule, in words.
-pub fn check(record: &[Entry], bounds: Option<&Bounds>) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut asked = HashMap::new();
-    let (mut answers, mut runs) = (
-        HashMap::<&str, Vec<&Told>>::new(),
+/// Returns a description of each violation of a rule.
+pub fn check(record: &[Event], bounds: Option<&QuotaBounds>) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut requests = HashMap::new();
+    let (mut results, mut executions) = (
+        HashMap::<&str, Vec<&RequestResult>>::new(),
         HashMap::<&str, usize>::new(),
     );
-    let (mut barred, mut cold) = (HashMap::new(), Vec::new());
-    let mut ran = BTreeMap::<usize, Vec<Instant>>::new();
-    let end = |entry: &Entry| match entry {
-        Entry::Ended { limiter } => Some(*limiter),
+    let (mut drained, mut cold_starts) = (HashMap::new(), Vec::new());
+    let mut executed_at = BTreeMap::<usize, Vec<Instant>>::new();
+    let stopped_limiter = |event: &Event| match event {
+        Event::LimiterStopped { limiter } => Some(*limiter),
         _ => None,
     };
-    let ended: HashSet<usize> = record.iter().filter_map(end).collect();
-    for entry in record {
-        match entry {
-            Entry::Asked {
+    let stopped: HashSet<usize> = record.iter().filter_map(stopped_limiter).collect();
+    for event in record {
+        match event {
+            Event::RequestSent {
                 id,
                 limiter,
                 class,
                 account,
                 units,
             } => {
-                asked.insert(&**id, (*limiter, *class, &**account, *units));
+                requests.insert(&**id, (*limiter, *class, &**account, *units));
             }
-            Entry::Answered { id, told } => answers.entry(id).or_default().push(told),
-            Entry::Ran { id, node, at } => {
-                *runs.entry(id).or_default() += 1;
-                if barred.get(node).is_some_and(|from| at > from) {
-                    faults.push(format!("{id} went to node {node}, which takes nothing new"));
+            Event::RequestEnded { id, result } => results.entry(id).or_default().push(result),
+            Event::RequestExecuted { id, server, at } => {
+                *executions.entry(id).or_default() += 1;
+                if drained.get(server).is_some_and(|since| at > since) {
+                    violations.push(format!(
+                        "{id} was sent to server {server} after the server was drained"
+                    ));
                 }
-                ran.entry(*node).or_default().push(*at);
+                executed_at.entry(*server).or_default().push(*at);
             }
-            Entry::Ended { .. } => {}
-            Entry::Barred { node, at } => _ = barred.insert(*node, *at),
-            Entry::Cold {
-                node,
+            Event::LimiterStopped { .. } => {}
+            Event::ServerDrained { server, at } => _ = drained.insert(*server, *at),
+            Event::ServerColdStarted {
+                server,
                 at,
-                share,
-                warm,
-            } => cold.push((*node, *at, *share, *warm)),
+                initial_share,
+                warm_up_s,
+            } => cold_starts.push((*server, *at, *initial_share, *warm_up_s)),
         }
     }
-    let mut used = BTreeMap::<&str, f64>::new();
-    for (id, (limiter, class, account, units)) in &asked {
-        let told = answers.get(id).map_or(&[][..], Vec::as_slice);
-        match told {
-            [Told::Nothing] | [] if ended.contains(limiter) => {}
-            [Told::Nothing] | [] => faults.push(format!(
-                "{id} got no answer of limiter {limiter}, which lived"
+    let mut used_units = BTreeMap::<&str, f64>::new();
+    for (id, (limiter, class, account, units)) in &requests {
+        let request_results = results.get(id).map_or(&[][..], Vec::as_slice);
+        match request_results {
+            [RequestResult::ConnectionClosed] | [] if stopped.contains(limiter) => {}
+            [RequestResult::ConnectionClosed] | [] => violations.push(format!(
+                "{id} got no answer from limiter {limiter}, which was not stopped"
             )),
-            [Told::Served(value)] if value != id => {
-                faults.push(format!("{id} was served with {value}"))
+            [RequestResult::Served(value)] if value != id => {
+                violations.push(format!("{id} was served with {value}, not with its own id"))
             }
-            [Told::Served(_)] if !runs.contains_key(id) => {
-                faults.push(format!("{id} was served and never ran"))
+            [RequestResult::Served(_)] if !executions.contains_key(id) => {
+                violations.push(format!("{id} was served but no server executed it"))
             }
             [_] => {}
-            more => faults.push(format!("{id} got {} answers", more.len())),
+            several => violations.push(format!("{id} got {} answers", several.len())),
         }
-        let times = runs.get(id).copied().unwrap_or(0);
+        let times = executions.get(id).copied().unwrap_or(0);
         if *class == "pay" && times > 1 {
-            faults.push(format!("{id} may not run twice, and ran {times} times"));
+            violations.push(format!("{id} must not run twice, but ran {times} times"));
         }
         if times > 0 {
-            *used.entry(account).or_default() += f64::from(*units);
+            *used_units.entry(account).or_default() += f64::from(*units);
         }
     }
     if let Some(bounds) = bounds {
-        let most = (bounds.burst + bounds.rate * bounds.span) * (1.0 + bounds.slack);
-        for (account, units) in used.iter().filter(|(_, units)| **units > most) {
-            faults.push(format!(
-                "{units} units of {account} were sent on, {most:.0} at the most"
+        let max_units = (bounds.burst + bounds.rate * bounds.span_s) * (1.0 + bounds.slack);
+        for (account, units) in used_units.iter().filter(|(_, units)| **units > max_units) {
+            violations.push(format!(
+                "{units} units of account {account} were sent upstream, expected at most {max_units:.0}"
             ));
         }
     }
-    // What a warm node gets it can do; the cold one can do its share of that.
-    let within = |node: usize, from: Instant| {
+    // The busiest of the other servers shows a load that a warm server can bear. A cold server can
+    // bear its current share of that.
+    let requests_in_second = |server: usize, from: Instant| {
         let second = from..from + Duration::from_secs(1);
-        ran.get(&node).map_or(0, |times| {
+        executed_at.get(&server).map_or(0, |times| {
             times.iter().filter(|at| second.contains(at)).count()
         }) as f64
     };
-    for (node, started, share, warm) in cold {
-        let tenths =
-            (0..(warm * 10.0) as u64).map(|tenth| started + Duration::from_millis(100 * tenth));
-        let too_much = tenths.clone().find_map(|from| {
-            let others = ran.keys().filter(|other| **other != node);
-            let busiest = others.map(|other| within(*other, from)).fold(1.0, f64::max);
-            let age = from.duration_since(started).as_secs_f64() + 1.0;
-            let able = MULTIPLE * busiest * (share + (1.0 - share) * (age / warm).min(1.0));
-            let (came, most) = (within(node, from), able + 3.0 * able.sqrt() + 3.0);
-            (came > most).then_some((came, most))
+    for (server, started, initial_share, warm_up_s) in cold_starts {
+        let tenths = (0..(warm_up_s * 10.0) as u64)
+            .map(|tenth| started + Duration::from_millis(100 * tenth));
+        let overload = tenths.clone().find_map(|from| {
+            let others = executed_at.keys().filter(|other| **other != server);
+            let busiest = others
+                .map(|other| requests_in_second(*other, from))
+                .fold(1.0, f64::max);
+            let age_s = from.duration_since(started).as_secs_f64() + 1.0;
+            let capacity = OVERLOAD_MULTIPLE
+                * busiest
+                * (initial_share + (1.0 - initial_share) * (age_s / warm_up_s).min(1.0));
+            let (received, max) = (
+                requests_in_second(server, from),
+                capacity + 3.0 * capacity.sqrt() + 3.0,
+            );
+            (received > max).then_some((received, max))
         });
-        if let Some((came, most)) = too_much {
-            faults.push(format!(
-                "cold node {node} got {came} requests in a second, {most:.0} at the most"
+        if let Some((received, max)) = overload {
+            violations.push(format!(
+                "cold server {server} got {received} requests in a second, expected at most {max:.0}"
             ));
         }
     }
-    faults.sort();
-    faults
+    violations.sort();
+    violations
 }
 
 #[cfg(test)]
@@ -176,116 +189,116 @@
     use super::*;
     use std::time::Duration;
 
-    fn good() -> Vec<Entry> {
+    fn valid_record() -> Vec<Event> {
         let now = Instant::now();
-        let asked = |id: &str, limiter, class| Entry::Asked {
+        let sent = |id: &str, limiter, class| Event::RequestSent {
             id: id.into(),
             limiter,
             class,
             account: "a".into(),
             units: 2,
         };
-        let told = |id: &str, told| Entry::Answered {
+        let ended = |id: &str, result| Event::RequestEnded {
             id: id.into(),
-            told,
+            result,
         };
-        let ran = |id: &str, node| Entry::Ran {
+        let executed = |id: &str, server| Event::RequestExecuted {
             id: id.into(),
-            node,
+            server,
             at: now,
         };
         vec![
-            asked("look-1", 0, "look"),
-            ran("look-1", 0),
-            ran("look-1", 1),
-            told("look-1", Told::Served("look-1".into())),
-            asked("pay-1", 1, "pay"),
-            ran("pay-1", 0),
-            told("pay-1", Told::Failed),
-            Entry::Ended { limiter: 1 },
-            asked("pay-2", 1, "pay"),
-            told("pay-2", Told::Nothing),
-            asked("look-2", 0, "look"),
-            told("look-2", Told::Refused),
+            sent("look-1", 0, "look"),
+            executed("look-1", 0),
+            executed("look-1", 1),
+            ended("look-1", RequestResult::Served("look-1".into())),
+            sent("pay-1", 1, "pay"),
+            executed("pay-1", 0),
+            ended("pay-1", RequestResult::Failed),
+            Event::LimiterStopped { limiter: 1 },
+            sent("pay-2", 1, "pay"),
+            ended("pay-2", RequestResult::ConnectionClosed),
+            sent("look-2", 0, "look"),
+            ended("look-2", RequestResult::Refused),
         ]
     }
 
     #[test]
-    fn a_good_record_has_no_fault_and_each_broken_one_has_its_own() {
-        let bounds = Bounds {
+    fn valid_record_passes_and_each_violation_is_reported() {
+        let bounds = QuotaBounds {
             burst: 4.0,
             rate: 0.0,
-            span: 1.0,
+            span_s: 1.0,
             slack: 0.0,
         };
-        assert_eq!(check(&good(), Some(&bounds)), Vec::<String>::new());
+        assert_eq!(check(&valid_record(), Some(&bounds)), Vec::<String>::new());
         let later = Instant::now() + Duration::from_secs(5);
-        type Break = fn(&mut Vec<Entry>, Instant);
-        let broken: [(Break, &str); 9] = [
+        type Change = fn(&mut Vec<Event>, Instant);
+        let changes: [(Change, &str); 9] = [
             (|r, _| _ = r.remove(3), "look-1 got no answer"),
             (|r, _| r.push(r[3].clone()), "look-1 got 2 answers"),
             (
                 |r, _| {
-                    r[3] = Entry::Answered {
+                    r[3] = Event::RequestEnded {
                         id: "look-1".into(),
-                        told: Told::Served("x".into()),
+                        result: RequestResult::Served("x".into()),
                     }
                 },
                 "served with x",
             ),
             (
                 |r, _| drop(r.drain(1..3)),
-                "look-1 was served and never ran",
+                "look-1 was served but no server executed it",
             ),
-            (|r, _| r.push(r[5].clone()), "pay-1 may not run twice"),
+            (|r, _| r.push(r[5].clone()), "pay-1 must not run twice"),
             (|r, _| _ = r.remove(7), "pay-2 got no answer"),
             (
                 |r, at| {
                     r.insert(
                         0,
-                        Entry::Barred {
-                            node: 1,
+                        Event::ServerDrained {
+                            server: 1,
                             at: at - Duration::from_secs(10),
                         },
                     );
                 },
-                "look-1 went to node 1",
+                "look-1 was sent to server 1",
             ),
             (
                 |r, _| {
-                    if let Entry::Asked { units, .. } = &mut r[0] {
+                    if let Event::RequestSent { units, .. } = &mut r[0] {
                         *units = 3;
                     }
                 },
-                "5 units of a",
+                "5 units of account a",
             ),
             (
                 |r, at| {
                     r.insert(
                         0,
-                        Entry::Cold {
-                            node: 2,
+                        Event::ServerColdStarted {
+                            server: 2,
                             at,
-                            share: 0.2,
-                            warm: 13.0,
+                            initial_share: 0.2,
+                            warm_up_s: 13.0,
                         },
                     );
-                    r.extend((0..20).map(|n| Entry::Ran {
+                    r.extend((0..20).map(|n| Event::RequestExecuted {
                         id: format!("{n}"),
-                        node: 2,
+                        server: 2,
                         at,
                     }));
                 },
-                "cold node 2 got 20 requests",
+                "cold server 2 got 20 requests",
             ),
         ];
-        for (break_it, fault) in broken {
-            let mut record = good();
-            break_it(&mut record, later);
-            let faults = check(&record, Some(&bounds));
+        for (change, violation) in changes {
+            let mut record = valid_record();
+            change(&mut record, later);
+            let violations = check(&record, Some(&bounds));
             assert!(
-                faults.iter().any(|f| f.contains(fault)),
-                "{fault}: {faults:?}"
+                violations.iter().any(|v| v.contains(violation)),
+                "expected a violation with {violation:?}, got {violations:?}"
             );
         }
     }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of processes, with the network between them in the test's hand: joins, crashes, splits, and what is asked of
-//! the limiters meanwhile.
+//! Fleets of limiter processes under load, on a network controlled by the test: joins, crashes,
+//! pauses, upgrades, partitions and lost datagrams.
 
 mod checker;
 #[path = "../peers/mod.rs"]
@@ -14,231 +14,257 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn pause(ms: u64) {
+fn sleep_ms(ms: u64) {
     thread::sleep(Duration::from_millis(ms));
 }
 
 #[test]
-fn half_of_thirty_limiters_restart_within_a_second_beside_a_warming_and_a_draining_server() {
-    let mut rig = Rig::up(Plan::new("thirty", 30));
-    rig.cold_and_drained();
+fn fleet_of_thirty_settles_after_half_of_it_restarts_at_once() {
+    let mut rig = Rig::start_and_settle(Plan::new("thirty", 30));
+    rig.drain_and_cold_start();
     let load = rig.load(40);
-    load.goes_on(300);
+    load.wait_for_requests(300);
     let began = Instant::now();
-    for who in (0..30).step_by(2) {
-        rig.kill(who);
+    for limiter in (0..30).step_by(2) {
+        rig.kill(limiter);
     }
-    for who in (0..30).step_by(2) {
-        rig.start(who);
+    for limiter in (0..30).step_by(2) {
+        rig.start(limiter);
     }
-    println!("restarted in {:?}", began.elapsed());
+    println!("half of the fleet restarted in {:?}", began.elapsed());
     rig.settle();
-    load.goes_on(300);
-    load.end();
+    load.wait_for_requests(300);
+    load.stop();
     rig.check(None);
 }
 
 #[test]
 fn partition_of_seven_with_deaths_and_joins_on_both_sides_heals() {
-    let mut rig = Rig::up(Plan::new("split", 7));
-    rig.until("a lease for all", |rig| {
-        (0..7).all(|who| rig.part(who) == 1.0)
+    let mut rig = Rig::start_and_settle(Plan::new("split", 7));
+    rig.wait_until("all limiters hold a lease", |rig| {
+        (0..7).all(|limiter| rig.quota_share(limiter) == 1.0)
     });
     let load = rig.load(10);
-    load.goes_on(50);
-    rig.cold_and_drained();
+    load.wait_for_requests(50);
+    rig.drain_and_cold_start();
     rig.kill(6);
     rig.settle();
-    rig.script(|script| script.side = vec![0, 0, 0, 0, 1, 1, 1]);
-    rig.agree(&[0, 1, 2, 3]);
-    rig.agree(&[4, 5]);
-    // On the side with fewer one comes back and one dies; on the other one dies and comes back.
+    rig.change_faults(|faults| faults.partition = vec![0, 0, 0, 0, 1, 1, 1]);
+    rig.wait_for_agreement(&[0, 1, 2, 3]);
+    rig.wait_for_agreement(&[4, 5]);
+    // In the minority, limiter 6 comes back and limiter 5 dies. In the majority, limiter 0 dies and
+    // comes back.
     rig.start(6);
-    rig.agree(&[4, 5, 6]);
+    rig.wait_for_agreement(&[4, 5, 6]);
     rig.kill(5);
     rig.kill(0);
-    rig.agree(&[1, 2, 3]);
-    rig.agree(&[4, 6]);
+    rig.wait_for_agreement(&[1, 2, 3]);
+    rig.wait_for_agreement(&[4, 6]);
     rig.start(0);
-    rig.agree(&[0, 1, 2, 3]);
-    load.goes_on(50);
-    rig.script(|script| script.side = vec![0; 7]);
+    rig.wait_for_agreement(&[0, 1, 2, 3]);
+    load.wait_for_requests(50);
+    rig.change_faults(|faults| faults.partition = vec![0; 7]);
     rig.start(5);
     rig.settle();
-    rig.until("a lease for all again", |rig| {
-        (0..7).all(|who| rig.part(who) == 1.0)
+    rig.wait_until("all limiters hold a lease again", |rig| {
+        (0..7).all(|limiter| rig.quota_share(limiter) == 1.0)
     });
-    load.goes_on(50);
-    load.end();
+    load.wait_for_requests(50);
+    load.stop();
     rig.check(None);
 }
 
 #[test]
 fn quota_shares_of_a_partitioned_fleet_stay_within_the_quotas() {
-    // The counter says nothing all the time: each limiter keeps to its part.
+    // The counter never answers, so each limiter limits the accounts to its own quota share.
     let plan = Plan {
         rate: 40.0,
         burst: 400.0,
-        ..Plan::new("parts", 5)
+        ..Plan::new("shares", 5)
     };
-    let rig = Rig::up(plan);
-    rig.counts_answer
+    let rig = Rig::start_and_settle(plan);
+    rig.counter_answers
         .store(false, std::sync::atomic::Ordering::SeqCst);
-    rig.until("a lease for all", |rig| {
-        (0..5).all(|who| rig.part(who) == 1.0)
+    rig.wait_until("all limiters hold a lease", |rig| {
+        (0..5).all(|limiter| rig.quota_share(limiter) == 1.0)
     });
     let load = rig.load(2);
-    load.goes_on(100);
-    let all = |rig: &Rig| (0..5).map(|who| rig.part(who)).sum::<f64>() / 5.0;
-    rig.script(|script| script.side = vec![0, 0, 0, 1, 1]);
+    load.wait_for_requests(100);
+    let total_share = |rig: &Rig| (0..5).map(|limiter| rig.quota_share(limiter)).sum::<f64>() / 5.0;
+    rig.change_faults(|faults| faults.partition = vec![0, 0, 0, 1, 1]);
     let began = Instant::now();
-    // Asked one after another, so a part that is just given up may be seen beside one that is just taken: not here, as a
-    // whole lease lies between the two.
-    while rig.part(0) < 1.2 || rig.part(4) > 0.5 {
-        let all = all(&rig);
-        assert!(all <= 1.0 + 1e-6, "{all} of the whole");
+    // The limiters are queried one after another, so the total could count both a share that one has
+    // just given up and a share that another one has just gained. It does not, as a whole lease lies
+    // between the two.
+    while rig.quota_share(0) < 1.2 || rig.quota_share(4) > 0.5 {
+        let total = total_share(&rig);
+        assert!(
+            total <= 1.0 + 1e-6,
+            "the shares of all limiters are {total} of the quota, expected at most 1"
+        );
         assert!(
             began.elapsed() < Duration::from_secs(40),
-            "nothing was shared out"
+            "the majority did not take over the leased shares of the minority within 40 s"
         );
-        pause(50);
+        sleep_ms(50);
     }
     assert!(
-        (rig.part(0) - (0.5 + 5.0 * 0.5 / 3.0)).abs() < 1e-2 && (rig.part(4) - 0.5).abs() < 1e-2
+        (rig.quota_share(0) - (0.5 + 5.0 * 0.5 / 3.0)).abs() < 1e-2
+            && (rig.quota_share(4) - 0.5).abs() < 1e-2
     );
-    rig.script(|script| script.side = vec![0, 1, 2, 0, 1]);
-    rig.until("without a majority", |rig| {
-        (0..5).all(|who| (rig.part(who) - 0.5).abs() < 1e-2)
-    });
-    rig.script(|script| script.side = vec![0; 5]);
-    rig.until("even parts again", |rig| {
-        (0..5).all(|who| (rig.part(who) - 1.0).abs() < 1e-2)
+    rig.change_faults(|faults| faults.partition = vec![0, 1, 2, 0, 1]);
+    rig.wait_until(
+        "all limiters are without a lease, as no partition has a majority",
+        |rig| (0..5).all(|limiter| (rig.quota_share(limiter) - 0.5).abs() < 1e-2),
+    );
+    rig.change_faults(|faults| faults.partition = vec![0; 5]);
+    rig.wait_until("all limiters have even shares again", |rig| {
+        (0..5).all(|limiter| (rig.quota_share(limiter) - 1.0).abs() < 1e-2)
     });
-    load.end();
-    // Each opens with its part, and fills by it: the whole, once, and units of one request at each limiter.
-    rig.check(Some(rig.bounds(0.1)));
+    load.stop();
+    // Each limiter starts with its share of the burst and refills at its share of the rate. Together
+    // that is the quota once; the slack covers the units of one request at each limiter.
+    rig.check(Some(rig.quota_bounds(0.1)));
 }
 
 #[test]
 fn one_way_partitions_and_a_limiter_whose_datagrams_are_lost_heal() {
-    let rig = Rig::up(Plan::new("one-way", 5));
+    let rig = Rig::start_and_settle(Plan::new("one-way", 5));
     let load = rig.load(6);
-    rig.cold_and_drained();
-    // Two that do not hear each other in one direction: others vouch for them.
-    rig.script(|script| script.cut = vec![(0, 1), (3, 2)]);
-    let refuted = rig.figure(1, "fleet.found_dead");
-    pause(4_000);
+    rig.drain_and_cold_start();
+    // Two links are cut in one direction each. Indirect probes by other members must show that the
+    // members at both ends are alive.
+    rig.change_faults(|faults| faults.cut_links = vec![(0, 1), (3, 2)]);
+    let declared_dead = rig.metric(1, "fleet.found_dead");
+    sleep_ms(4_000);
     rig.settle();
     assert_eq!(
-        rig.figure(1, "fleet.found_dead"),
-        refuted,
-        "found dead though others vouch"
+        rig.metric(1, "fleet.found_dead"),
+        declared_dead,
+        "limiter 1 declared a member dead that other members can reach"
     );
-    rig.script(|script| script.cut = (0..5).map(|to| (2, to)).collect());
-    rig.agree(&[0, 1, 3, 4]);
+    rig.change_faults(|faults| faults.cut_links = (0..5).map(|to| (2, to)).collect());
+    rig.wait_for_agreement(&[0, 1, 3, 4]);
     assert_eq!(
-        rig.states(2)
+        rig.member_states(2)
             .iter()
             .filter(|state| *state == "dead")
             .count(),
         0,
-        "it hears them all"
+        "limiter 2 receives the datagrams of all members, so it must not declare one dead"
     );
-    rig.until("its lease over", |rig| rig.part(2) == 0.5);
-    rig.script(|script| script.cut.clear());
+    rig.wait_until("the lease of limiter 2 has ended", |rig| {
+        rig.quota_share(2) == 0.5
+    });
+    rig.change_faults(|faults| faults.cut_links.clear());
     rig.settle();
-    load.goes_on(30);
-    load.end();
+    load.wait_for_requests(30);
+    load.stop();
     rig.check(None);
 }
 
 #[test]
 fn repeatedly_paused_process_rejoins() {
-    let rig = Rig::up(Plan::new("stopped", 3));
+    let rig = Rig::start_and_settle(Plan::new("paused", 3));
     let load = rig.load(4);
-    rig.cold_and_drained();
+    rig.drain_and_cold_start();
     for _ in 0..3 {
         rig.signal(1, "STOP");
-        rig.agree_from(&[0, 2], &[0, 2]);
-        pause(2_000);
+        rig.wait_for_views(&[0, 2], &[0, 2]);
+        sleep_ms(2_000);
         rig.signal(1, "CONT");
         rig.settle();
     }
-    load.goes_on(30);
-    load.end();
-    // It lived all the time: what it had taken is answered.
+    load.wait_for_requests(30);
+    load.stop();
+    // The process was paused and never stopped, so it must answer each request that it accepted.
     rig.check(None);
 }
 
 #[test]
 fn membership_settles_after_lost_late_and_duplicated_datagrams() {
-    let rig = Rig::up(Plan::new("lossy", 7));
+    let rig = Rig::start_and_settle(Plan::new("lossy", 7));
     let load = rig.load(8);
-    rig.cold_and_drained();
-    rig.script(|script| (script.loss, script.twice, script.late) = (0.3, 0.2, 60));
-    pause(60_000);
+    rig.drain_and_cold_start();
+    rig.change_faults(|faults| {
+        (faults.loss, faults.duplication, faults.max_delay_ms) = (0.3, 0.2, 60)
+    });
+    sleep_ms(60_000);
     rig.settle();
-    rig.script(|script| (script.loss, script.twice, script.late) = (0.0, 0.0, 5));
+    rig.change_faults(|faults| {
+        (faults.loss, faults.duplication, faults.max_delay_ms) = (0.0, 0.0, 5)
+    });
     rig.settle();
-    load.goes_on(30);
-    load.end();
+    load.wait_for_requests(30);
+    load.stop();
     rig.check(None);
 }
 
 #[test]
-fn upgrade_in_a_partition_is_one_member_and_a_rolling_restart_with_a_crash_settles() {
-    let mut rig = Rig::up(Plan::new("upgrade", 5));
+fn upgraded_limiter_in_a_partition_stays_one_member_and_rolling_restart_settles() {
+    let mut rig = Rig::start_and_settle(Plan::new("upgrade", 5));
     let load = rig.load(6);
-    rig.cold_and_drained();
-    rig.script(|script| script.side = vec![0, 0, 0, 1, 1]);
-    rig.agree(&[0, 1, 2]);
-    let newer = rig.another(1);
-    newer.call_until("ready", "YES");
-    let old = rig.limiters[1].replace(newer).expect("running");
-    old.ends();
-    rig.agree(&[0, 1, 2]);
-    rig.agree(&[3, 4]);
-    rig.script(|script| script.side = vec![0; 5]);
+    rig.drain_and_cold_start();
+    rig.change_faults(|faults| faults.partition = vec![0, 0, 0, 1, 1]);
+    rig.wait_for_agreement(&[0, 1, 2]);
+    let successor = rig.spawn_process(1);
+    successor.call_until("ready", "YES");
+    let predecessor = rig.limiters[1]
+        .replace(successor)
+        .expect("the limiter runs");
+    predecessor.ends();
+    rig.wait_for_agreement(&[0, 1, 2]);
+    rig.wait_for_agreement(&[3, 4]);
+    rig.change_faults(|faults| faults.partition = vec![0; 5]);
     rig.settle();
-    load.goes_on(30);
-    // All in turn, in order but for one.
-    for who in 0..5 {
-        match who {
-            3 => rig.kill(who),
-            _ => rig.leave(who),
+    load.wait_for_requests(30);
+    // A rolling restart. Each limiter is shut down gracefully, apart from limiter 3, which is killed.
+    for limiter in 0..5 {
+        match limiter {
+            3 => rig.kill(limiter),
+            _ => rig.leave(limiter),
         }
         let rest = rig.running();
-        rig.agree(&rest);
-        if who != 3 {
+        rig.wait_for_agreement(&rest);
+        if limiter != 3 {
             assert!(
-                rest.iter().all(|other| rig.states(*other)[who] == "left"),
-                "{who} was found out"
+                rest.iter()
+                    .all(|other| rig.member_states(*other)[limiter] == "left"),
+                "limiter {limiter} was shut down, and not all others have it as left"
             );
         }
-        rig.start(who);
+        rig.start(limiter);
         rig.settle();
     }
-    load.goes_on(30);
-    load.end();
+    load.wait_for_requests(30);
+    load.stop();
     rig.check(None);
 }
 
 #[test]
 fn clients_of_the_rig_reconnect_to_the_new_address_only() {
-    let mut rig = Rig::up(Plan::new("address", 3));
+    let mut rig = Rig::start_and_settle(Plan::new("address", 3));
     let load = rig.load(3);
-    load.goes_on(20);
-    let left = rig.limiters[0].as_ref().expect("running").at;
+    load.wait_for_requests(20);
+    let old_address = rig.limiters[0].as_ref().expect("the limiter runs").at;
     rig.leave(0);
-    // The port goes to another listener, which takes connections and says nothing.
-    let silent = std::net::TcpListener::bind(left).expect("the port");
+    // Another listener gets the old port. It accepts connections and never answers.
+    let silent = std::net::TcpListener::bind(old_address).expect("bind the old address");
     rig.start(0);
     rig.settle();
-    let served = || rig.figure(0, "requests.look.served") + rig.figure(0, "requests.pay.served");
-    rig.until("served where it is", |_| served() > 20);
-    load.end();
-    silent.set_nonblocking(true).expect("a listener");
-    assert!(silent.accept().is_err(), "asked where it was");
+    let served = || rig.metric(0, "requests.look.served") + rig.metric(0, "requests.pay.served");
+    rig.wait_until(
+        "limiter 0 has served more than 20 requests at its new address",
+        |_| served() > 20,
+    );
+    load.stop();
+    silent
+        .set_nonblocking(true)
+        .expect("make the listener non-blocking");
+    assert!(
+        silent.accept().is_err(),
+        "a client connected to the old address"
+    );
     rig.check(None);
 }
 
@@ -250,23 +276,25 @@
     });
     rig.start(2);
     rig.start(3);
-    rig.until("speak", |rig| rig.states(3).len() == 4);
+    rig.wait_until("limiter 3 lists all members", |rig| {
+        rig.member_states(3).len() == 4
+    });
     let load = rig.load(4);
-    load.goes_on(20);
+    load.wait_for_requests(20);
     assert_eq!(
-        rig.states(2)
+        rig.member_states(2)
             .iter()
             .filter(|state| *state == "unknown")
             .count(),
         3
     );
-    // One seed is enough for all to find each other.
+    // One running seed is enough for all limiters to find each other.
     rig.start(1);
     rig.settle();
     rig.start(0);
     rig.settle();
-    load.goes_on(20);
-    load.end();
+    load.wait_for_requests(20);
+    load.stop();
     rig.check(None);
 }
 
@@ -274,7 +302,7 @@
 fn relay_drops_datagrams_of_another_fleet() {
     let (small, large) = (relay::Relay::new(5, 1), relay::Relay::new(30, 2));
     let key = relay::key();
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a UDP socket");
     let send = |fleet: &str, from: u32| {
         let datagram = Datagram {
             format: FORMAT,
@@ -288,89 +316,96 @@
         };
         socket
             .send_to(&key.seal(&datagram), small.address(0))
-            .expect("sent");
+            .expect("send a datagram");
     };
-    // The first one's number is above all that the relay knows.
+    // The number of the first sender is above all numbers of the small fleet. The relay's receiving
+    // thread would panic if it did not drop this datagram.
     send(large.fleet(), 25);
     send(small.fleet(), 1);
     let began = Instant::now();
-    while small.real(1).is_none() {
+    while small.limiter_address(1).is_none() {
         assert!(
             began.elapsed() < Duration::from_secs(20),
-            "the relay reads no further"
+            "the relay received no datagram of its own fleet within 20 s"
         );
-        pause(5);
+        sleep_ms(5);
     }
 }
 
 #[test]
-fn malformed_datagrams_and_a_flood_of_them_change_nothing() {
-    let rig = Rig::up(Plan::new("flood", 3));
+fn flood_of_malformed_and_replayed_datagrams_changes_no_member_state() {
+    let rig = Rig::start_and_settle(Plan::new("flood", 3));
     let load = rig.load(4);
-    load.goes_on(20);
-    rig.until("a few datagrams", |rig| rig.relay.kept(0).len() > 50);
-    let at = rig.relay.real(0).expect("spoken");
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let kept = rig.relay.kept(0);
+    load.wait_for_requests(20);
+    rig.wait_until("the relay has captured datagrams for replays", |rig| {
+        rig.relay.captured(0).len() > 50
+    });
+    let at = rig
+        .relay
+        .limiter_address(0)
+        .expect("limiter 0 has sent a datagram");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a UDP socket");
+    let captured = rig.relay.captured(0);
     let before = (
-        rig.states(0),
-        rig.figure(0, "fleet.found_dead"),
-        rig.word(0, "living"),
+        rig.member_states(0),
+        rig.metric(0, "fleet.found_dead"),
+        rig.view_field(0, "living"),
     );
     let began = Instant::now();
     let mut sent = 0u64;
-    // Noise, half of a datagram, too long a one, one with a foreign tag, and what was heard before.
+    // In turn: noise, a truncated datagram, one that is too long, one whose authentication tag is
+    // wrong, and a replay.
     while began.elapsed() < Duration::from_secs(3) {
-        let old = &kept[sent as usize % kept.len()];
+        let replayed = &captured[sent as usize % captured.len()];
         let bytes = match sent % 5 {
             0 => vec![0x5a; 100],
-            1 => old[..old.len() / 2].to_vec(),
+            1 => replayed[..replayed.len() / 2].to_vec(),
             2 => vec![1; 400],
-            3 => old
+            3 => replayed
                 .iter()
                 .enumerate()
                 .map(|(n, byte)| if n == 3 { byte ^ 1 } else { *byte })
                 .collect(),
-            _ => old.clone(),
+            _ => replayed.clone(),
         };
         _ = socket.send_to(&bytes, at);
         sent += 1;
         if sent % 100 == 0 {
-            pause(8);
+            sleep_ms(8);
         }
     }
-    load.goes_on(50);
+    load.wait_for_requests(50);
     rig.settle();
     assert_eq!(
         (
-            rig.states(0),
-            rig.figure(0, "fleet.found_dead"),
-            rig.word(0, "living")
+            rig.member_states(0),
+            rig.metric(0, "fleet.found_dead"),
+            rig.view_field(0, "living")
         ),
         before
     );
-    for fault in ["size", "foreign", "stale"] {
+    for reason in ["size", "foreign", "stale"] {
         assert!(
-            rig.figure(0, &format!("fleet.dropped.{fault}")) > 100,
-            "{fault}"
+            rig.metric(0, &format!("fleet.dropped.{reason}")) > 100,
+            "expected more than 100 datagrams dropped as {reason}"
         );
     }
-    let log = rig.limiters[0].as_ref().expect("running").log();
+    let log = rig.limiters[0].as_ref().expect("the limiter runs").log();
     let lines = log
         .iter()
         .filter(|line| line.contains("datagram dropped"))
         .count();
     assert!(
         (1..10).contains(&lines),
-        "{lines} lines for {sent} datagrams"
+        "expected 1 to 9 log lines about dropped datagrams, got {lines} for {sent} datagrams"
     );
-    load.end();
+    load.stop();
     rig.check(None);
 }
 
 #[test]
 fn show_fleet_lists_states_and_who_reported_them() {
-    let mut rig = Rig::up(Plan::new("seen", 3));
+    let mut rig = Rig::start_and_settle(Plan::new("seen", 3));
     rig.kill(2);
     rig.settle();
     let text = rig.call(0, "show-fleet");
@@ -382,7 +417,7 @@
     );
     let own = format!("fleet={} me=0 living=2 of=3 age_ms=", rig.relay.fleet());
     assert!(lines[3].starts_with(&own) && lines[4] == "END", "{text}");
-    let log = rig.limiters[0].as_ref().expect("running").log();
+    let log = rig.limiters[0].as_ref().expect("the limiter runs").log();
     let death = log
         .iter()
         .find(|line| line.contains("member state changed") && line.contains("state: dead"));
@@ -390,9 +425,9 @@
         death.is_some_and(|line| line.contains("limiter: 2") && line.contains("by: ")),
         "{log:?}"
     );
-    assert_eq!(rig.figure(0, "fleet.dead"), 1);
-    // Without a fleet nothing of this is there.
-    let plain = Rig::up_alone(Plan {
+    assert_eq!(rig.metric(0, "fleet.dead"), 1);
+    // Without a fleet, the limiter has neither the call nor the metrics.
+    let plain = Rig::start_until_ready(Plan {
         fleet: false,
         ..Plan::new("plain", 1)
     });
@@ -410,7 +445,7 @@
             .err()
             .map(|fault| fault.to_string())
     };
-    // The operators' file itself is good, and without the part nothing is known of a fleet.
+    // The example configuration is valid, with and without its `fleet` object.
     assert_eq!(read(&file), None);
     let mut plain = file.clone();
     plain["fleet"] = serde_json::Value::Null;
@@ -433,42 +468,56 @@
     let faults = changes.map(|change| {
         let mut changed = file.clone();
         change(&mut changed["fleet"]);
-        read(&changed).expect("a fault")
+        read(&changed).expect("an error for the changed configuration")
     });
     insta::assert_snapshot!(faults.join("\n"));
-    // Where the platform lets limiters not talk, a fleet is no mere word without effect.
-    let nobody = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    let mut told = peers::settings(nobody, nobody, &[]);
-    told["fleet"] = file["fleet"].clone();
-    let fault = mossrill::config::platform(&told.to_string(), |_| None)
+    // If the platform does not let limiters send to each other, a configured fleet is an error and
+    // is not ignored.
+    let unused = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
+    let mut settings = peers::settings(unused, unused, &[]);
+    settings["fleet"] = file["fleet"].clone();
+    let fault = mossrill::config::platform(&settings.to_string(), |_| None)
         .err()
-        .expect("a fault")
+        .expect("an error for the configured fleet")
         .to_string();
     assert!(fault.contains("\"fleet\""), "{fault}");
 }
 
-/// A measurement, not a test: `cargo test --release --test fleet -- --ignored --nocapture used`.
+/// A measurement, not a test. Run it with
+/// `cargo test --release --test fleet -- --ignored --nocapture cpu_time_per_request`.
 #[test]
 #[ignore = "a measurement"]
 fn cpu_time_per_request_and_memory_with_and_without_a_fleet() {
     for round in 0..3 {
-        for (name, fleet) in [("used-on", true), ("used-off", false)] {
-            let rig = Rig::up_alone(Plan {
+        for (name, fleet) in [("with-fleet", true), ("without-fleet", false)] {
+            let rig = Rig::start_until_ready(Plan {
                 fleet,
                 ..Plan::new(name, 3)
             });
-            pause(3_000);
-            let before: u64 = (0..3)
-                .map(|who| rig.limiters[who].as_ref().expect("running").used().0)
+            sleep_ms(3_000);
+            let ticks_before: u64 = (0..3)
+                .map(|limiter| {
+                    rig.limiters[limiter]
+                        .as_ref()
+                        .expect("the limiter runs")
+                        .used()
+                        .0
+                })
                 .sum();
             let load = rig.load(20);
-            pause(15_000);
-            let asked = load.end();
-            let used = (0..3).map(|who| rig.limiters[who].as_ref().expect("running").used());
-            let (ticks, memory) = used.fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1 / 3));
-            let each = (ticks - before) as f64 * 1e4 / asked as f64;
+            sleep_ms(15_000);
+            let requests = load.stop();
+            let used = (0..3).map(|limiter| {
+                rig.limiters[limiter]
+                    .as_ref()
+                    .expect("the limiter runs")
+                    .used()
+            });
+            let (ticks, memory_kb) =
+                used.fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1 / 3));
+            let cpu_us = (ticks - ticks_before) as f64 * 1e4 / requests as f64;
             println!(
-                "round {round} {name}: {asked} requests, {each:.1} us of processor time each, {memory} kB"
+                "round {round} {name}: {requests} requests, {cpu_us:.1} us of CPU time each, {memory_kb} kB per limiter"
             );
         }
     }
--- a/tests/fleet/rig/load.rs
+++ b/tests/fleet/rig/load.rs
@@ -1,6 +1,6 @@
 //! Clients that send one request after another to each limiter.
 
-use crate::checker::{Entry, Told};
+use crate::checker::{Event, RequestResult};
 use crate::peers::{asking_for, until, Client};
 use crate::rig::stand_ins::Record;
 use std::net::{SocketAddr, TcpStream};
@@ -10,59 +10,65 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Where each limiter listens now; none while it is gone. A client connects with the entry locked, and an entry is
-/// cleared before its limiter ends.
+/// The address at which each limiter listens; `None` while it is down. A client connects with the
+/// entry locked, and an entry is cleared before its limiter stops.
 ///
-/// Guards against clients that connect to a port whose limiter has ended: the system gives it to the next listener, of
-/// this test or of another process, which answers with another record's values or not at all.
+/// Guards against clients that connect to a port whose limiter has stopped. The system gives such a
+/// port to the next listener, of this test or of another process, which answers with the values of
+/// another record or not at all.
 pub type Addresses = Arc<Vec<Mutex<Option<SocketAddr>>>>;
 
-/// Clients that are asking.
+/// Running clients, one for each limiter under load.
 pub struct Load {
+    /// Whether the clients are to stop.
     pub stop: Arc<AtomicBool>,
-    pub asked: Arc<AtomicUsize>,
-    pub agents: Vec<JoinHandle<()>>,
+    /// Number of requests that have ended, whatever their result.
+    pub ended_requests: Arc<AtomicUsize>,
+    pub clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Waits until so many more have been answered.
-    pub fn goes_on(&self, more: usize) {
-        let now = self.asked.load(Ordering::SeqCst);
+    /// Waits until more than `count` further requests have ended.
+    pub fn wait_for_requests(&self, count: usize) {
+        let start = self.ended_requests.load(Ordering::SeqCst);
         until(
-            || self.asked.load(Ordering::SeqCst),
-            |asked| *asked > now + more,
+            || self.ended_requests.load(Ordering::SeqCst),
+            |ended| *ended > start + count,
         );
     }
 
-    pub fn end(self) -> usize {
+    /// Stops the clients once their current requests have ended. Returns the number of requests of
+    /// the whole load.
+    pub fn stop(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
-        self.agents
+        self.clients
             .into_iter()
-            .for_each(|agent| agent.join().expect("every answer"));
-        self.asked.load(Ordering::SeqCst)
+            .for_each(|client| client.join().expect("the client ends without a panic"));
+        self.ended_requests.load(Ordering::SeqCst)
     }
 }
 
-/// A connection to a limiter, if it runs.
+/// Connects to a limiter; `None` if it is down or refuses the connection.
 pub fn connect(address: &Mutex<Option<SocketAddr>>) -> Option<TcpStream> {
-    let address = address.lock().expect("whole");
+    let address = address.lock().expect("lock the address");
     TcpStream::connect((*address)?).ok()
 }
 
-/// Asks at one limiter, wherever it is again after it was gone.
-pub fn agent(
+/// Sends requests to one limiter until `stop` is set. Reconnects to the limiter's new address when
+/// it has been restarted.
+pub fn run_client(
     limiter: usize,
     addresses: &Addresses,
     spread: usize,
     accounts: usize,
     record: &Record,
     stop: &AtomicBool,
-    asked: &AtomicUsize,
+    ended_requests: &AtomicUsize,
 ) {
     let mut number = 0;
     let mut connection: Option<Client> = None;
     while !stop.load(Ordering::SeqCst) {
-        let Some(own) = connection.as_mut() else {
+        let Some(client) = connection.as_mut() else {
             connection = connect(&addresses[limiter]).and_then(Client::try_on);
             thread::sleep(Duration::from_millis(10));
             continue;
@@ -71,31 +77,31 @@
         let account = format!("{:016x}", 0xb4d6_0000 + number % accounts);
         let id = format!("{class}-{limiter}-{number}");
         number += 1;
-        let text = asking_for(&account, spread, class, &id, 1_500);
-        let entry = Entry::Asked {
+        let request = asking_for(&account, spread, class, &id, 1_500);
+        let sent = Event::RequestSent {
             id: id.clone(),
             limiter,
             class,
             account,
             units: 2,
         };
-        record.lock().expect("whole").push(entry);
-        let told = match own.try_ask(&text) {
-            Some(line) if line.starts_with("-BUSY") => Told::Refused,
-            Some(line) if line.starts_with('-') => Told::Failed,
-            Some(value) => Told::Served(value),
+        record.lock().expect("lock the record").push(sent);
+        let result = match client.try_ask(&request) {
+            Some(line) if line.starts_with("-BUSY") => RequestResult::Refused,
+            Some(line) if line.starts_with('-') => RequestResult::Failed,
+            Some(value) => RequestResult::Served(value),
             None => {
                 connection = None;
-                Told::Nothing
+                RequestResult::ConnectionClosed
             }
         };
-        if told == Told::Refused {
+        if result == RequestResult::Refused {
             thread::sleep(Duration::from_millis(10));
         }
         record
             .lock()
-            .expect("whole")
-            .push(Entry::Answered { id, told });
-        asked.fetch_add(1, Ordering::SeqCst);
+            .expect("lock the record")
+            .push(Event::RequestEnded { id, result });
+        ended_requests.fetch_add(1, Ordering::SeqCst);
     }
 }
--- a/tests/fleet/rig/mod.rs
+++ b/tests/fleet/rig/mod.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program, with everything between and around them controlled by the test.
+//! A fleet of limiter processes whose network, upstream servers, quota counter and service
+//! discovery are controlled by the test.
 
 mod load;
 mod plan;
--- a/tests/fleet/rig/stand_ins.rs
+++ b/tests/fleet/rig/stand_ins.rs
@@ -1,6 +1,6 @@
 //! Scripted upstream servers, quota counter and service discovery.
 
-use crate::checker::Entry;
+use crate::checker::Event;
 use crate::peers::{answer, counted, http, http_peer, peer, resp_peer, serve, Act};
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What happened, in the order in which it was seen.
-pub type Record = Arc<Mutex<Vec<Entry>>>;
+/// The events of a test, in the order in which they were observed.
+pub type Record = Arc<Mutex<Vec<Event>>>;
 
-/// A list of upstream servers that can be changed, as the platform's client serves it.
+/// The endpoint list that service discovery serves. A test can change it.
 #[derive(Default)]
 pub struct EndpointList {
     pub generation: u64,
@@ -21,76 +21,85 @@
 }
 
 impl EndpointList {
-    pub fn whole(&self) -> Value {
+    /// Returns the message with the whole list, in the format of the platform's service discovery.
+    pub fn to_message(&self) -> Value {
         json!({"generation": self.generation, "reset": true, "instances": self.entries})
     }
 }
 
-pub fn node(number: usize, record: &Record) -> SocketAddr {
+/// Starts an upstream server, which records each request that it receives. Returns its address.
+pub fn start_server(number: usize, record: &Record) -> SocketAddr {
     let own = record.clone();
     let (at, _) = resp_peer(move |_, words| {
-        let ran = Entry::Ran {
+        let executed = Event::RequestExecuted {
             id: words[2].clone(),
-            node: number,
+            server: number,
             at: Instant::now(),
         };
-        own.lock().expect("whole").push(ran);
+        own.lock().expect("lock the record").push(executed);
         thread::sleep(Duration::from_millis(5));
         serve(&words[2])
     });
     at
 }
 
-/// A counter that can be silenced.
-pub fn counter(answers: &Arc<AtomicBool>) -> SocketAddr {
+/// Starts a quota counter, which leaves calls unanswered while `answers` is false. Returns its
+/// address.
+pub fn start_counter(answers: &Arc<AtomicBool>) -> SocketAddr {
     let (answers, totals) = (answers.clone(), Mutex::<HashMap<String, f64>>::default());
-    http_peer(move |first, _, _| {
+    http_peer(move |request_line, _, _| {
         if !answers.load(Ordering::SeqCst) {
             return Act::Hang;
         }
-        let (name, by) = counted(first);
-        let mut totals = totals.lock().expect("whole");
+        let (name, units) = counted(request_line);
+        let mut totals = totals.lock().expect("lock the totals");
         let total = totals.entry(name).or_default();
-        *total += by;
+        *total += units;
         answer("200 OK", &total.to_string())
     })
 }
 
-pub fn list(list: &Arc<Mutex<EndpointList>>) -> SocketAddr {
+/// Starts service discovery, which answers a request with the whole list and a watch with the whole
+/// list at each change. Returns its address.
+pub fn start_discovery(list: &Arc<Mutex<EndpointList>>) -> SocketAddr {
     let own = list.clone();
     peer(move |_, stream| {
-        let mut from = std::io::BufReader::new(stream);
-        let Ok((first, ..)) = http(&mut from, false) else {
+        let mut connection = std::io::BufReader::new(stream);
+        let Ok((request_line, ..)) = http(&mut connection, false) else {
             return;
         };
-        let whole = |list: &EndpointList| list.whole().to_string();
-        let say = |stream: &mut TcpStream, text: &str| {
+        let message = |list: &EndpointList| list.to_message().to_string();
+        let send = |stream: &mut TcpStream, text: &str| {
             std::io::Write::write_all(stream, text.as_bytes()).is_ok()
         };
-        if !first.contains("watch") {
-            let body = whole(&own.lock().expect("whole"));
+        if !request_line.contains("watch") {
+            let body = message(&own.lock().expect("lock the endpoint list"));
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            _ = say(from.get_mut(), &(head + &body));
+            _ = send(connection.get_mut(), &(head + &body));
             return;
         }
-        let mut told = 0;
-        let mut good = say(
-            from.get_mut(),
+        let mut sent_generation = 0;
+        let mut connected = send(
+            connection.get_mut(),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         );
-        while good {
-            let news = {
-                let list = own.lock().expect("whole");
-                (list.generation != told).then(|| (list.generation, whole(&list) + "\n"))
+        while connected {
+            let update = {
+                let list = own.lock().expect("lock the endpoint list");
+                (list.generation != sent_generation)
+                    .then(|| (list.generation, message(&list) + "\n"))
             };
-            let text = match news {
+            let text = match update {
                 Some((generation, text)) => {
-                    told = generation;
+                    sent_generation = generation;
                     text
                 }
                 None => "\n".into(),
             };
-            good = say(from.get_mut(), &format!("{:x}\r\n{text}\r\n", text.len()));
+            connected = send(
+                connection.get_mut(),
+                &format!("{:x}\r\n{text}\r\n", text.len()),
+            );
             thread::sleep(Duration::from_millis(20));
         }
     })
