--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Tests of upgrades over loopback: processes that take over from each other under load, and callers that don't.
+//! Tests of upgrades over loopback: successors that take over from a predecessor under load, and
+//! successors or predecessors that fail during the hand-over.
 
 mod peers;
 
@@ -17,17 +18,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// A folder that processes have in common; removed when dropped.
+/// A temporary folder that the processes of an upgrade share; removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("mossrill-{name}-{}", std::process::id()));
         _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir(&folder).expect("a folder");
+        std::fs::create_dir(&folder).expect("the temporary folder is created");
         Self(folder)
     }
 
+    /// Path of the upgrade socket.
     fn socket(&self) -> PathBuf {
         self.0.join("mossrill-upgrade")
     }
@@ -39,283 +41,320 @@
     }
 }
 
-/// What a limiter that may be upgraded is told; its accounts come through two limiters, so that units are counted.
-fn told(counter: SocketAddr, server: SocketAddr, listen: SocketAddr) -> Value {
-    let mut told = settings(
+/// Returns the configuration of a limiter that takes part in upgrades. Its fleet has two limiters,
+/// so that units are reported to the counter.
+fn upgradable_config(counter: SocketAddr, server: SocketAddr, listen: SocketAddr) -> Value {
+    let mut config = settings(
         quiet_list(),
         counter,
         &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
-    told["listen"] = listen.to_string().into();
-    told["control"] = "127.0.0.1:0".into();
-    told["settings"]["balancers"] = 2.into();
-    told["settings"]["tariffs"][0]["refill"] = 1e5.into();
-    told["settings"]["tariffs"][0]["peakUnits"] = 2e5.into();
-    told
+    config["listen"] = listen.to_string().into();
+    config["control"] = "127.0.0.1:0".into();
+    config["settings"]["balancers"] = 2.into();
+    config["settings"]["tariffs"][0]["refill"] = 1e5.into();
+    config["settings"]["tariffs"][0]["peakUnits"] = 2e5.into();
+    config
 }
 
-fn start(folder: &Path, name: &str, told: &Value) -> Program {
-    Program::start_in(name, told, Some(folder))
+fn start(folder: &Path, name: &str, config: &Value) -> Program {
+    Program::start_in(name, config, Some(folder))
 }
 
-/// Clients that ask one after another on kept connections until they are told to stop: what was asked and answered.
+/// Six clients, each of which sends requests one after another on a persistent connection until it
+/// is stopped.
 struct Load {
     stop: Arc<AtomicBool>,
+    /// Threads of the clients; each returns the number of requests that were served.
     clients: Vec<thread::JoinHandle<usize>>,
-    asked: Arc<AtomicUsize>,
+    /// Number of requests of all clients that were served.
+    total_served: Arc<AtomicUsize>,
 }
 
 impl Load {
-    fn on(at: SocketAddr) -> Self {
-        let (stop, asked) = (
+    fn start(at: SocketAddr) -> Self {
+        let (stop, total_served) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
         let client = |number| {
-            let (stop, asked) = (stop.clone(), asked.clone());
+            let (stop, total_served) = (stop.clone(), total_served.clone());
             thread::spawn(move || {
                 let (mut client, mut served) = (Client::ready_at(at), 0);
                 while !stop.load(Ordering::SeqCst) {
                     let id = format!("pay-{number}-{served}");
                     let text = asking("pay", &id, 1900).replace("spread=1", "spread=2");
-                    // In two pieces: an upgrade may come between them.
-                    let (first, rest) = text.split_at(text.len() / 2);
-                    client.say(first);
-                    client.say(rest);
+                    // Sent in two pieces, so that an upgrade may happen between them.
+                    let (first_half, second_half) = text.split_at(text.len() / 2);
+                    client.say(first_half);
+                    client.say(second_half);
                     assert_eq!(
                         client.answer(),
                         id,
-                        "one answer to each request, and on the same connection"
+                        "each request gets one reply, on the connection that it was sent on"
                     );
-                    (served, _) = (served + 1, asked.fetch_add(1, Ordering::SeqCst));
+                    (served, _) = (served + 1, total_served.fetch_add(1, Ordering::SeqCst));
                 }
                 served
             })
         };
-        // Of a server that nothing is known of, one attempt is let out at first, and of six waiting clients some are
-        // refused: the first one's answers make room for the others.
+        // A server without statistics gets only one attempt at first, and some of six waiting
+        // clients would be rejected. The replies to the first client raise the limit before the
+        // others start.
         let mut clients = vec![client(0)];
-        until(|| asked.load(Ordering::SeqCst), |asked| *asked >= 20);
+        until(
+            || total_served.load(Ordering::SeqCst),
+            |served| *served >= 20,
+        );
         clients.extend((1..6).map(client));
         Self {
             stop,
             clients,
-            asked,
+            total_served,
         }
     }
 
-    /// Waits until so many more have been answered.
-    fn goes_on(&self) {
-        let now = self.asked.load(Ordering::SeqCst);
+    /// Waits until more than 30 further requests have been served.
+    fn wait_for_more_replies(&self) {
+        let before = self.total_served.load(Ordering::SeqCst);
         until(
-            || self.asked.load(Ordering::SeqCst),
-            |asked| *asked > now + 30,
+            || self.total_served.load(Ordering::SeqCst),
+            |served| *served > before + 30,
         );
     }
 
-    fn end(self) -> usize {
+    /// Stops all clients and returns the number of requests that were served.
+    fn stop(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
         self.clients
             .into_iter()
-            .map(|client| client.join().expect("every answer"))
+            .map(|client| {
+                client
+                    .join()
+                    .expect("the client got a reply to every request")
+            })
             .sum()
     }
 }
 
-/// A caller on the socket that takes part in an upgrade so far, and no further.
-fn caller(folder: &Folder, steps: usize) -> Link {
-    let link = Link::new(UnixStream::connect(folder.socket()).expect("a socket")).expect("a link");
-    let wait = Some(Duration::from_secs(20));
+/// Connects to the upgrade socket as a successor would, and takes the first `steps` steps of a
+/// hand-over: 1 joins, 2 also requests the learned state. Dropping the link simulates a crash of
+/// the successor after the last of these steps.
+fn incomplete_successor(folder: &Folder, steps: usize) -> Link {
+    let link = Link::new(
+        UnixStream::connect(folder.socket()).expect("the upgrade socket accepts connections"),
+    )
+    .expect("a link is opened on the connection");
+    let timeout = Some(Duration::from_secs(20));
     if steps > 0 {
         link.send(
             HandoverMessage::Join(mossrill::handover::stage::VERSION),
             None,
         )
-        .expect("said");
+        .expect("the message is sent");
         assert!(matches!(
-            link.receive(wait),
+            link.receive(timeout),
             Ok((HandoverMessage::Accept(_), Some(_)))
         ));
     }
     if steps > 1 {
         link.send(HandoverMessage::RequestState(true), None)
-            .expect("said");
-        // An attempt that ends meanwhile may be told of first.
-        let mut heard = link.receive(wait);
-        while matches!(heard, Ok((HandoverMessage::Ended(_), _))) {
-            heard = link.receive(wait);
+            .expect("the message is sent");
+        // The end of an attempt may be reported before the learned state.
+        let mut received = link.receive(timeout);
+        while matches!(received, Ok((HandoverMessage::Ended(_), _))) {
+            received = link.receive(timeout);
         }
         assert!(
-            matches!(heard, Ok((HandoverMessage::LearnedState(_), _))),
-            "{:?}",
-            heard.map(|(body, _)| body)
+            matches!(received, Ok((HandoverMessage::LearnedState(_), _))),
+            "expected the learned state, received {:?}",
+            received.map(|(body, _)| body)
         );
     }
-    // And dies, once this is dropped.
     link
 }
 
 #[test]
 fn twenty_upgrades_lose_no_request_execute_nothing_twice_and_report_every_unit_once() {
-    let seen: Arc<Mutex<HashMap<String, usize>>> = Arc::default();
-    let count = seen.clone();
+    let executions: Arc<Mutex<HashMap<String, usize>>> = Arc::default();
+    let count = executions.clone();
     let (server, _seen) = resp_peer(move |_, words| {
         *count
             .lock()
-            .expect("whole")
+            .expect("the lock is not poisoned")
             .entry(words[2].clone())
             .or_default() += 1;
         serve(&words[2])
     });
     let (counter, totals) = quota_counter();
     let folder = Folder::new("upgrades");
-    let mut now = start(
+    let mut current = start(
         &folder.0,
         "upgrades-0",
-        &told(counter, server, SocketAddr::from(([127, 0, 0, 1], 0))),
+        &upgradable_config(counter, server, SocketAddr::from(([127, 0, 0, 1], 0))),
     );
-    let at = now.at;
-    now.call_until("ready", "YES");
-    let load = Load::on(at);
+    let at = current.at;
+    current.call_until("ready", "YES");
+    let load = Load::start(at);
     for number in 1..=20 {
-        load.goes_on();
-        // Forced failures: each leaves the one that serves.
+        load.wait_for_more_replies();
+        // Forced failures of a hand-over: after each of them the current process continues to
+        // serve.
         match number {
-            3 => drop(UnixStream::connect(folder.socket()).expect("a socket")),
+            3 => drop(
+                UnixStream::connect(folder.socket())
+                    .expect("the upgrade socket accepts connections"),
+            ),
             5 => {
                 _ = UnixStream::connect(folder.socket())
-                    .expect("a socket")
+                    .expect("the upgrade socket accepts connections")
                     .write_all(&[0xff; 100])
             }
             7 => {
-                let link = Link::new(UnixStream::connect(folder.socket()).expect("a socket"))
-                    .expect("a link");
-                link.send(HandoverMessage::Join(99), None).expect("said");
+                let link = Link::new(
+                    UnixStream::connect(folder.socket())
+                        .expect("the upgrade socket accepts connections"),
+                )
+                .expect("a link is opened on the connection");
+                link.send(HandoverMessage::Join(99), None)
+                    .expect("the message is sent");
                 let answer = link
                     .receive(Some(Duration::from_secs(20)))
-                    .expect("an answer");
+                    .expect("the predecessor answers");
                 assert!(matches!(answer, (HandoverMessage::Reject(_), None)));
             }
-            9 | 15 => drop(caller(&folder, 1)),
-            11 | 17 => drop(caller(&folder, 2)),
+            9 | 15 => drop(incomplete_successor(&folder, 1)),
+            11 | 17 => drop(incomplete_successor(&folder, 2)),
             13 => {
-                let mut bad = told(counter, server, at);
+                let mut bad = upgradable_config(counter, server, at);
                 bad["settings"]["classes"] = Value::Null;
                 Program::fails_in("upgrades-bad", &bad, &folder.0);
             }
             _ => {}
         }
-        load.goes_on();
-        let next = start(
+        load.wait_for_more_replies();
+        let successor = start(
             &folder.0,
             &format!("upgrades-{number}"),
-            &told(counter, server, at),
+            &upgradable_config(counter, server, at),
         );
-        assert_eq!(next.at, at);
-        next.call_until("ready", "YES");
-        std::mem::replace(&mut now, next).ends();
+        assert_eq!(successor.at, at);
+        successor.call_until("ready", "YES");
+        std::mem::replace(&mut current, successor).ends();
     }
-    load.goes_on();
-    let served = load.end();
-    let seen = seen.lock().expect("whole").clone();
-    assert!(seen.values().all(|runs| *runs == 1), "run twice");
-    assert_eq!(seen.len(), served);
-    // Two units a request, told by whichever process came to it.
-    let units = || totals.lock().expect("whole").values().sum::<f64>();
-    until(units, |units| *units == 2.0 * served as f64);
+    load.wait_for_more_replies();
+    let served = load.stop();
+    let executions = executions.lock().expect("the lock is not poisoned").clone();
+    assert!(
+        executions.values().all(|runs| *runs == 1),
+        "a request was executed more than once"
+    );
+    assert_eq!(executions.len(), served);
+    // Each request costs two units, which whichever process served it reports to the counter.
+    let units = || {
+        totals
+            .lock()
+            .expect("the lock is not poisoned")
+            .values()
+            .sum::<f64>()
+    };
+    until(units, |total| *total == 2.0 * served as f64);
 }
 
 #[test]
 fn banned_server_stays_banned_during_and_after_an_upgrade() {
     let (server, seen) = resp_peer(|_, words| serve(&words[2]));
     let folder = Folder::new("bans");
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
-    told["control"] = "127.0.0.1:0".into();
-    let old = start(&folder.0, "bans-old", &told);
-    old.call_until("ready", "YES");
-    old.call_until("disable-server s-1", "YES");
-    told["listen"] = old.at.to_string().into();
-    let new = start(&folder.0, "bans-new", &told);
-    new.call_until("ready", "YES");
-    old.ends();
-    let mut client = Client::ready_at(new.at);
-    client.ask("look", "while-out", 1500);
+    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    config["control"] = "127.0.0.1:0".into();
+    let predecessor = start(&folder.0, "bans-old", &config);
+    predecessor.call_until("ready", "YES");
+    predecessor.call_until("disable-server s-1", "YES");
+    config["listen"] = predecessor.at.to_string().into();
+    let successor = start(&folder.0, "bans-new", &config);
+    successor.call_until("ready", "YES");
+    predecessor.ends();
+    let mut client = Client::ready_at(successor.at);
+    client.ask("look", "while-banned", 1500);
     assert!(client.answer().starts_with("-BUSY"));
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
-        .all(|words| words[2] != "while-out"));
-    assert_eq!(new.call("enable-server s-1"), "YES\n");
+        .all(|words| words[2] != "while-banned"));
+    assert_eq!(successor.call("enable-server s-1"), "YES\n");
 }
 
 #[test]
 fn hanging_successor_or_killed_predecessor_leaves_one_serving_process() {
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let folder = Folder::new("deaths");
-    // A counter that takes calls and says nothing, all the time.
-    let mut told = settings(
+    // The counter accepts calls and never answers.
+    let mut config = settings(
         quiet_list(),
         http_peer(|_, _, _| Act::Hang),
         &[("s-1", server)],
     );
-    told["control"] = "127.0.0.1:0".into();
-    let mut old = start(&folder.0, "deaths-old", &told);
-    old.call_until("ready", "YES");
-    told["listen"] = old.at.to_string().into();
+    config["control"] = "127.0.0.1:0".into();
+    let mut predecessor = start(&folder.0, "deaths-old", &config);
+    predecessor.call_until("ready", "YES");
+    config["listen"] = predecessor.at.to_string().into();
     let serves = |id: &str| {
-        let mut client = Client::ready_at(old.at);
+        let mut client = Client::ready_at(predecessor.at);
         client.ask("look", id, 1900);
         assert_eq!(client.answer(), id);
     };
-    // Stopped as soon as it has joined, and killed: the old one takes everything back, also with a new file on the way.
-    let stuck = start(&folder.0, "deaths-stuck", &told);
-    stuck.signal("STOP");
-    old.signal("HUP");
-    drop(stuck);
-    serves("after-stuck");
-    // The old one dies at once when the new one serves.
-    let new = start(&folder.0, "deaths-new", &told);
-    new.call_until("ready", "YES");
-    old.signal("KILL");
-    old.logged_end();
-    let mut client = Client::ready_at(new.at);
-    client.ask("look", "after-death", 1900);
-    assert_eq!(client.answer(), "after-death");
-    // And the next upgrade finds the new one.
-    let next = start(&folder.0, "deaths-next", &told);
-    next.call_until("ready", "YES");
-    new.ends();
-    let mut client = Client::ready_at(next.at);
-    client.ask("look", "after-all", 1900);
-    assert_eq!(client.answer(), "after-all");
+    // The successor is paused as soon as it has joined, and then killed. The predecessor reclaims
+    // its state and serves, also while it reloads its configuration.
+    let paused = start(&folder.0, "deaths-paused", &config);
+    paused.signal("STOP");
+    predecessor.signal("HUP");
+    drop(paused);
+    serves("after-paused-successor");
+    // The predecessor is killed as soon as the successor is ready.
+    let successor = start(&folder.0, "deaths-new", &config);
+    successor.call_until("ready", "YES");
+    predecessor.signal("KILL");
+    predecessor.logged_end();
+    let mut client = Client::ready_at(successor.at);
+    client.ask("look", "after-killed-predecessor", 1900);
+    assert_eq!(client.answer(), "after-killed-predecessor");
+    // The next upgrade hands over from the process that is left.
+    let second_successor = start(&folder.0, "deaths-next", &config);
+    second_successor.call_until("ready", "YES");
+    successor.ends();
+    let mut client = Client::ready_at(second_successor.at);
+    client.ask("look", "after-next-upgrade", 1900);
+    assert_eq!(client.answer(), "after-next-upgrade");
 }
 
 #[test]
 fn attempt_that_ends_before_the_learned_state_arrives_holds_no_concurrency_slot() {
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
     let folder = Folder::new("overtaken");
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
-    told["control"] = "127.0.0.1:0".into();
-    told["settings"]["tariffs"][0]["parallel"] = 1.into();
-    let place = UnixListener::bind(folder.socket()).expect("a socket");
-    let old = thread::spawn(move || {
-        let wait = Some(Duration::from_secs(20));
-        let link = Link::new(place.accept().expect("a newcomer").0).expect("a link");
+    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    config["control"] = "127.0.0.1:0".into();
+    config["settings"]["tariffs"][0]["parallel"] = 1.into();
+    let upgrade_socket = UnixListener::bind(folder.socket()).expect("the upgrade socket is bound");
+    let predecessor = thread::spawn(move || {
+        let timeout = Some(Duration::from_secs(20));
+        let link = Link::new(upgrade_socket.accept().expect("the successor connects").0)
+            .expect("a link is opened on the connection");
         assert!(matches!(
-            link.receive(wait),
+            link.receive(timeout),
             Ok((HandoverMessage::Join(_), None))
         ));
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is bound");
         link.send(HandoverMessage::Accept(true), Some(listener.as_fd()))
-            .expect("said");
+            .expect("the message is sent");
         assert!(matches!(
-            link.receive(wait),
+            link.receive(timeout),
             Ok((HandoverMessage::RequestState(_), None))
         ));
-        // The core has given, another thread tells of the end, and it is the first to reach the way.
+        // The core took the learned state while the attempt was in flight. Another thread then
+        // reports the end of the attempt, and its message is sent before the learned state.
         let account = "00000000b4d65521".to_owned();
         link.send(HandoverMessage::Ended(account.clone()), None)
-            .expect("said");
+            .expect("the message is sent");
         let account = AccountState {
             id: account,
             limiter_count: 1,
@@ -330,20 +369,21 @@
             }),
             None,
         )
-        .expect("said");
+        .expect("the message is sent");
         assert!(matches!(
-            link.receive(wait),
+            link.receive(timeout),
             Ok((HandoverMessage::Serving(_), None))
         ));
         link
     });
-    let new = start(&folder.0, "overtaken", &told);
-    new.call_until("ready", "YES");
-    // While the old one lives: with its end, all that it had out has ended.
-    let _old = old.join().expect("a hand-over");
-    let mut client = Client::ready_at(new.at);
-    client.ask("look", "has-a-place", 1500);
-    assert_eq!(client.answer(), "has-a-place");
+    let successor = start(&folder.0, "overtaken", &config);
+    successor.call_until("ready", "YES");
+    // The predecessor's link stays open: once it is closed, all attempts of the predecessor count
+    // as ended.
+    let _predecessor_link = predecessor.join().expect("the hand-over succeeds");
+    let mut client = Client::ready_at(successor.at);
+    client.ask("look", "gets-a-slot", 1500);
+    assert_eq!(client.answer(), "gets-a-slot");
 }
 
 #[test]
@@ -355,68 +395,83 @@
         client.ask("look", "served", 1500);
         assert_eq!(client.answer(), "served");
     };
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
-    told["control"] = "127.0.0.1:0".into();
-    // A file left behind by one that was killed, one that is no socket, and a folder that is not there.
+    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    config["control"] = "127.0.0.1:0".into();
+    // A socket file that a killed process left behind, a file that is not a socket, and a folder
+    // that does not exist.
     let folder = Folder::new("stale");
-    drop(std::os::unix::net::UnixListener::bind(folder.socket()).expect("a socket"));
-    serves(&start(&folder.0, "stale", &told));
+    drop(UnixListener::bind(folder.socket()).expect("the upgrade socket is bound"));
+    serves(&start(&folder.0, "stale", &config));
     _ = std::fs::remove_file(folder.socket());
-    std::fs::write(folder.socket(), "no socket").expect("a file");
-    serves(&start(&folder.0, "no-socket", &told));
-    serves(&start(Path::new("/nonexistent/folder"), "no-folder", &told));
-    // One that takes the call and says nothing.
+    std::fs::write(folder.socket(), "no socket").expect("the file is written");
+    serves(&start(&folder.0, "no-socket", &config));
+    serves(&start(
+        Path::new("/nonexistent/folder"),
+        "no-folder",
+        &config,
+    ));
+    // A predecessor that accepts the connection and never answers.
     _ = std::fs::remove_file(folder.socket());
-    let silent = std::os::unix::net::UnixListener::bind(folder.socket()).expect("a socket");
-    serves(&start(&folder.0, "silent", &told));
+    let silent = UnixListener::bind(folder.socket()).expect("the upgrade socket is bound");
+    serves(&start(&folder.0, "silent", &config));
     drop(silent);
 }
 
 #[test]
 fn shutdown_during_an_aborted_upgrade_ends_in_order() {
-    let (open, gate) = std::sync::mpsc::channel::<()>();
-    let gate = Mutex::new(gate);
+    let (release, held) = std::sync::mpsc::channel::<()>();
+    let held = Mutex::new(held);
     let (server, seen) = resp_peer(move |_, words| {
-        _ = gate.lock().expect("whole").recv();
+        _ = held.lock().expect("the lock is not poisoned").recv();
         serve(&words[2])
     });
     let folder = Folder::new("stop-in-upgrade");
-    let mut told = told(
+    let mut config = upgradable_config(
         quota_counter().0,
         server,
         SocketAddr::from(([127, 0, 0, 1], 0)),
     );
     for time in ["slo", "deadline"] {
-        told["settings"]["classes"][2][time] = 20_000_000.into();
+        config["settings"]["classes"][2][time] = 20_000_000.into();
     }
-    let mut old = start(&folder.0, "stop-in-upgrade", &told);
-    old.call_until("ready", "YES");
-    let (mut first, mut last) = (Client::ready_at(old.at), Client::ready_at(old.at));
+    let mut predecessor = start(&folder.0, "stop-in-upgrade", &config);
+    predecessor.call_until("ready", "YES");
+    let (mut first, mut last) = (
+        Client::ready_at(predecessor.at),
+        Client::ready_at(predecessor.at),
+    );
     for (client, id) in [(&mut first, "first"), (&mut last, "last")] {
         client.say(&asking("pay", id, 20_000).replace("spread=1", "spread=2"));
         next(&seen);
     }
-    // It is about to hand over when the word to stop comes, and then the newcomer dies.
-    let link = caller(&folder, 2);
+    // The predecessor is about to hand over its connections when SIGTERM arrives, and then the
+    // successor crashes.
+    let link = incomplete_successor(&folder, 2);
     link.send(HandoverMessage::Serving(true), None)
-        .expect("said");
-    old.logged("Leaving");
-    old.signal("TERM");
-    old.logged("shutting down");
+        .expect("the message is sent");
+    predecessor.logged("Leaving");
+    predecessor.signal("TERM");
+    predecessor.logged("shutting down");
     drop(link);
-    open.send(()).expect("a node");
+    release
+        .send(())
+        .expect("the upstream server waits for its release");
     assert_eq!(first.answer(), "first");
-    // Closed soon, also on a client that goes on, while another is still served: not in the last moment, when nothing is.
+    // The connection is closed early, while the other request is still in flight and although this
+    // client continues to send commands; not only at the end of the shutdown, when nothing is
+    // served any more.
     while first.try_ask("*1\r\n$4\r\nPING\r\n").is_some() {}
-    open.send(()).expect("a node");
+    release
+        .send(())
+        .expect("the upstream server waits for its release");
     assert_eq!(last.answer(), "last");
-    old.ends();
+    predecessor.ends();
 }
 
 #[test]
 fn request_is_not_forwarded_if_its_client_closed_during_the_connection_hand_over() {
     let (server, seen) = resp_peer(|_, words| {
-        // Well over the time in which a limiter is to find out that a client has left.
+        // Well over the time in which a limiter must detect that a client has disconnected.
         thread::sleep(Duration::from_millis(if words[2] == "first" {
             1_500
         } else {
@@ -425,30 +480,34 @@
         serve(&words[2])
     });
     let folder = Folder::new("left-in-upgrade");
-    let mut told = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
-    told["control"] = "127.0.0.1:0".into();
+    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    config["control"] = "127.0.0.1:0".into();
     for time in ["slo", "deadline"] {
-        told["settings"]["classes"][0][time] = 10_000_000.into();
+        config["settings"]["classes"][0][time] = 10_000_000.into();
     }
-    let old = start(&folder.0, "left-in-upgrade", &told);
-    old.call_until("ready", "YES");
-    let (mut first, mut left) = (Client::ready_at(old.at), Client::ready_at(old.at));
+    let predecessor = start(&folder.0, "left-in-upgrade", &config);
+    predecessor.call_until("ready", "YES");
+    let (mut first, mut leaving) = (
+        Client::ready_at(predecessor.at),
+        Client::ready_at(predecessor.at),
+    );
     first.ask("look", "first", 9_000);
     next(&seen);
-    left.ask("look", "left", 9_000);
+    leaving.ask("look", "left", 9_000);
     until(
-        || old.call("show-stat"),
+        || predecessor.call("show-stat"),
         |stat| stat.contains("limiter.in_flight=2\n"),
     );
-    // Serving: the old one waits for what is owed on each connection, and reads from none.
-    let link = caller(&folder, 2);
+    // After `Serving` the predecessor waits for the outstanding replies on each connection, and
+    // reads from none.
+    let link = incomplete_successor(&folder, 2);
     link.send(HandoverMessage::Serving(true), None)
-        .expect("said");
+        .expect("the message is sent");
     thread::sleep(Duration::from_millis(200));
-    drop(left);
+    drop(leaving);
     assert_eq!(first.answer(), "first");
     until(
-        || old.call("show-stat"),
+        || predecessor.call("show-stat"),
         |stat| stat.contains("limiter.in_flight=0\n"),
     );
     assert!(seen
