--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,5 @@
-//! Tests of the operators' line over loopback: calls, figures against what scripted peers saw, servers taken out.
+//! Tests of the admin interface over loopback: calls, metrics compared with what scripted peers
+//! observed, and disabled upstream servers.
 
 mod peers;
 
@@ -9,49 +10,54 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-fn started(servers: &[(&str, SocketAddr)]) -> Running {
-    let mut settings = settings(quiet_list(), quota_counter().0, servers);
-    settings["control"] = "127.0.0.1:0".into();
-    limiter(&settings)
+fn start_limiter(servers: &[(&str, SocketAddr)]) -> Running {
+    let mut config = settings(quiet_list(), quota_counter().0, servers);
+    config["control"] = "127.0.0.1:0".into();
+    limiter(&config)
 }
 
 fn call(limiter: &Running, line: &str) -> String {
-    peers::call(limiter.control.expect("an operators' line"), line)
+    peers::call(
+        limiter.control.expect("the limiter has an admin interface"),
+        line,
+    )
 }
 
-fn figures(limiter: &Running) -> BTreeMap<String, u64> {
+/// Returns the metrics that `show-stat` prints, without the prefix of their names.
+fn metrics(limiter: &Running) -> BTreeMap<String, u64> {
     let text = call(limiter, "show-stat\n");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.last(), Some(&"END"));
-    let figure = |line: &&str| {
+    let parse = |line: &&str| {
         let (name, value) = line.strip_prefix("limiter.")?.split_once('=')?;
         Some((name.to_owned(), value.parse().ok()?))
     };
     lines[..lines.len() - 1]
         .iter()
-        .map(|l| figure(l).expect("a figure"))
+        .map(|line| parse(line).expect("the line is a metric with a whole number"))
         .collect()
 }
 
 #[test]
 fn figures_match_what_clients_and_upstream_servers_observed() {
-    // A look fails once before it is served, a payment is dropped and a hold given up.
-    let (written, looked) = (Arc::new(AtomicUsize::new(0)), AtomicUsize::new(0));
-    let count = written.clone();
+    // One `look` fails once before it is served, the server closes the connection of one `pay`, and
+    // the client of one `hold` disconnects.
+    let (received, look_attempts) = (Arc::new(AtomicUsize::new(0)), AtomicUsize::new(0));
+    let count = received.clone();
     let (server, _seen) = resp_peer(move |_, words| {
         count.fetch_add(1, Ordering::SeqCst);
         match &*words[2] {
             "pay-1" => Act::Close,
             "hold-1" => Act::Hang,
-            "look-1" if looked.fetch_add(1, Ordering::SeqCst) == 0 => {
+            "look-1" if look_attempts.fetch_add(1, Ordering::SeqCst) == 0 => {
                 Act::Say("-ERR failed\r\n".into())
             }
             id => serve(id),
         }
     });
-    let limiter = started(&[("s-1", server), ("s-2", server)]);
+    let limiter = start_limiter(&[("s-1", server), ("s-2", server)]);
     let mut client = Client::ready(&limiter);
-    // Pipelined, so that one thread writes all the answers.
+    // Pipelined, so that one thread writes all replies.
     let text = asking("look", "look-1", 1500)
         + &asking("pay", "pay-1", 1500)
         + &asking("pay", "pay-2", 1500);
@@ -59,19 +65,24 @@
     assert_eq!(client.answer(), "look-1");
     assert_eq!(client.answer(), "-ERR failed");
     assert_eq!(client.answer(), "pay-2");
-    // Refused by the module, and turned away by the front itself, though it names a class.
+    // The first request is rejected by the decision engine; the second one by the front itself,
+    // although it names a class.
     client.ask("look", "look-2", 3);
     assert!(client.answer().starts_with("-BUSY"));
     client.say(&asking("look", "look-3", 1500).replace("d=1500", "d=ever"));
     assert_eq!(client.answer(), "-ERR bad d");
-    let mut gone = Client::ready(&limiter);
-    gone.ask("hold", "hold-1", 1500);
-    // Taken is not sent on yet: one that leaves before is no attempt.
-    until(|| figures(&limiter)["attempts"], |written| *written == 5);
-    drop(gone);
-    until(|| figures(&limiter)["in_flight"], |open| *open == 0);
-    let all = figures(&limiter);
-    assert_eq!(all["attempts"], written.load(Ordering::SeqCst) as u64);
+    let mut leaving = Client::ready(&limiter);
+    leaving.ask("hold", "hold-1", 1500);
+    // A request that is received but not yet forwarded counts no attempt if its client disconnects,
+    // so wait for the attempt first.
+    until(|| metrics(&limiter)["attempts"], |attempts| *attempts == 5);
+    drop(leaving);
+    until(
+        || metrics(&limiter)["in_flight"],
+        |in_flight| *in_flight == 0,
+    );
+    let all = metrics(&limiter);
+    assert_eq!(all["attempts"], received.load(Ordering::SeqCst) as u64);
     insta::assert_snapshot!(all
         .iter()
         .map(|(name, value)| format!("{name}={value}\n"))
@@ -79,69 +90,78 @@
 }
 
 #[test]
-fn malformed_and_silent_admin_connections_block_nobody() {
+fn malformed_and_incomplete_admin_calls_do_not_block_others() {
     let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let limiter = started(&[("s-1", server)]);
-    let at = limiter.control.expect("an operators' line");
-    // More than are served at a time, and none of them ever says a whole line.
-    let mut silent: Vec<TcpStream> = (0..40)
-        .map(|_| TcpStream::connect(at).expect("a connection"))
+    let limiter = start_limiter(&[("s-1", server)]);
+    let address = limiter.control.expect("the limiter has an admin interface");
+    // More connections than are served at a time, and none of them ever sends a complete line.
+    let mut incomplete: Vec<TcpStream> = (0..40)
+        .map(|_| TcpStream::connect(address).expect("the admin interface accepts connections"))
         .collect();
-    silent.iter_mut().for_each(|s| _ = s.write_all(b"rea"));
+    incomplete
+        .iter_mut()
+        .for_each(|stream| _ = stream.write_all(b"rea"));
     until(|| call(&limiter, "ready\n"), |answer| answer == "YES\n");
-    let long = "x".repeat(5_000) + "\n";
-    let bad = [
+    let too_long = "x".repeat(5_000) + "\n";
+    let bad_calls = [
         "nonsense\n",
         "ready now\n",
         "disable-server\n",
         "disable-server never-listed\n",
         "\n",
-        &long,
+        &too_long,
     ];
-    for line in bad {
+    for line in bad_calls {
         let answer = call(&limiter, line);
         assert!(
             answer.starts_with("NO ") && answer.ends_with('\n'),
-            "{line:.20}: {answer}"
+            "expected one line with NO to {line:.20}, got {answer:?}"
         );
     }
-    for mut stream in silent {
+    for mut stream in incomplete {
         let mut answer = Vec::new();
-        // An end or an answer, but an end.
+        // With or without an answer, the limiter closes the connection.
         _ = stream.read_to_end(&mut answer);
     }
-    let mut settings = settings(quiet_list(), quota_counter().0, &[]);
-    settings["control"] = "nowhere".into();
-    let error = mossrill::config::platform(&settings.to_string(), |_| None)
+    let mut config = settings(quiet_list(), quota_counter().0, &[]);
+    config["control"] = "nowhere".into();
+    let error = mossrill::config::platform(&config.to_string(), |_| None)
         .err()
-        .expect("a fault")
+        .expect("the address of the admin interface is rejected")
         .to_string();
-    assert!(error.contains("\"control\""), "{error}");
+    assert!(
+        error.contains("\"control\""),
+        "expected the key \"control\" in the error, got {error}"
+    );
 }
 
 #[test]
 fn disabled_server_gets_no_attempt_until_it_is_enabled() {
-    let (a, seen) = resp_peer(|_, words| serve(&words[2]));
-    let limiter = started(&[("s-1", a)]);
+    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
+    let limiter = start_limiter(&[("s-1", server)]);
     let mut client = Client::ready(&limiter);
     client.ask("look", "before", 1500);
     assert_eq!(client.answer(), "before");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
-    assert_eq!(figures(&limiter)["servers_excluded"], 1);
-    // With every server out there is nothing to wait for: refused at once, with a time to come back.
-    client.ask("pay", "while", 1500);
+    assert_eq!(metrics(&limiter)["servers_excluded"], 1);
+    // With every server disabled there is nothing to wait for: the request is rejected at once,
+    // with a time after which to retry.
+    client.ask("pay", "while-disabled", 1500);
     assert_eq!(client.answer(), "-BUSY 200");
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
-        .all(|words| words[2] != "while"));
+        .all(|words| words[2] != "while-disabled"));
     assert_eq!(call(&limiter, "enable-server s-1\n"), "YES\n");
-    // It is cold, so only a part goes to it, but some does.
-    let mut used = (0..200).filter(|number| {
+    // In its slow start the server gets only a part of the requests, but it gets some.
+    let mut served = (0..200).filter(|number| {
         client.ask("look", &format!("after-{number}"), 1500);
         client.answer().starts_with("after")
     });
-    assert!(used.next().is_some(), "never used again");
-    assert_eq!(figures(&limiter)["servers_excluded"], 0);
+    assert!(
+        served.next().is_some(),
+        "none of 200 requests reached the server after it was enabled"
+    );
+    assert_eq!(metrics(&limiter)["servers_excluded"], 0);
 }
