--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The capacity benchmark's arithmetic, arguments and counts: all of it that time does not touch.
+//! Tests of the capacity benchmark, except for what it times: its arithmetic, its arguments and the
+//! numbers that it counts.
 
 #[path = "../benches/capacity/mod.rs"]
 #[allow(dead_code)]
@@ -22,17 +23,20 @@
     headroom: HEADROOM,
 };
 
+/// Parses the arguments of a run.
 fn parse(words: &[&str]) -> Result<Arguments, String> {
     let words = ["capacity"].iter().chain(words);
     Arguments::try_parse_from(words).map_err(|error| error.to_string())
 }
 
+/// Returns the plan of a short run with further arguments.
 fn quick(words: &[&str]) -> Plan {
     let all: Vec<&str> = ["--quick"].iter().chain(words).copied().collect();
-    parse(&all).expect("the arguments are good").plan()
+    parse(&all).expect("the arguments are valid").plan()
 }
 
-/// Makes noise that a line through these sizes neither rises nor falls by, so that a fit has to find the law exactly.
+/// Removes the mean and the linear trend over `sizes` from the noise, so that a fit has to recover
+/// the law exactly.
 fn without_trend(sizes: &[f64], noise: &[f64]) -> Vec<f64> {
     let count = sizes.len() as f64;
     let mean_size = sizes.iter().sum::<f64>() / count;
@@ -53,7 +57,7 @@
 
 proptest! {
     #[test]
-    fn a_fit_finds_the_law_and_the_error_that_the_points_were_made_with(
+    fn fit_recovers_the_power_law_and_the_errors_of_generated_points(
         constant in 0.01f64..1e4,
         exponent in -2.0f64..3.0,
         noise in prop::collection::vec(-0.5f64..0.5, 4..12),
@@ -65,7 +69,7 @@
         let fit = Fit::new(&points).expect("there are enough points");
         prop_assert!((fit.exponent - exponent).abs() < 1e-6, "{} for {exponent}", fit.exponent);
         prop_assert!((fit.constant / constant - 1.0).abs() < 1e-6, "{} for {constant}", fit.constant);
-        // The errors that the textbook gives for this noise.
+        // The standard errors of a linear regression with this noise.
         let count = logs.len() as f64;
         let mean = logs.iter().sum::<f64>() / count;
         let squares: f64 = logs.iter().map(|log| (log - mean).powi(2)).sum();
@@ -73,7 +77,8 @@
         prop_assert!((fit.exponent_error - deviation / squares.sqrt()).abs() < 1e-6);
         let constant_error = deviation * (1.0 / count + mean * mean / squares).sqrt();
         prop_assert!((fit.constant_error.ln() - constant_error).abs() < 1e-6);
-        // Extrapolated tenfold: the law's value, and an error that grows with the distance.
+        // Extrapolated tenfold, the fit gives the value of the law, and an error that grows with
+        // the distance.
         let (near, far) = (fit.at(points[points.len() - 1].0), fit.at(points[points.len() - 1].0 * 10.0));
         prop_assert!((far.extrapolation - 10.0).abs() < 1e-9);
         let expected = constant * (points[points.len() - 1].0 * 10.0).powf(exponent);
@@ -82,22 +87,22 @@
     }
 
     #[test]
-    fn what_has_no_logarithm_is_named(bad in prop_oneof![Just(0.0), -1e6f64..0.0, Just(f64::INFINITY)]) {
+    fn fit_error_names_a_value_without_a_logarithm(bad in prop_oneof![Just(0.0), -1e6f64..0.0, Just(f64::INFINITY)]) {
         let points = [(1.0, 1.0), (10.0, bad), (100.0, 2.0)];
         prop_assert_eq!(Fit::new(&points), Err(FitError::NotPositive(bad)));
     }
 }
 
 #[test]
-fn a_line_through_two_sizes_is_no_fit() {
+fn fit_needs_three_different_sizes() {
     let points = [(1.0, 1.0), (10.0, 11.0), (10.0, 12.0)];
-    let error = Fit::new(&points).expect_err("two sizes");
+    let error = Fit::new(&points).expect_err("two different sizes are too few");
     assert_eq!(error, FitError::TooFewSizes(2));
     assert_eq!(error.to_string(), "2 different sizes, 3 are needed");
 }
 
 #[test]
-fn bad_arguments_are_named() {
+fn argument_errors_name_the_bad_argument() {
     let cases: [(&[&str], &str); 10] = [
         (&["--servers", "24,0"], "--servers"),
         (&["--tenants", "0"], "--tenants"),
@@ -111,13 +116,16 @@
         (&["--speed", "9"], "--speed"),
     ];
     for (words, named) in cases {
-        let error = parse(words).expect_err("bad arguments");
-        assert!(error.contains(named), "{words:?} says: {error}");
+        let error = parse(words).expect_err("the arguments are invalid");
+        assert!(
+            error.contains(named),
+            "expected {named} in the error of {words:?}: {error}"
+        );
     }
 }
 
 #[test]
-fn sizes_that_are_given_stand_and_the_others_are_usual() {
+fn given_sizes_replace_the_defaults() {
     let plan = quick(&["--servers", "5,6,7", "--only", "lists"]);
     assert_eq!((plan.servers, plan.seeds), (vec![5, 6, 7], vec![1]));
     assert_eq!(plan.groups, [Group::Lists]);
@@ -129,13 +137,17 @@
 }
 
 #[test]
-fn the_same_seed_sends_the_same_calls_and_bytes() {
-    let play = |seed| simulate(SHAPE, 3, 2, seed);
-    let (first, again, other) = (play(5), play(5), play(6));
-    assert_eq!(first, again);
+fn counter_calls_and_bytes_are_reproducible_for_a_seed() {
+    let run = |seed| simulate(SHAPE, 3, 2, seed);
+    let (first, repeated, other) = (run(5), run(5), run(6));
+    assert_eq!(first, repeated);
     assert_ne!(first, other);
-    // 130 requests a second at each of three limiters: 780 in 2 s, give or take five standard deviations.
-    assert!((640..920).contains(&first.requests), "{first:?}");
+    // Three limiters with 130 requests/s each get 780 requests in 2 s, within five standard
+    // deviations.
+    assert!(
+        (640..920).contains(&first.requests),
+        "expected 640..920 requests, got {first:?}"
+    );
     let Sent {
         sent_on,
         calls,
@@ -143,16 +155,19 @@
         redis_bytes,
         ..
     } = first;
-    assert!(sent_on > first.requests / 2 && calls > 0, "{first:?}");
-    // The shortest calls that can be worded.
+    assert!(
+        sent_on > first.requests / 2 && calls > 0,
+        "expected calls, and more than half of the requests forwarded, got {first:?}"
+    );
+    // Lower bounds: the bytes of the shortest possible call of each protocol.
     assert!(
         http_bytes > 80 * calls && redis_bytes > 120 * calls,
-        "{first:?}"
+        "calls are shorter than the shortest possible ones: {first:?}"
     );
 }
 
 #[test]
-fn every_tenant_comes_through_its_limiters_and_no_other() {
+fn limiter_rates_add_up_to_each_tenants_rate_without_overloading_a_limiter() {
     let traffic = Traffic::new(SHAPE, 4);
     let mut rates = vec![0.0; traffic.tenants.len()];
     for limiter in 0..traffic.limiters {
@@ -163,31 +178,31 @@
     for (tenant, rate) in traffic.tenants.iter().zip(rates) {
         assert!(
             (rate / tenant.rate - 1.0).abs() < 1e-9,
-            "{rate} for {tenant:?}"
+            "limiters get {rate} requests/s of {tenant:?}"
         );
         assert!(
             tenant.rate / f64::from(tenant.spread) <= 65.0 + 1e-9,
-            "too much for a limiter: {tenant:?}"
+            "more than half of the load of a limiter: {tenant:?}"
         );
-        assert!(tenant.spread >= 3, "{tenant:?}");
+        assert!(tenant.spread >= 3, "fewer than 3 limiters: {tenant:?}");
     }
 }
 
 #[test]
-fn the_short_form_runs_every_experiment_and_its_counts_repeat() {
+fn quick_run_covers_every_experiment_with_reproducible_counts() {
     let plan = quick(&["--samples", "4", "--seconds", "1"]);
-    let (mut shown, experiments) = (0, capacity::run(&plan, &mut |_| ()));
-    let again = capacity::run(&plan, &mut |_| shown += 1);
-    assert_eq!(shown, experiments.len());
-    for (experiment, again) in experiments.iter().zip(&again) {
+    let (mut reported, experiments) = (0, capacity::run(&plan, &mut |_| ()));
+    let repeated = capacity::run(&plan, &mut |_| reported += 1);
+    assert_eq!(reported, experiments.len());
+    for (experiment, repeated) in experiments.iter().zip(&repeated) {
         let sizes = experiment.rows.len();
         assert!(sizes >= 3, "{}: {sizes} sizes", experiment.name);
-        for (row, same) in experiment.rows.iter().zip(&again.rows) {
-            // Where parts of the quota are large no request may have waited for the counter.
-            let may_be_none = experiment.name.starts_with("counted-by");
+        for (row, same) in experiment.rows.iter().zip(&repeated.rows) {
+            // Where quota shares are large, it may be that no request waited for the counter.
+            let may_be_empty = experiment.name.starts_with("counted-by");
             assert!(
-                may_be_none || !row.figures.is_empty(),
-                "{}: nothing at {}",
+                may_be_empty || !row.figures.is_empty(),
+                "{}: no figures at size {}",
                 experiment.name,
                 row.size
             );
@@ -203,7 +218,7 @@
                 );
                 assert!(
                     !counted || figure == same,
-                    "{}: {figure:?} and {same:?}",
+                    "{}: a repeated run gives {same:?} instead of {figure:?}",
                     experiment.name
                 );
                 assert!(
@@ -223,38 +238,44 @@
     );
 }
 
-/// Files of the page, as they are in the repository.
+/// The page with the results, as committed.
 const PAGE: &str = include_str!("../docs/CAPACITY.md");
+/// The run whose results the page shows, as committed.
 const SLOPES: &str = include_str!("../docs/capacity/slopes.json");
 
 #[test]
-fn the_tables_of_the_page_are_those_of_the_committed_run() {
+fn tables_of_the_page_match_the_committed_run() {
     let run = Run::read(SLOPES).expect("the run is JSON");
     for (name, table) in tables(&run).expect("the run has every experiment") {
         let expected = marked(name, &table);
         assert!(
             PAGE.contains(&expected),
-            "table {name} of docs/CAPACITY.md is not the run's:\n{expected}"
+            "table {name} of docs/CAPACITY.md differs from the committed run, expected:\n{expected}"
         );
     }
 }
 
 #[test]
-fn a_run_that_lacks_something_is_named() {
-    let error = Run::read("{").err().expect("half of an object");
-    assert!(error.to_string().starts_with("not JSON"), "{error}");
-    let empty = Run::read(r#"{"experiments": []}"#).expect("JSON");
-    let error = tables(&empty).expect_err("nothing was run");
+fn error_of_an_incomplete_run_names_what_is_missing() {
+    let error = Run::read("{")
+        .err()
+        .expect("a truncated object is rejected");
+    assert!(
+        error.to_string().starts_with("not JSON"),
+        "expected \"not JSON\", got {error}"
+    );
+    let empty = Run::read(r#"{"experiments": []}"#).expect("the run is JSON");
+    let error = tables(&empty).expect_err("the run has no experiments");
     assert!(
         error
             .to_string()
             .starts_with("the run has no p99_us of decision-by-servers"),
-        "{error}"
+        "expected the missing quantity, got {error}"
     );
 }
 
 #[test]
-fn a_table_begins_with_the_largest_ratio_and_ends_with_what_has_no_bound() {
+fn table_rows_are_ordered_by_ratio_with_unbounded_amounts_last() {
     let line = |what: &str, value| Line::new("role", what, Amount(value, Unit::Bytes), &[]);
     let table = table(vec![
         line("none", 9e9),
@@ -264,14 +285,14 @@
     let rows: Vec<&str> = table.lines().skip(2).collect();
     assert!(
         rows[0].starts_with("| 2.0 | role | twice | 4.0 B |"),
-        "{rows:?}"
+        "unexpected order or text of the rows: {rows:?}"
     );
     assert!(
         rows[1].starts_with("| 0.50 | role | half | 1.0 B |"),
-        "{rows:?}"
+        "unexpected order or text of the rows: {rows:?}"
     );
     assert!(
         rows[2].starts_with("| - | role | none | 9000 MB |"),
-        "{rows:?}"
+        "unexpected order or text of the rows: {rows:?}"
     );
 }
