--- a/tests/units/bans.rs
+++ b/tests/units/bans.rs
@@ -1,8 +1,9 @@
-//! Upstream servers taken out by operators, over whatever service discovery says.
+//! Tests of upstream servers that operators disable, whatever service discovery reports about them.
 
 use mossrill::core::bans::ServerBans;
 use mossrill::decision::*;
-fn node(id: &str, readiness: Readiness) -> Endpoint {
+
+fn endpoint(id: &str, readiness: Readiness) -> Endpoint {
     Endpoint {
         id: id.into(),
         zone: String::new(),
@@ -13,59 +14,62 @@
     }
 }
 
-fn told(members: &[Endpoint]) -> Vec<(&str, Readiness, Micros)> {
-    members
+/// The values of endpoints that bans can change: id, readiness and start time.
+fn summary(endpoints: &[Endpoint]) -> Vec<(&str, Readiness, Micros)> {
+    endpoints
         .iter()
-        .map(|m| (&*m.id.0, m.readiness, m.started_at))
+        .map(|endpoint| (&*endpoint.id.0, endpoint.readiness, endpoint.started_at))
         .collect()
 }
 
 #[test]
-fn a_node_taken_out_stays_out_whatever_the_list_says_until_one_call_back() {
+fn disabled_server_is_draining_in_every_update_until_it_is_enabled() {
     use Readiness::{Draining, Ready, Removed};
     let mut bans = ServerBans::default();
     let (a, b) = (ServerId::from("a"), ServerId::from("b"));
     bans.news(
         UpdateScope::Snapshot,
-        vec![node("a", Ready), node("b", Ready)],
+        vec![endpoint("a", Ready), endpoint("b", Ready)],
     );
     assert_eq!(bans.disable(&"never".into()), None);
-    // Repeated calls are harmless, and one call back ends the ban.
+    // A server may be disabled repeatedly; enabling it once ends the ban.
     bans.disable(&a);
     assert_eq!(
-        told(&bans.disable(&a).expect("listed")),
+        summary(&bans.disable(&a).expect("the server was listed")),
         [("a", Draining, 5)]
     );
     assert_eq!(bans.counts(), (2, 1));
-    // Told again, a whole list, gone, and back under its id.
+    // The ban holds when the server is reported again, when a full list is received, and when the
+    // server is removed and comes back under its id.
     assert_eq!(
-        told(&bans.news(UpdateScope::Delta, vec![node("a", Ready)])),
+        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Ready)])),
         [("a", Draining, 5)]
     );
-    let whole = bans.news(
+    let full_list = bans.news(
         UpdateScope::Snapshot,
-        vec![node("a", Ready), node("b", Ready)],
+        vec![endpoint("a", Ready), endpoint("b", Ready)],
     );
-    assert_eq!(told(&whole), [("a", Draining, 5), ("b", Ready, 5)]);
+    assert_eq!(summary(&full_list), [("a", Draining, 5), ("b", Ready, 5)]);
     assert_eq!(
-        told(&bans.news(UpdateScope::Delta, vec![node("a", Removed)])),
+        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Removed)])),
         [("a", Removed, 5)]
     );
     assert_eq!(bans.counts(), (1, 0));
     assert_eq!(
-        told(&bans.news(UpdateScope::Delta, vec![node("a", Ready)])),
+        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Ready)])),
         [("a", Draining, 5)]
     );
-    // Back as a node that has just started, also where the list knows nothing of that.
+    // Once enabled, the server counts as just started, also if the list reports an earlier start
+    // time.
     assert_eq!(
-        told(&bans.enable(&a, 77).expect("listed")),
+        summary(&bans.enable(&a, 77).expect("the server was listed")),
         [("a", Ready, 77)]
     );
     assert_eq!(
-        told(&bans.news(UpdateScope::Delta, vec![node("a", Ready)])),
+        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Ready)])),
         [("a", Ready, 77)]
     );
-    // What was not out is left as it is.
+    // Enabling a server that is not disabled changes nothing.
     assert_eq!(bans.enable(&b, 78), Some(Vec::new()));
     assert_eq!(bans.counts(), (2, 0));
 }
--- a/tests/units/handover_link.rs
+++ b/tests/units/handover_link.rs
@@ -1,4 +1,5 @@
-//! Frames and descriptors between the two processes of an upgrade.
+//! Tests of the link between the two processes of an upgrade, which carries messages and file
+//! descriptors.
 
 use mossrill::handover::link::{Link, ReceiveError};
 use mossrill::handover::message::AccountState;
@@ -10,107 +11,137 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-const WAIT: Option<Duration> = Some(Duration::from_secs(20));
+/// Timeout of a message that is expected to arrive.
+const RECEIVE_TIMEOUT: Option<Duration> = Some(Duration::from_secs(20));
 
-fn pair() -> (Link, UnixStream) {
-    let (a, b) = UnixStream::pair().expect("a pair");
-    (Link::new(a).expect("a link"), b)
+/// Returns a link and the raw socket at its other end.
+fn link_and_peer() -> (Link, UnixStream) {
+    let (near, far) = UnixStream::pair().expect("a socket pair is created");
+    (
+        Link::new(near).expect("a link is opened on the socket"),
+        far,
+    )
 }
 
 #[test]
 fn frames_and_descriptors_arrive_together() {
-    let (one, other) = pair();
-    let other = Link::new(other).expect("a link");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (sender, peer) = link_and_peer();
+    let receiver = Link::new(peer).expect("a link is opened on the socket");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is bound");
     let mut client =
-        TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
-    let (stream, _) = listener.accept().expect("a connection");
-    let accounts = (0..10_000).map(|n| AccountState {
-        id: format!("{n:016x}"),
+        TcpStream::connect(listener.local_addr().expect("the listener has an address"))
+            .expect("the listener accepts connections");
+    let (stream, _) = listener.accept().expect("the connection is accepted");
+    let accounts = (0..10_000).map(|number| AccountState {
+        id: format!("{number:016x}"),
         ..AccountState::default()
     });
-    let given = HandoverMessage::LearnedState(LearnedState {
+    let sent = HandoverMessage::LearnedState(LearnedState {
         accounts: accounts.collect(),
         ..LearnedState::default()
     });
     std::thread::scope(|scope| {
         scope.spawn(|| {
             use std::os::fd::AsFd;
-            one.send(given.clone(), None).expect("said");
-            one.send(
-                HandoverMessage::Connection(b"half".to_vec()),
-                Some(stream.as_fd()),
-            )
-            .expect("said");
-            one.send(HandoverMessage::Serving(true), None)
-                .expect("said");
+            sender
+                .send(sent.clone(), None)
+                .expect("the message is sent");
+            sender
+                .send(
+                    HandoverMessage::Connection(b"half".to_vec()),
+                    Some(stream.as_fd()),
+                )
+                .expect("the message is sent");
+            sender
+                .send(HandoverMessage::Serving(true), None)
+                .expect("the message is sent");
         });
-        assert_eq!(other.receive(WAIT).expect("heard").0, given);
-        let (body, descriptor) = other.receive(WAIT).expect("heard");
+        assert_eq!(
+            receiver
+                .receive(RECEIVE_TIMEOUT)
+                .expect("a message is received")
+                .0,
+            sent
+        );
+        let (body, descriptor) = receiver
+            .receive(RECEIVE_TIMEOUT)
+            .expect("a message is received");
         assert_eq!(body, HandoverMessage::Connection(b"half".to_vec()));
-        let mut moved = TcpStream::from(descriptor.expect("a connection"));
-        std::io::Write::write_all(&mut moved, b"here").expect("written");
+        let mut handed_over = TcpStream::from(
+            descriptor.expect("the message carries the descriptor of the connection"),
+        );
+        std::io::Write::write_all(&mut handed_over, b"here").expect("the bytes are written");
         assert_eq!(
-            other.receive(WAIT).expect("heard").0,
+            receiver
+                .receive(RECEIVE_TIMEOUT)
+                .expect("a message is received")
+                .0,
             HandoverMessage::Serving(true)
         );
     });
-    let mut told = [0; 4];
-    client.read_exact(&mut told).expect("read");
-    assert_eq!(&told, b"here");
-    drop(one);
+    let mut received = [0; 4];
+    client
+        .read_exact(&mut received)
+        .expect("the client receives what was written");
+    assert_eq!(&received, b"here");
+    drop(sender);
     assert_eq!(
-        other.receive(WAIT).map(|(body, _)| body),
+        receiver.receive(RECEIVE_TIMEOUT).map(|(body, _)| body),
         Err(ReceiveError::Closed)
     );
 }
 
 #[test]
 fn messages_sent_before_shutdown_are_received_and_none_after() {
-    // It decides which process owns the state.
-    let (one, other) = pair();
-    let other = Link::new(other).expect("a link");
-    other
+    // Whether the successor can still send its confirmation decides which process owns the state.
+    let (predecessor, peer) = link_and_peer();
+    let successor = Link::new(peer).expect("a link is opened on the socket");
+    successor
+        .send(HandoverMessage::Serving(true), None)
+        .expect("the message is sent");
+    predecessor.shutdown();
+    assert!(successor
         .send(HandoverMessage::Serving(true), None)
-        .expect("said");
-    one.shutdown();
-    assert!(other.send(HandoverMessage::Serving(true), None).is_err());
+        .is_err());
     assert_eq!(
-        one.receive(WAIT).expect("heard").0,
+        predecessor
+            .receive(RECEIVE_TIMEOUT)
+            .expect("a message is received")
+            .0,
         HandoverMessage::Serving(true)
     );
     assert_eq!(
-        one.receive(WAIT).map(|(body, _)| body),
+        predecessor.receive(RECEIVE_TIMEOUT).map(|(body, _)| body),
         Err(ReceiveError::Closed)
     );
 }
 
 #[test]
-fn malformed_frames_are_told_from_timeouts_and_closed_connections() {
-    for (bytes, why) in [
+fn malformed_frames_timeouts_and_closed_connections_give_different_errors() {
+    for (bytes, expected) in [
         (&b"\xff\xff\xff\xff"[..], ReceiveError::FrameTooLong),
         (
             &b"\0\0\0\x03\x2a\xff\x01"[..],
             ReceiveError::UnreadableFrame,
         ),
         (&b"\0\0\0\0"[..], ReceiveError::UnreadableFrame),
-        // Welcome without the listener.
+        // `Accept` without the descriptor of the listener.
         (&b"\0\0\0\x02\x10\x01"[..], ReceiveError::MissingDescriptor),
-        // Truncated.
+        // A truncated frame.
         (&b"\0\0\0\x09\x10"[..], ReceiveError::Closed),
     ] {
-        let (link, mut peer) = pair();
-        peer.write_all(bytes).expect("written");
+        let (link, mut peer) = link_and_peer();
+        peer.write_all(bytes).expect("the bytes are written");
         drop(peer);
         assert_eq!(
-            link.receive(WAIT).map(|(body, _)| body),
-            Err(why),
-            "{bytes:?}"
+            link.receive(RECEIVE_TIMEOUT).map(|(body, _)| body),
+            Err(expected),
+            "received bytes: {bytes:?}"
         );
     }
-    let (link, _silent) = pair();
-    let nothing = link
+    let (link, _silent) = link_and_peer();
+    let received = link
         .receive(Some(Duration::from_millis(1)))
         .map(|(body, _)| body);
-    assert_eq!(nothing, Err(ReceiveError::TimedOut));
+    assert_eq!(received, Err(ReceiveError::TimedOut));
 }
--- a/tests/units/handover_stages.rs
+++ b/tests/units/handover_stages.rs
@@ -1,10 +1,10 @@
-//! The two state machines of a hand-over, against each other.
+//! Tests of the two state machines of a hand-over, run against each other.
 
 use mossrill::handover::stage::{Event, PredecessorStage, Signal, Step, SuccessorStage, VERSION};
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
-/// Both processes with the messages in flight between them, and whether clients are accepted.
+/// Both processes, the messages in flight between them, and whether each process accepts clients.
 struct Pair {
     predecessor: PredecessorStage,
     successor: SuccessorStage,
@@ -15,8 +15,9 @@
     predecessor_accepts: bool,
     successor_accepts: bool,
     connection_closed: bool,
-    /// The predecessor has reclaimed the state that it sent, or the successor has adopted it.
+    /// The predecessor has reclaimed the state that it sent.
     reclaimed: bool,
+    /// The successor has adopted the state.
     adopted: bool,
 }
 
@@ -33,7 +34,10 @@
                 Step::StopAccepting => self.predecessor_accepts = false,
                 Step::ResumeServing(_) => self.predecessor_accepts = true,
                 Step::Exit => {
-                    assert!(self.successor_accepts, "left with nobody to accept");
+                    assert!(
+                        self.successor_accepts,
+                        "the predecessor exited although the successor does not accept clients"
+                    );
                     self.predecessor_runs = false;
                 }
                 _ => {}
@@ -66,8 +70,8 @@
 }
 
 proptest! {
-    /// Any order of late messages, timeouts and crashes leaves a process that serves. Messages on a stream are never lost
-    /// or reordered; all else may happen at any time.
+    /// Any order of late messages, timeouts and crashes leaves a process that serves. Messages on a
+    /// stream are never lost or reordered; all else may happen at any time.
     #[test]
     fn one_process_serves_after_any_order_of_events(steps in prop::collection::vec(0u8..9, 0..60)) {
         let mut pair = Pair {
@@ -84,13 +88,15 @@
                 5 => pair.on_predecessor(Event::Drained),
                 6 => if pair.predecessor.limit().is_some() { pair.on_predecessor(Event::TimedOut) },
                 7 => if pair.successor.limit().is_some() { pair.on_successor(Event::TimedOut) },
-                // One of the two crashes, the successor more often: it has not proven itself yet.
+                // One of the two crashes: the predecessor if both serve, otherwise the successor,
+                // which is more likely to be faulty as it has not served yet.
                 _ => if pair.predecessor_runs && pair.successor_runs {
                     if pair.successor == SuccessorStage::Sharing { pair.predecessor_runs = false } else { pair.successor_runs = false }
                 },
             }
         }
-        // What was sent is still received, then the end of the stream, and no stage outlasts its limit.
+        // Messages that were sent are still received, then the end of the stream; and stages with a
+        // limit time out.
         while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
         while let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) }
         if !pair.successor_runs || pair.connection_closed { pair.on_predecessor(Event::ConnectionLost) }
@@ -101,13 +107,13 @@
             while let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) }
             if pair.predecessor.limit().is_some() { pair.on_predecessor(Event::TimedOut) }
             if pair.successor.limit().is_some() { pair.on_successor(Event::TimedOut) }
-            // What was sent before the connection was closed comes before its end.
+            // Messages that were sent before the connection was closed are received before its end.
             while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
             if pair.connection_closed { pair.on_predecessor(Event::ConnectionLost) }
         }
-        prop_assert!(!(pair.adopted && pair.reclaimed), "reported to the counter by both");
+        prop_assert!(!(pair.adopted && pair.reclaimed), "both processes report the same units to the counter");
         let serves = (pair.predecessor_runs && pair.predecessor_accepts) || (pair.successor_runs && pair.successor_accepts);
-        prop_assert!(serves, "{:?} {:?}", pair.predecessor, pair.successor);
+        prop_assert!(serves, "no process serves: {:?} {:?}", pair.predecessor, pair.successor);
     }
 }
 
--- a/tests/units/layers.rs
+++ b/tests/units/layers.rs
@@ -1,4 +1,4 @@
-//! The layers of `src/`: a module imports from its own layer or from one below it.
+//! Checks the layers of `src/`: a module imports only from its own layer or from one below it.
 
 use crate::source_text::{rust_files, SourceFile};
 use std::collections::BTreeSet;
@@ -18,16 +18,17 @@
     &["cli"],
 ];
 
-/// Imports against the layers that are still in the code, as importing and imported module. Each
-/// of them must exist: this list can only become shorter.
+/// Known imports from a higher layer, as importing and imported module. Each of them must still
+/// exist in the code, so that this list only becomes shorter.
 const EXCEPTIONS: &[(&str, &str)] = &[];
 
 /// Names that `src/lib.rs` exports from a module, and the module.
 const ROOT_EXPORTS: &[(&str, &str)] = &[("Engine", "decision")];
 
-/// The listed module that the path lies in, and the number of its layer.
+/// Returns the number of the layer of a module path, and the module of [`LAYERS`] that contains the
+/// path.
 fn layer_of(path: &[String]) -> Option<(usize, &'static str)> {
-    let lies_in = |module: &str| {
+    let is_within = |module: &str| {
         let module: Vec<&str> = module.split("::").collect();
         path.len() >= module.len() && module.iter().zip(path).all(|(a, b)| a == b)
     };
@@ -36,11 +37,11 @@
         .enumerate()
         .flat_map(|(layer, modules)| modules.iter().map(move |module| (layer, *module)));
     listed
-        .filter(|(_, module)| lies_in(module))
+        .filter(|(_, module)| is_within(module))
         .max_by_key(|(_, module)| module.len())
 }
 
-/// The module path of a source file: `src/client/mod.rs` is `client`.
+/// Returns the module path of a source file: `client` for `src/client/mod.rs`.
 fn module_path(file: &SourceFile) -> Vec<String> {
     let mut path: Vec<String> = file
         .path
@@ -57,29 +58,29 @@
 
 /// Splits the text of a group at its commas, but not inside inner groups.
 fn split_group(group: &str) -> Vec<&str> {
-    let mut parts = Vec::new();
+    let mut items = Vec::new();
     let mut depth = 0;
     let mut start = 0;
     for (index, character) in group.char_indices() {
         match character {
             '{' => depth += 1,
             '}' if depth == 0 => {
-                parts.push(&group[start..index]);
-                return parts;
+                items.push(&group[start..index]);
+                return items;
             }
             '}' => depth -= 1,
             ',' if depth == 0 => {
-                parts.push(&group[start..index]);
+                items.push(&group[start..index]);
                 start = index + 1;
             }
             _ => {}
         }
     }
-    parts.push(&group[start..]);
-    parts
+    items.push(&group[start..]);
+    items
 }
 
-/// The paths at the beginning of `text`, with groups in braces written out.
+/// Returns the paths at the beginning of `text` behind `prefix`, with groups in braces expanded.
 fn expand(prefix: &[String], text: &str) -> Vec<Vec<String>> {
     let mut path = prefix.to_vec();
     let mut rest = text.trim_start();
@@ -87,8 +88,8 @@
         if let Some(group) = rest.strip_prefix('{') {
             return split_group(group)
                 .into_iter()
-                .filter(|part| !part.trim().is_empty())
-                .flat_map(|part| expand(&path, part))
+                .filter(|item| !item.trim().is_empty())
+                .flat_map(|item| expand(&path, item))
                 .collect();
         }
         let end = rest
@@ -102,10 +103,10 @@
     }
 }
 
-/// The paths that a file names from the root of the crate, in `use` lines or inline.
+/// Returns the paths from the root of the crate that a file names, in `use` declarations or inline.
 fn imports(file: &SourceFile) -> Vec<Vec<String>> {
     let code = file.code();
-    let own = module_path(file);
+    let file_module = module_path(file);
     let mut paths = Vec::new();
     for (start, marker) in code.match_indices("crate::") {
         let before = code[..start].chars().next_back();
@@ -119,9 +120,9 @@
         }
     }
     for (start, marker) in code.match_indices("super::") {
-        let levels_before = code[..start].matches_suffix_count("super::");
+        let levels_before = code[..start].count_repeated_suffix("super::");
         if levels_before == 0 {
-            let mut parent = own.clone();
+            let mut parent = file_module.clone();
             let mut rest = &code[start..];
             while let Some(next) = rest.strip_prefix(marker) {
                 parent.pop();
@@ -135,14 +136,14 @@
     paths
 }
 
-/// Counts how often a text ends with a suffix.
-trait SuffixCount {
-    /// Number of repetitions of `suffix` at the end.
-    fn matches_suffix_count(&self, suffix: &str) -> usize;
+/// Counts repetitions of a suffix.
+trait CountRepeatedSuffix {
+    /// Returns how many times in a row a text ends with `suffix`.
+    fn count_repeated_suffix(&self, suffix: &str) -> usize;
 }
 
-impl SuffixCount for str {
-    fn matches_suffix_count(&self, suffix: &str) -> usize {
+impl CountRepeatedSuffix for str {
+    fn count_repeated_suffix(&self, suffix: &str) -> usize {
         let mut rest = self;
         let mut count = 0;
         while let Some(next) = rest.strip_suffix(suffix) {
@@ -153,7 +154,7 @@
     }
 }
 
-/// The layer of a file; programs are above all modules.
+/// Returns the layer and the module of a file. Programs belong to the top layer.
 fn layer_of_file(file: &SourceFile) -> (usize, &'static str) {
     if file.belongs_to_a_program() {
         return (LAYERS.len() - 1, "cli");
@@ -161,7 +162,8 @@
     layer_of(&module_path(file)).unwrap_or_else(|| panic!("{} is in no layer", file.path))
 }
 
-/// All imports between listed modules against the layers, with a file that has each.
+/// Returns all imports from a higher layer, as importing and imported module, and prints the file
+/// of each.
 fn upward_imports(files: &[SourceFile]) -> BTreeSet<(&'static str, &'static str)> {
     let mut found = BTreeSet::new();
     for file in files.iter().filter(|file| file.path != "src/lib.rs") {
@@ -184,22 +186,29 @@
 }
 
 #[test]
-fn no_layer_imports_from_one_above_it() {
+fn no_module_imports_from_a_higher_layer() {
     let files = rust_files("src");
-    assert!(files.len() > 80, "the source is not read");
+    assert!(
+        files.len() > 80,
+        "expected more than 80 source files, found {}",
+        files.len()
+    );
     let found = upward_imports(&files);
     let known: BTreeSet<_> = EXCEPTIONS.iter().copied().collect();
     let new: Vec<_> = found.difference(&known).collect();
-    assert!(new.is_empty(), "imports against the layers: {new:?}");
-    let gone: Vec<_> = known.difference(&found).collect();
     assert!(
-        gone.is_empty(),
-        "exceptions that are none any more: {gone:?}"
+        new.is_empty(),
+        "modules import from a higher layer: {new:?}"
+    );
+    let obsolete: Vec<_> = known.difference(&found).collect();
+    assert!(
+        obsolete.is_empty(),
+        "EXCEPTIONS lists imports that the code does not have: {obsolete:?}"
     );
 }
 
 #[test]
-fn imports_are_read_from_use_lines_groups_and_inline_paths() {
+fn imports_are_found_in_use_declarations_groups_and_inline_paths() {
     let file = SourceFile {
         path: "src/client/mod.rs".into(),
         text: "use crate::core::{messages::{Answer, Input}, Clock};\n// crate::cli::x\n\
--- a/tests/units/log_messages.rs
+++ b/tests/units/log_messages.rs
@@ -1,4 +1,5 @@
-//! `docs/on-call.md` and `docs/leases-operations.md` list every message that the code logs, and no other.
+//! Checks that `docs/on-call.md` and `docs/leases-operations.md` list every message that the code
+//! logs, and no other.
 
 use crate::source_text::{rust_files, string_literal, SourceFile};
 use std::collections::BTreeSet;
@@ -6,7 +7,7 @@
 const ON_CALL: &str = include_str!("../../docs/on-call.md");
 const LEASES: &str = include_str!("../../docs/leases-operations.md");
 
-/// Macros that log, and the level that the pages give for each.
+/// Logging macros, and the level that the pages give for each.
 const LEVELS: &[(&str, &str)] = &[
     ("info!(", "INFO"),
     ("warn!(", "WARN"),
@@ -14,11 +15,11 @@
     ("crit!(", "CRIT"),
 ];
 
-/// A level and a message.
+/// The level and the text of a message.
 type LogMessage = (String, String);
 
-/// The messages that a file logs.
-fn logged(file: &SourceFile) -> Vec<LogMessage> {
+/// Returns the messages that a file logs.
+fn logged_messages(file: &SourceFile) -> Vec<LogMessage> {
     let mut messages = Vec::new();
     for (macro_name, level) in LEVELS {
         for (start, _) in file.text.match_indices(macro_name) {
@@ -27,13 +28,16 @@
                 continue;
             }
             let call = &file.text[start + macro_name.len()..];
-            let (_logger, message) = call
-                .split_once(',')
-                .unwrap_or_else(|| panic!("{}: a logger, then a message", file.path));
+            let (_logger, message) = call.split_once(',').unwrap_or_else(|| {
+                panic!(
+                    "{}: expected a logger and a message in {macro_name}",
+                    file.path
+                )
+            });
             let message = message.trim_start();
             assert!(
                 message.starts_with('"'),
-                "{}: the message is a literal: {}",
+                "{}: expected a string literal as the message, got {}",
                 file.path,
                 message.lines().next().unwrap_or_default()
             );
@@ -43,8 +47,8 @@
     messages
 }
 
-/// The messages that the tables of a page list: rows whose first cell is a level.
-fn listed(page: &str) -> Vec<LogMessage> {
+/// Returns the messages that the tables of a page list, in rows whose first cell is a level.
+fn listed_messages(page: &str) -> Vec<LogMessage> {
     let mut messages = Vec::new();
     for row in page.lines().filter(|line| line.starts_with("| ")) {
         let cells: Vec<&str> = row.trim_matches('|').split('|').map(str::trim).collect();
@@ -60,9 +64,15 @@
 
 #[test]
 fn pages_list_every_message_that_the_code_logs_and_no_other() {
-    let logged: BTreeSet<LogMessage> = rust_files("src").iter().flat_map(logged).collect();
-    assert!(logged.len() > 40, "the source is not read: {logged:?}");
-    let listed: BTreeSet<LogMessage> = listed(ON_CALL).into_iter().chain(listed(LEASES)).collect();
+    let logged: BTreeSet<LogMessage> = rust_files("src").iter().flat_map(logged_messages).collect();
+    assert!(
+        logged.len() > 40,
+        "expected more than 40 messages in the source, found {logged:?}"
+    );
+    let listed: BTreeSet<LogMessage> = listed_messages(ON_CALL)
+        .into_iter()
+        .chain(listed_messages(LEASES))
+        .collect();
     let missing: Vec<_> = logged.difference(&listed).collect();
     let unknown: Vec<_> = listed.difference(&logged).collect();
     assert!(
--- a/tests/units/main.rs
+++ b/tests/units/main.rs
@@ -1,4 +1,5 @@
-//! Parts of the limiter that need neither sockets of their own nor a clock, one file by subject.
+//! Unit tests of parts of the limiter that open no sockets and read no clock, and checks of the
+//! source text and the documentation; one file per subject.
 
 mod admin_calls;
 mod bans;
--- a/tests/units/shutdown.rs
+++ b/tests/units/shutdown.rs
@@ -1,16 +1,24 @@
-//! Times of an orderly end.
+//! Tests of the times of a graceful shutdown.
 
 use mossrill::process::shutdown::{
     drain_time, ACCEPT_TIME, KILL_DELAY, MAX_COUNTED_DEADLINE, REPLY_WRITE_TIME,
 };
 use std::time::Duration;
+
 #[test]
-fn all_is_answered_before_the_limiter_is_killed_whatever_the_deadlines() {
+fn shutdown_ends_after_the_counted_deadline_and_before_the_kill() {
     for longest in [50, 400, 900, 2_000, 3_000, 5_000, 20_000].map(Duration::from_millis) {
-        let counted = longest.min(MAX_COUNTED_DEADLINE);
-        let ends = ACCEPT_TIME + drain_time(longest) + REPLY_WRITE_TIME;
-        assert!(ends < counted + KILL_DELAY, "{longest:?}: {ends:?}");
-        // And no sooner than what came just after the word to stop is owed its answer.
-        assert!(ends >= counted + REPLY_WRITE_TIME, "{longest:?}: {ends:?}");
+        let counted_deadline = longest.min(MAX_COUNTED_DEADLINE);
+        let end = ACCEPT_TIME + drain_time(longest) + REPLY_WRITE_TIME;
+        assert!(
+            end < counted_deadline + KILL_DELAY,
+            "longest deadline {longest:?}, end after {end:?}"
+        );
+        // Nor does it end before requests that arrived just after the request to stop have reached
+        // their deadlines, as far as these count.
+        assert!(
+            end >= counted_deadline + REPLY_WRITE_TIME,
+            "longest deadline {longest:?}, end after {end:?}"
+        );
     }
 }
