--- a/src/bin/mossrill-allocator.rs
+++ b/src/bin/mossrill-allocator.rs
@@ -1,4 +1,4 @@
-//! An allocator of quota leases: grants units of the accounts that it owns to the limiters.
+//! Command-line entry point of the allocator, which leases units of the accounts that it owns to limiters.
 
 #![forbid(unsafe_code)]
 
@@ -21,10 +21,10 @@
     config: PathBuf,
 }
 
-/// Why the allocator can't start.
+/// Reasons why the allocator cannot start.
 #[derive(Debug, Error)]
 enum StartError {
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -46,9 +46,9 @@
     }
 }
 
-/// Serves limiters until SIGTERM or SIGINT.
+/// Serves limiters until SIGTERM or SIGINT is received.
 fn run(arguments: &Arguments, log: &Logger) -> Result<(), StartError> {
-    // Signals are handled before anything listens, as one may arrive at any time.
+    // The handlers are installed before the server listens, so that a signal during start-up is not lost.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(StartError::Signals)?;
     let settings = config::allocator_from_file(&arguments.config)?;
     let server = Server::start(settings, log).map_err(StartError::Server)?;
--- a/src/bin/mossrill-simhost.rs
+++ b/src/bin/mossrill-simhost.rs
@@ -1,4 +1,5 @@
-//! Hosts decision engines on the simulator's wire: standard input to standard output.
+//! Runs decision engines for the simulator: reads event lines from standard input, writes action lines to standard
+//! output.
 
 #![forbid(unsafe_code)]
 
@@ -11,10 +12,10 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The line that ends a reply.
+/// Last line of the reply to a batch.
 const END_OF_REPLY: &str = "[\"next\"]\n";
 
-/// Why the program ends before its input does.
+/// Reasons why the program exits before the end of its input.
 #[derive(Debug, Error)]
 enum HostError {
     #[error("line {line}: {source}")]
@@ -27,6 +28,7 @@
     Write(#[from] io::Error),
 }
 
+/// A running instance: its engine, and the names of its classes and plans.
 struct Instance {
     engine: Engine,
     names: Names,
@@ -34,9 +36,13 @@
 
 #[derive(Default)]
 struct Host {
+    /// Running instances by number.
     instances: BTreeMap<u64, Instance>,
+    /// Time of the current batch, in microseconds.
     now: u64,
+    /// Lines of the reply to the current batch.
     reply: Vec<String>,
+    /// Buffer for the actions of one event, reused to avoid an allocation for each event.
     actions: Vec<Action>,
 }
 
@@ -49,8 +55,8 @@
 }
 
 impl Host {
-    /// Takes one line. Returns true when a batch is complete and its reply is due.
-    fn take(&mut self, text: &str) -> Result<bool, ParseError> {
+    /// Processes one line of input. Returns whether the line completes a batch, whose reply must then be written.
+    fn process_line(&mut self, text: &str) -> Result<bool, ParseError> {
         match simulator::parse(text, self)? {
             Line::Batch(now) => self.now = now,
             Line::End => return Ok(true),
@@ -79,7 +85,7 @@
         }
     }
 
-    /// Hands an event to an engine. A panic of the engine becomes a line of the reply.
+    /// Passes an event to the engine of an instance. A panic of the engine is reported as a line of the reply.
     fn handle(&mut self, number: u64, event: Event) {
         let Some(instance) = self.instances.get_mut(&number) else {
             return;
@@ -100,7 +106,7 @@
         self.reply.extend(lines);
     }
 
-    /// Writes the reply to a batch.
+    /// Writes the reply to a batch and flushes the output.
     fn write_reply(&mut self, out: &mut impl Write) -> io::Result<()> {
         for line in self.reply.drain(..) {
             writeln!(out, "{line}")?;
@@ -121,7 +127,7 @@
             continue;
         }
         let is_complete = host
-            .take(&text)
+            .process_line(&text)
             .map_err(|source| HostError::Parse { line, source })?;
         if is_complete {
             host.write_reply(&mut out)?;
@@ -131,6 +137,7 @@
 }
 
 fn main() -> ExitCode {
+    // Panics of engines are reported to the simulator and would otherwise also be printed to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/simulator/actions.rs
+++ b/src/simulator/actions.rs
@@ -1,11 +1,11 @@
-//! Lines to the simulator: actions of instances, and errors of their code.
+//! Encoder of the lines sent to the simulator: actions of instances, and failures of their code.
 
 use crate::decision::Action;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde_json::json;
 
-/// Writes one action of an instance as a line.
+/// Returns the line for an action of an instance.
 pub fn write(instance: u64, action: &Action) -> String {
     let line = match action {
         Action::Send {
@@ -29,7 +29,7 @@
     line.to_string()
 }
 
-/// Writes that the code of an instance has failed.
+/// Returns the line that reports a failure in the code of an instance.
 pub fn write_fault(instance: u64, text: &str) -> String {
     json!(["giveIn", instance, text]).to_string()
 }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,8 +1,9 @@
-//! The error of everything that reads the simulator's wire.
+//! Error of the parsers of simulator lines.
 
 use thiserror::Error;
 
-/// Why a line, or the settings in it, can't be read. Messages name the message and the index or key of the value.
+/// Reasons why a line, or the settings in it, can't be parsed. The texts give the name of the simulator message, and the index
+/// or key of the invalid value.
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// The line is not JSON.
@@ -11,10 +12,10 @@
     /// The line is JSON, but not a list.
     #[error("not a list")]
     NotAList,
-    /// The list does not begin with the name of a message.
+    /// The list does not begin with a message name.
     #[error("no message name")]
     NoMessageName,
-    /// No message has this name.
+    /// There is no message of this name.
     #[error("unknown message {0}")]
     UnknownMessage(String),
     /// A required value is missing.
@@ -24,22 +25,22 @@
         message: String,
         /// Index of the value in the list.
         index: usize,
-        /// The form that the value must have.
+        /// Description of a valid value.
         wanted: &'static str,
     },
-    /// A value has another form than the message requires.
+    /// A value does not have the form that the message requires.
     #[error("{message}: value {index} is {found}, wanted {wanted}")]
     WrongValue {
         /// Name of the message.
         message: String,
         /// Index of the value in the list.
         index: usize,
-        /// The value, as JSON.
+        /// The invalid value, as JSON.
         found: String,
-        /// The form that the value must have.
+        /// Description of a valid value.
         wanted: &'static str,
     },
-    /// An event is addressed to an instance that does not run.
+    /// An event names an instance that is not running.
     #[error("{message}: no instance {instance} runs")]
     UnknownInstance {
         /// Name of the message.
@@ -47,32 +48,32 @@
         /// Number of the instance.
         instance: u64,
     },
-    /// A request names a class or a plan that the settings lack.
+    /// A request names a class or plan that is not in the settings.
     #[error("{message}: unknown {kind} {name}")]
     UnknownName {
         /// Name of the message.
         message: String,
-        /// What the name should denote.
+        /// Whether the name is that of a class or of a plan.
         kind: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// A setting has another form than its key requires.
+    /// A setting does not have the form that its key requires.
     #[error("provision: {key} is {found}, wanted {wanted}")]
     WrongSetting {
-        /// Path of the key.
+        /// Path of the setting's key.
         key: String,
-        /// The value, as JSON.
+        /// The invalid value, as JSON.
         found: String,
-        /// The form that the value must have.
+        /// Description of a valid value.
         wanted: &'static str,
     },
-    /// A class has an idempotency that is not known.
+    /// A class has an unknown idempotency.
     #[error("provision: {key} is {found:?}")]
     UnknownIdempotency {
-        /// Path of the key.
+        /// Path of the setting's key.
         key: String,
-        /// The value.
+        /// The unknown value.
         found: String,
     },
 }
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -1,7 +1,7 @@
-//! Lines from the simulator: the batch they belong to, instances that start and stop, and events of instances.
+//! Parser of the lines from the simulator: batches, starts and stops of instances, and events of instances.
 
 use super::names::{Lookup, SETTINGS_INDEX};
-use super::reader::Row;
+use super::reader::Message;
 use super::settings::settings;
 use super::ParseError;
 use crate::decision::{
@@ -9,194 +9,194 @@
 };
 use serde_json::Value;
 
-/// Index of the instance in every line that names one.
-const INSTANCE: usize = 1;
+/// Index of the instance number in every line that names an instance.
+const INSTANCE_INDEX: usize = 1;
 
-/// A line of the simulator.
+/// A line from the simulator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
-    /// A batch begins, at this time.
+    /// Start of a batch, with its time in microseconds.
     Batch(Micros),
-    /// The batch is complete.
+    /// End of the batch, after which a reply is expected.
     End,
-    /// An instance starts.
+    /// Start of an instance.
     Start {
         /// Number of the instance.
         instance: u64,
-        /// Seed of its random numbers.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
-    /// An instance has been killed.
+    /// An instance was killed, and is removed.
     Stop {
         /// Number of the instance.
         instance: u64,
     },
-    /// An instance has an event.
+    /// Event of an instance.
     Event {
         /// Number of the instance.
         instance: u64,
-        /// The event.
+        /// The event that the instance must process.
         event: Event,
     },
 }
 
-/// Parses one line.
+/// Parses one line. `lookup` returns the names of classes and plans of running instances.
 ///
 /// # Errors
 ///
-/// Names the message and the index of the value that is missing or has another form.
+/// Returns an error that names the message and the index of the value that is missing or invalid.
 pub fn parse(line: &str, lookup: &impl Lookup) -> Result<Line, ParseError> {
     let value: Value = serde_json::from_str(line).map_err(ParseError::NotJson)?;
     let values = value.as_array().ok_or(ParseError::NotAList)?;
-    let message = values
+    let name = values
         .first()
         .and_then(Value::as_str)
         .ok_or(ParseError::NoMessageName)?;
-    let row = Row { message, values };
-    match message {
-        "batch" => Ok(Line::Batch(row.integer(1)?)),
+    let message = Message { name, values };
+    match name {
+        "batch" => Ok(Line::Batch(message.integer(1)?)),
         "end" => Ok(Line::End),
-        "provision" => parse_start(&row),
+        "provision" => parse_start(&message),
         "destroy" => Ok(Line::Stop {
-            instance: row.integer(INSTANCE)?,
+            instance: message.integer(INSTANCE_INDEX)?,
         }),
-        _ => parse_event_line(&row, lookup),
+        _ => parse_event_line(&message, lookup),
     }
 }
 
-fn parse_start(row: &Row<'_>) -> Result<Line, ParseError> {
-    let value = row
+fn parse_start(message: &Message<'_>) -> Result<Line, ParseError> {
+    let value = message
         .get(SETTINGS_INDEX)
         .filter(|value| value.is_object())
-        .ok_or_else(|| row.wrong(SETTINGS_INDEX, "settings"))?;
+        .ok_or_else(|| message.invalid_value(SETTINGS_INDEX, "settings"))?;
     Ok(Line::Start {
-        instance: row.integer(INSTANCE)?,
-        seed: row.integer(2)?,
+        instance: message.integer(INSTANCE_INDEX)?,
+        seed: message.integer(2)?,
         settings: Box::new(settings(value)?),
     })
 }
 
-fn parse_event_line(row: &Row<'_>, lookup: &impl Lookup) -> Result<Line, ParseError> {
-    let event = parse_event(row, lookup)?;
-    let instance = row.integer(INSTANCE)?;
+fn parse_event_line(message: &Message<'_>, lookup: &impl Lookup) -> Result<Line, ParseError> {
+    let event = parse_event(message, lookup)?;
+    let instance = message.integer(INSTANCE_INDEX)?;
     if lookup.names(instance).is_none() {
-        return Err(unknown_instance(row, instance));
+        return Err(unknown_instance(message, instance));
     }
     Ok(Line::Event { instance, event })
 }
 
-fn unknown_instance(row: &Row<'_>, instance: u64) -> ParseError {
+fn unknown_instance(message: &Message<'_>, instance: u64) -> ParseError {
     ParseError::UnknownInstance {
-        message: row.message.to_owned(),
+        message: message.name.to_owned(),
         instance,
     }
 }
 
-fn parse_event(row: &Row<'_>, lookup: &impl Lookup) -> Result<Event, ParseError> {
-    Ok(match row.message {
-        "fleet" => parse_endpoint_update(row)?,
-        "workItem" => Event::Request(parse_request(row, lookup)?),
+fn parse_event(message: &Message<'_>, lookup: &impl Lookup) -> Result<Event, ParseError> {
+    Ok(match message.name {
+        "fleet" => parse_endpoint_update(message)?,
+        "workItem" => Event::Request(parse_request(message, lookup)?),
         "opened" => Event::ResponseStarted {
-            id: row.text(2)?.into(),
+            id: message.text(2)?.into(),
         },
-        "resolved" => Event::AttemptEnded(parse_attempt_result(row)?),
+        "resolved" => Event::AttemptEnded(parse_attempt_result(message)?),
         "withdrawn" => Event::ClientDisconnected {
-            id: row.text(2)?.into(),
+            id: message.text(2)?.into(),
         },
         "deadlineHit" => Event::TimerExpired {
-            token: row.integer(2)?,
+            token: message.integer(2)?,
         },
         "checkResult" => Event::HealthChecked {
-            latency: row.integer_or(2, 0)?,
-            outcome: row.outcome(3)?,
-            server: row.text(4)?.into(),
-            load: row.load_report(5)?,
+            latency: message.integer_or(2, 0)?,
+            outcome: message.outcome(3)?,
+            server: message.text(4)?.into(),
+            load: message.load_report(5)?,
         },
         "mail" => Event::PeerMessage {
-            from: row.integer(2)? as u32,
-            body: row.base64(3)?,
+            from: message.integer(2)? as u32,
+            body: message.base64(3)?,
         },
         "reckoned" => Event::CounterReply {
-            total: row.number_or(2, 0.0)?,
-            outcome: row.outcome(3)?,
-            key: row.integer(5)?,
+            total: message.number_or(2, 0.0)?,
+            outcome: message.outcome(3)?,
+            key: message.integer(5)?,
         },
         other => return Err(ParseError::UnknownMessage(other.to_owned())),
     })
 }
 
-fn parse_attempt_result(row: &Row<'_>) -> Result<AttemptResult, ParseError> {
+fn parse_attempt_result(message: &Message<'_>) -> Result<AttemptResult, ParseError> {
     Ok(AttemptResult {
-        id: row.text(2)?.into(),
-        settled_units: row.optional_number(3)?.filter(|units| *units > 0.0),
-        latency: row.integer_or(5, 0)?,
-        server: row.text(6)?.into(),
-        outcome: row.outcome(7)?,
-        attempt: row.integer(8)? as usize,
-        is_final: row.flag(9)?,
-        load: row.load_report(10)?,
+        id: message.text(2)?.into(),
+        settled_units: message.optional_number(3)?.filter(|units| *units > 0.0),
+        latency: message.integer_or(5, 0)?,
+        server: message.text(6)?.into(),
+        outcome: message.outcome(7)?,
+        attempt: message.integer(8)? as usize,
+        is_final: message.flag(9)?,
+        load: message.load_report(10)?,
     })
 }
 
-fn parse_request(row: &Row<'_>, lookup: &impl Lookup) -> Result<Request, ParseError> {
-    let instance = row.integer(INSTANCE)?;
+fn parse_request(message: &Message<'_>, lookup: &impl Lookup) -> Result<Request, ParseError> {
+    let instance = message.integer(INSTANCE_INDEX)?;
     let names = lookup
         .names(instance)
-        .ok_or_else(|| unknown_instance(row, instance))?;
+        .ok_or_else(|| unknown_instance(message, instance))?;
     let unknown_name = |kind: &'static str, name: &str| ParseError::UnknownName {
-        message: row.message.to_owned(),
+        message: message.name.to_owned(),
         kind,
         name: name.to_owned(),
     };
-    let id = row.text(2)?.into();
-    let class = row.text(3)?;
+    let id = message.text(2)?.into();
+    let class = message.text(3)?;
     let class = names
         .class(class)
         .ok_or_else(|| unknown_name("class", class))?;
-    let plan = row.text(4)?;
+    let plan = message.text(4)?;
     let plan = names.plan(plan).ok_or_else(|| unknown_name("plan", plan))?;
     Ok(Request {
         id,
         class,
         plan,
-        account: row.text(5)?.into(),
-        timeout: row.integer(6)?,
-        units: row.number_or(7, 1.0)?,
-        limiter_count: row.integer_or(8, 1)? as u32,
-        first_limiter: row.integer_or(9, 0)? as u32,
+        account: message.text(5)?.into(),
+        timeout: message.integer(6)?,
+        units: message.number_or(7, 1.0)?,
+        limiter_count: message.integer_or(8, 1)? as u32,
+        first_limiter: message.integer_or(9, 0)? as u32,
     })
 }
 
-fn parse_endpoint_update(row: &Row<'_>) -> Result<Event, ParseError> {
-    let scope = match row.text(2)? {
+fn parse_endpoint_update(message: &Message<'_>) -> Result<Event, ParseError> {
+    let scope = match message.text(2)? {
         "Partial" => UpdateScope::Delta,
         "Complete" => UpdateScope::Snapshot,
         "Persisted" => UpdateScope::Cached,
         "Error" => UpdateScope::Failed,
-        _ => return Err(row.wrong(2, "a scope")),
+        _ => return Err(message.invalid_value(2, "a scope")),
     };
     let mut endpoints = Vec::new();
-    for value in row.list(4)? {
+    for value in message.list(4)? {
         let values = value
             .as_array()
-            .ok_or_else(|| row.wrong(4, "a list of entries"))?;
+            .ok_or_else(|| message.invalid_value(4, "a list of entries"))?;
         endpoints.push(parse_endpoint(values)?);
     }
     Ok(Event::EndpointUpdate { scope, endpoints })
 }
 
 fn parse_endpoint(values: &[Value]) -> Result<Endpoint, ParseError> {
-    let entry = Row {
-        message: "fleet entry",
+    let entry = Message {
+        name: "fleet entry",
         values,
     };
     let readiness = match entry.text(4)? {
         "Ready" => Readiness::Ready,
         "Terminating" => Readiness::Draining,
         "Gone" => Readiness::Removed,
-        _ => return Err(entry.wrong(4, "a readiness")),
+        _ => return Err(entry.invalid_value(4, "a readiness")),
     };
     Ok(Endpoint {
         id: entry.text(0)?.into(),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! Codec of the simulator's wire: JSON lines in, JSON lines out. The names of the wire occur here alone.
+//! Codec for the protocol of the simulator: JSON lines in both directions. Its wire names are used in this module only.
 
 mod actions;
 mod error;
--- a/src/simulator/names.rs
+++ b/src/simulator/names.rs
@@ -1,31 +1,31 @@
-//! Names of classes and plans: the wire has names where the decision module has indices.
+//! Names of classes and plans, which the simulator uses where the decision module uses indices.
 
 use serde_json::Value;
 
 /// Index of the settings in the line that starts an instance.
 pub(super) const SETTINGS_INDEX: usize = 3;
 
-/// Names of the classes and plans of an instance.
+/// Names of the classes and plans of an instance, in the order of their indices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     classes: Vec<String>,
     plans: Vec<String>,
 }
 
-/// Looks up the names of an instance while its events are parsed.
+/// Source of the names of classes and plans that are needed to parse the events of an instance.
 pub trait Lookup {
-    /// The names of this instance, if it runs.
+    /// Returns the names of an instance, or `None` if it is not running.
     fn names(&self, instance: u64) -> Option<&Names>;
 }
 
 impl Names {
-    /// Reads the names in the line that starts an instance. A line that can't be parsed has none.
+    /// Reads the names in the line that starts an instance. Returns no names if the line can't be parsed.
     pub fn from_line(line: &str) -> Names {
         let value: Value = serde_json::from_str(line).unwrap_or_default();
         Names::from_settings(&value[SETTINGS_INDEX])
     }
 
-    /// Reads the names in the settings of an instance. An entry without a name has an empty one.
+    /// Reads the names in the settings of an instance. The name of an entry without one is empty.
     pub fn from_settings(settings: &Value) -> Names {
         Names {
             classes: read_names(&settings["classes"]),
@@ -33,17 +33,17 @@
         }
     }
 
-    /// The names of the classes, in the order of their indices.
+    /// Returns the names of the classes, in the order of their indices.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// The index of a class.
+    /// Returns the index of the class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
-    /// The index of a plan.
+    /// Returns the index of the plan with this name.
     pub fn plan(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|plan| plan == name)
     }
--- a/src/simulator/reader.rs
+++ b/src/simulator/reader.rs
@@ -1,4 +1,4 @@
-//! Typed readers of the values of a line and of the settings in it.
+//! Typed access to the values of a line and to the settings in it.
 
 use super::ParseError;
 use crate::decision::Outcome;
@@ -6,22 +6,22 @@
 use base64::Engine;
 use serde_json::Value;
 
-/// The values of one message, addressed by index. Null counts as absent.
-pub(super) struct Row<'a> {
-    /// Name of the message, for errors.
-    pub(super) message: &'a str,
-    /// The values, of which the first may be the name.
+/// A message from the simulator, or an entry in one, whose values are accessed by index. A null value is treated as absent.
+pub(super) struct Message<'a> {
+    /// Name of the message or entry, for errors.
+    pub(super) name: &'a str,
+    /// The values. The first value of a message is its name; entries have no name among their values.
     pub(super) values: &'a [Value],
 }
 
-impl<'a> Row<'a> {
+impl<'a> Message<'a> {
     pub(super) fn get(&self, index: usize) -> Option<&'a Value> {
         self.values.get(index).filter(|value| !value.is_null())
     }
 
-    /// The error for a value that is missing or has another form than `wanted`.
-    pub(super) fn wrong(&self, index: usize, wanted: &'static str) -> ParseError {
-        let message = self.message.to_owned();
+    /// Returns the error for a value that is missing or not of the form `wanted`.
+    pub(super) fn invalid_value(&self, index: usize, wanted: &'static str) -> ParseError {
+        let message = self.name.to_owned();
         match self.get(index) {
             None => ParseError::MissingValue {
                 message,
@@ -40,7 +40,7 @@
     pub(super) fn integer(&self, index: usize) -> Result<u64, ParseError> {
         self.get(index)
             .and_then(Value::as_u64)
-            .ok_or_else(|| self.wrong(index, "a whole number"))
+            .ok_or_else(|| self.invalid_value(index, "a whole number"))
     }
 
     pub(super) fn integer_or(&self, index: usize, default: u64) -> Result<u64, ParseError> {
@@ -50,7 +50,7 @@
     pub(super) fn number(&self, index: usize) -> Result<f64, ParseError> {
         self.get(index)
             .and_then(Value::as_f64)
-            .ok_or_else(|| self.wrong(index, "a number"))
+            .ok_or_else(|| self.invalid_value(index, "a number"))
     }
 
     pub(super) fn number_or(&self, index: usize, default: f64) -> Result<f64, ParseError> {
@@ -64,20 +64,20 @@
     pub(super) fn text(&self, index: usize) -> Result<&'a str, ParseError> {
         self.get(index)
             .and_then(Value::as_str)
-            .ok_or_else(|| self.wrong(index, "text"))
+            .ok_or_else(|| self.invalid_value(index, "text"))
     }
 
-    /// A flag, which is false where it is absent.
+    /// Reads a flag. An absent flag is false.
     pub(super) fn flag(&self, index: usize) -> Result<bool, ParseError> {
         let Some(value) = self.get(index) else {
             return Ok(false);
         };
         value
             .as_bool()
-            .ok_or_else(|| self.wrong(index, "true or false"))
+            .ok_or_else(|| self.invalid_value(index, "true or false"))
     }
 
-    /// A list, which is empty where it is absent.
+    /// Reads a list. An absent list is empty.
     pub(super) fn list(&self, index: usize) -> Result<&'a [Value], ParseError> {
         let Some(value) = self.get(index) else {
             return Ok(&[]);
@@ -85,13 +85,13 @@
         value
             .as_array()
             .map(Vec::as_slice)
-            .ok_or_else(|| self.wrong(index, "a list"))
+            .ok_or_else(|| self.invalid_value(index, "a list"))
     }
 
     pub(super) fn base64(&self, index: usize) -> Result<Vec<u8>, ParseError> {
         STANDARD
             .decode(self.text(index)?)
-            .map_err(|_| self.wrong(index, "base64"))
+            .map_err(|_| self.invalid_value(index, "base64"))
     }
 
     pub(super) fn load_report(&self, index: usize) -> Result<Vec<f64>, ParseError> {
@@ -100,7 +100,7 @@
             .map(|value| {
                 value
                     .as_f64()
-                    .ok_or_else(|| self.wrong(index, "a load report"))
+                    .ok_or_else(|| self.invalid_value(index, "a load report"))
             })
             .collect()
     }
@@ -115,14 +115,15 @@
             305 => Ok(Outcome::Reset),
             306 => Ok(Outcome::Cancelled),
             307 => Ok(Outcome::Superseded),
-            _ => Err(self.wrong(index, "an outcome code")),
+            _ => Err(self.invalid_value(index, "an outcome code")),
         }
     }
 }
 
-/// A section of the settings, addressed by key. Every key has a default, and null counts as absent.
+/// A section of the settings, whose values are accessed by key. Every key has a default, and null is treated as absent.
 pub(super) struct Section<'a> {
     value: &'a Value,
+    /// Path of the section in the settings, for errors.
     path: String,
 }
 
@@ -131,16 +132,18 @@
         Self { value, path }
     }
 
-    /// The section at a key of this one.
+    /// Returns the subsection at a key.
     pub(super) fn section(&self, key: &str) -> Section<'a> {
         Section::new(&self.value[key], self.path_of(key))
     }
 
-    /// The path of a key, for errors.
+    /// Returns the path of a key, for errors.
     pub(super) fn path_of(&self, key: &str) -> String {
         format!("{}.{key}", self.path)
     }
 
+    /// Reads the value of a key with `read`, which returns `None` if the value is not of the form `wanted`. Returns `default`
+    /// if the key is absent.
     pub(super) fn optional<T>(
         &self,
         key: &str,
@@ -174,7 +177,7 @@
         self.optional(key, "", "text", Value::as_str)
     }
 
-    /// The entries of a list as sections, whose paths are that of the list.
+    /// Returns the entries of a list as sections. Each has the path of the list.
     pub(super) fn entries(&self, key: &str) -> Result<Vec<Section<'a>>, ParseError> {
         let entries = self.optional(key, &[][..], "a list", |value| {
             value.as_array().map(Vec::as_slice)
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance as the wire has them.
+//! Parser of the settings of an instance in the form that the simulator sends.
 
 use super::reader::Section;
 use super::ParseError;
@@ -7,16 +7,16 @@
 };
 use serde_json::Value;
 
-/// Path of the settings in errors.
-const ROOT: &str = "facts";
+/// Path of the settings, as errors name it.
+const ROOT_PATH: &str = "facts";
 
-/// Reads the settings of an instance. Unknown keys are ignored; absent ones are 0, false or empty.
+/// Reads the settings of an instance. Unknown keys are ignored. The value of an absent key is 0, false or empty.
 ///
 /// # Errors
 ///
-/// Names the key whose value has another form.
+/// Returns an error that names the key whose value is invalid.
 pub fn settings(value: &Value) -> Result<Settings, ParseError> {
-    let root = Section::new(value, ROOT.to_owned());
+    let root = Section::new(value, ROOT_PATH.to_owned());
     let limits = root.section("limits");
     let load = root.section("loadInfo");
     let specifics = root.section("specifics");
@@ -63,7 +63,7 @@
     })
 }
 
-/// The longest Retry-After in microseconds; 0 where clients are sent none.
+/// Reads the maximum Retry-After in microseconds; 0 if no Retry-After is sent to clients.
 fn read_max_retry_after(limits: &Section<'_>) -> Result<Micros, ParseError> {
     if limits.flag("retryAfter")? {
         limits.integer("maxRetryAfter")
