--- a/src/bin/mossrill-allocator.rs
+++ b/src/bin/mossrill-allocator.rs
@@ -1,4 +1,5 @@
-//! Command-line entry point of the allocator, which leases units of the accounts that it owns to limiters.
+//! Command-line entry point of the allocator, which leases units of the accounts that it owns to
+//! limiters.
 
 #![forbid(unsafe_code)]
 
@@ -48,7 +49,8 @@
 
 /// Serves limiters until SIGTERM or SIGINT is received.
 fn run(arguments: &Arguments, log: &Logger) -> Result<(), StartError> {
-    // The handlers are installed before the server listens, so that a signal during start-up is not lost.
+    // The handlers are installed before the server listens, so that a signal during start-up is not
+    // lost.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(StartError::Signals)?;
     let settings = config::allocator_from_file(&arguments.config)?;
     let server = Server::start(settings, log).map_err(StartError::Server)?;
--- a/src/bin/mossrill-simhost.rs
+++ b/src/bin/mossrill-simhost.rs
@@ -1,5 +1,5 @@
-//! Runs decision engines for the simulator: reads event lines from standard input, writes action lines to standard
-//! output.
+//! Runs decision engines for the simulator: reads event lines from standard input, writes action
+//! lines to standard output.
 
 #![forbid(unsafe_code)]
 
@@ -55,7 +55,8 @@
 }
 
 impl Host {
-    /// Processes one line of input. Returns whether the line completes a batch, whose reply must then be written.
+    /// Processes one line of input. Returns whether the line completes a batch, whose reply must
+    /// then be written.
     fn process_line(&mut self, text: &str) -> Result<bool, ParseError> {
         match simulator::parse(text, self)? {
             Line::Batch(now) => self.now = now,
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Passes an event to the engine of an instance. A panic of the engine is reported as a line of the reply.
+    /// Passes an event to the engine of an instance. A panic of the engine is reported as a line of
+    /// the reply.
     fn handle(&mut self, number: u64, event: Event) {
         let Some(instance) = self.instances.get_mut(&number) else {
             return;
@@ -137,7 +139,8 @@
 }
 
 fn main() -> ExitCode {
-    // Panics of engines are reported to the simulator and would otherwise also be printed to standard error.
+    // Panics of engines are reported to the simulator and would otherwise also be printed to
+    // standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/openapi/client_protocol.rs
+++ b/src/openapi/client_protocol.rs
@@ -102,8 +102,8 @@
 }
 
 impl HttpClientProtocol {
-    /// Creates the protocol for the operations of a description. `account_header` is the name of the header that holds the
-    /// account of a request.
+    /// Creates the protocol for the operations of a description. `account_header` is the name of
+    /// the header that holds the account of a request.
     pub fn new(
         description: Description,
         account_header: String,
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Submits a request to the core, or replies with a problem if its operation or account is invalid.
+    /// Submits a request to the core, or replies with a problem if its operation or account is
+    /// invalid.
     fn process(&self, request: ReceivedRequest, session: &Session<Self>) -> NextRequest {
         let context = ReplyContext {
             keep_alive: request.head.keep_alive,
@@ -190,7 +191,8 @@
             }
         }
         session.note_partial_command();
-        // The head was consumed, so the connection can't be handed over to another process until the body is read.
+        // The head was consumed, so the connection can't be handed over to another process until
+        // the body is read.
         reader.source().set_uninterruptible(true);
         let body = reader.body(head.body, MAX_BODY_BYTES);
         reader.source().set_uninterruptible(false);
@@ -206,7 +208,8 @@
         }
     }
 
-    /// Finds the operation and the account of a request, and checks that a required idempotency key is present.
+    /// Finds the operation and the account of a request, and checks that a required idempotency key
+    /// is present.
     fn identify(&self, head: &RequestHead) -> Result<RequestTarget<'_>, Problem> {
         let operation = self.find_operation(head)?;
         let (account_name, account) = self.find_account(head)?;
@@ -250,7 +253,8 @@
     }
 }
 
-/// Replies with a problem to a request that was read completely, after which the connection remains usable.
+/// Replies with a problem to a request that was read completely, after which the connection remains
+/// usable.
 fn reply_with_problem(
     problem: &Problem,
     context: ReplyContext,
@@ -272,7 +276,8 @@
     }
 }
 
-/// Rejects a request whose body must not be read: it lacks the `Host` header, or its body is too long.
+/// Rejects a request whose body must not be read: it lacks the `Host` header, or its body is too
+/// long.
 fn check_head(head: &RequestHead) -> Result<(), Problem> {
     if head.is_http_1_1 && header(&head.headers, "host").is_none() {
         return Err(Problem::new(400, "no Host"));
--- a/src/openapi/description/class.rs
+++ b/src/openapi/description/class.rs
@@ -45,8 +45,8 @@
         .to_owned()
 }
 
-/// Reads a class for operations with the given effect. Appends the problems of the class to `problems`; returns `None` if the
-/// class can't be built.
+/// Reads a class for operations with the given effect. Appends the problems of the class to
+/// `problems`; returns `None` if the class can't be built.
 pub(super) fn read_class(
     class: &Value,
     effect: Effect,
--- a/src/openapi/description/loader.rs
+++ b/src/openapi/description/loader.rs
@@ -37,8 +37,8 @@
     errors: Vec<DescriptionError>,
     /// The result so far: classes, and operations without an effect. The paths are added at the end.
     description: Description,
-    /// Indices of the classes read so far, by name and effect. A class of the description whose operations have different
-    /// effects becomes one class of the decision module for each effect.
+    /// Indices of the classes read so far, by name and effect. A class of the description whose
+    /// operations have different effects becomes one class of the decision module for each effect.
     classes: HashMap<(&'a str, Effect), usize>,
     /// JSON pointers to the operations read so far, by operationId.
     pointers_by_id: HashMap<&'a str, String>,
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Reports an error if an earlier operation has the same operationId, or the same path and method.
+    /// Reports an error if an earlier operation has the same operationId, or the same path and
+    /// method.
     fn check_unique(&mut self, source: OperationSource<'a, '_>, segments: &[Segment]) {
         let pointer = source.pointer;
         if let Some(id) = source.value["operationId"].as_str() {
@@ -179,7 +180,8 @@
         })
     }
 
-    /// Reads the effect of an operation, or else that of its class. An operation without either is treated as not idempotent.
+    /// Reads the effect of an operation, or else that of its class. An operation without either is
+    /// treated as not idempotent.
     fn read_effect(
         &mut self,
         source: OperationSource<'a, '_>,
@@ -204,8 +206,8 @@
         effect
     }
 
-    /// Returns the index of the class for operations with the given effect. The class is read when it is first used with this
-    /// effect.
+    /// Returns the index of the class for operations with the given effect. The class is read when
+    /// it is first used with this effect.
     fn class_index(
         &mut self,
         name: &'a str,
@@ -259,7 +261,8 @@
         statuses
     }
 
-    /// Follows references from `value`. References without a target were reported at the start of loading.
+    /// Follows references from `value`. References without a target were reported at the start of
+    /// loading.
     fn resolve(&mut self, value: &'a Value, pointer: &str) -> Option<&'a Value> {
         match resolve(self.root, value) {
             Resolved::Value(value) => Some(value),
--- a/src/openapi/description/mod.rs
+++ b/src/openapi/description/mod.rs
@@ -1,8 +1,9 @@
 //! OpenAPI 3 descriptions as the source of routes, classes and units.
 //!
-//! Properties for which OpenAPI has no keywords are given in extensions, which `docs/openapi.md` describes. A description
-//! that does not state the units of an operation, names an unknown effect or defines an operation twice is rejected as a
-//! whole: if the limiter guessed, it would charge accounts wrongly or retry requests that are not idempotent.
+//! Properties for which OpenAPI has no keywords are given in extensions, which `docs/openapi.md`
+//! describes. A description that does not state the units of an operation, names an unknown effect
+//! or defines an operation twice is rejected as a whole: if the limiter guessed, it would charge
+//! accounts wrongly or retry requests that are not idempotent.
 
 mod class;
 mod error;
@@ -87,7 +88,8 @@
     pub classes: Vec<RequestClass>,
     /// Names of the classes for operators, in the order of `classes`.
     pub class_names: Vec<String>,
-    /// Names and JSON pointers of the operations that do not state their effect, which are treated as not idempotent.
+    /// Names and JSON pointers of the operations that do not state their effect, which are treated
+    /// as not idempotent.
     pub without_effect: Vec<String>,
     /// Paths in the order in which they are matched: the more specific of two paths comes first.
     paths: Vec<Path>,
@@ -111,8 +113,8 @@
                 .all(|(segment, text)| segment.matches(text))
     }
 
-    /// Finds the operation for a method. HEAD is mapped to GET if the path has no HEAD of its own, as descriptions seldom
-    /// list both and HEAD is GET without the body of the response.
+    /// Finds the operation for a method. HEAD is mapped to GET if the path has no HEAD of its own,
+    /// as descriptions seldom list both and HEAD is GET without the body of the response.
     fn operation(&self, method: &str) -> Option<&Operation> {
         self.operations.get(method).or_else(|| match method {
             "HEAD" => self.operations.get("GET"),
--- a/src/openapi/description/path.rs
+++ b/src/openapi/description/path.rs
@@ -5,7 +5,8 @@
 pub(super) enum Segment {
     /// Matches exactly this text.
     Literal(String),
-    /// Matches a parameter of at least one character between a prefix and a suffix, both of which are usually empty.
+    /// Matches a parameter of at least one character between a prefix and a suffix, both of which
+    /// are usually empty.
     Parameter {
         /// The text before the parameter.
         prefix: String,
@@ -15,8 +16,8 @@
 }
 
 impl Segment {
-    /// Parses the template `path`, which is prefixed with `base`. Returns `None` if `path` does not begin with `/`, or if a
-    /// segment has more than one parameter.
+    /// Parses the template `path`, which is prefixed with `base`. Returns `None` if `path` does not
+    /// begin with `/`, or if a segment has more than one parameter.
     pub(super) fn parse_path(base: &str, path: &str) -> Option<Vec<Self>> {
         if !path.starts_with('/') {
             return None;
@@ -44,8 +45,9 @@
         }
     }
 
-    /// Returns the rank of the segment in matching, which is lower for a more specific segment: 0 for a literal, highest for
-    /// a parameter without prefix and suffix. Templates are matched in the order of their ranks, compared from the left.
+    /// Returns the rank of the segment in matching, which is lower for a more specific segment: 0
+    /// for a literal, highest for a parameter without prefix and suffix. Templates are matched in
+    /// the order of their ranks, compared from the left.
     pub(super) fn match_rank(&self) -> usize {
         match self {
             Self::Literal(_) => 0,
--- a/src/openapi/description/references.rs
+++ b/src/openapi/description/references.rs
@@ -37,8 +37,9 @@
     root.pointer(reference.strip_prefix('#')?)
 }
 
-/// Finds the references that have no target in the description. Returns them with JSON pointers to their locations.
-/// References to other documents are included, as the limiter does not fetch documents.
+/// Finds the references that have no target in the description. Returns them with JSON pointers to
+/// their locations. References to other documents are included, as the limiter does not fetch
+/// documents.
 pub(super) fn unresolved(root: &Value) -> Vec<(String, Problem)> {
     let mut found = Vec::new();
     search(root, root, "", &mut found);
--- a/src/openapi/description/strict_json.rs
+++ b/src/openapi/description/strict_json.rs
@@ -1,4 +1,5 @@
-//! JSON parser that rejects duplicate keys, as OpenAPI requires. `serde_json` would keep the last value of a key.
+//! JSON parser that rejects duplicate keys, as OpenAPI requires. `serde_json` would keep the last
+//! value of a key.
 
 use super::error::{DescriptionError, DescriptionErrors};
 use super::references::escape;
@@ -39,7 +40,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error for text that is not JSON, and for each duplicate key with the lines of both values.
+/// Returns an error for text that is not JSON, and for each duplicate key with the lines of both
+/// values.
 pub(super) fn parse(text: &str) -> Result<Value, DescriptionErrors> {
     let value = serde_json::from_str(text)
         .map_err(|error| DescriptionErrors::new(vec![DescriptionError::NotJson(error)]))?;
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Returns the line of a value. Called only for errors, as it counts from the start of the text: for all values of a
-    /// description, the time would grow with the square of its length.
+    /// Returns the line of a value. Called only for errors, as it counts from the start of the
+    /// text: for all values of a description, the time would grow with the square of its length.
     fn line(&self, value: &RawValue) -> usize {
         let offset = value.get().as_ptr() as usize - self.text.as_ptr() as usize;
         let newlines = self.text.as_bytes()[..offset]
--- a/src/openapi/forwarded_headers.rs
+++ b/src/openapi/forwarded_headers.rs
@@ -3,8 +3,8 @@
 use crate::protocol::http::Headers;
 use std::io::{self, Write};
 
-/// Names of header lines that are not forwarded: they apply to a single connection (RFC 9110, 7.6.1), or the limiter writes
-/// its own.
+/// Names of header lines that are not forwarded: they apply to a single connection (RFC 9110,
+/// 7.6.1), or the limiter writes its own.
 const NOT_FORWARDED: [&str; 10] = [
     "connection",
     "content-length",
@@ -18,8 +18,8 @@
     "upgrade",
 ];
 
-/// Appends all header lines that are forwarded. Left out are those in [`NOT_FORWARDED`], those that the `Connection` header
-/// names, and those that `excluded` names.
+/// Appends all header lines that are forwarded. Left out are those in [`NOT_FORWARDED`], those that
+/// the `Connection` header names, and those that `excluded` names.
 ///
 /// # Errors
 ///
@@ -48,7 +48,8 @@
     Ok(())
 }
 
-/// Returns the names of the header lines that the `Connection` header declares to apply to a single connection.
+/// Returns the names of the header lines that the `Connection` header declares to apply to a single
+/// connection.
 fn connection_options(headers: &Headers) -> Vec<&[u8]> {
     headers
         .iter()
--- a/src/openapi/mod.rs
+++ b/src/openapi/mod.rs
@@ -1,4 +1,5 @@
-//! OpenAPI front of the limiter: HTTP, with an OpenAPI description as the source of routes, classes and units.
+//! OpenAPI front of the limiter: HTTP, with an OpenAPI description as the source of routes, classes
+//! and units.
 //!
 //! It uses the same core, decision module and quotas as the platform front.
 
@@ -20,8 +21,9 @@
 use std::time::Duration;
 use upstream_protocol::HttpUpstreamProtocol;
 
-/// Starts all of a limiter with an OpenAPI front except its core. Returns the limiter, and a function that applies a new
-/// configuration: its upstream servers and the address of its store take effect, other changes need a restart.
+/// Starts all of a limiter with an OpenAPI front except its core. Returns the limiter, and a
+/// function that applies a new configuration: its upstream servers and the address of its store
+/// take effect, other changes need a restart.
 ///
 /// # Errors
 ///
@@ -77,8 +79,8 @@
     Ok((limiter, Box::new(reload)))
 }
 
-/// Moves the counter client to the address in a new configuration. Returns whether the new store is in effect: a change of
-/// its kind, and any change where units are leased, needs a restart.
+/// Moves the counter client to the address in a new configuration. Returns whether the new store is
+/// in effect: a change of its kind, and any change where units are leased, needs a restart.
 fn apply_store(current: StoreConfig, new: StoreConfig, counter: Option<&CounterClient>) -> bool {
     let address = match (current, new) {
         (StoreConfig::None, StoreConfig::None) => return true,
--- a/src/openapi/reply.rs
+++ b/src/openapi/reply.rs
@@ -1,4 +1,5 @@
-//! Replies to HTTP clients: responses of upstream servers, and problems that the limiter reports itself.
+//! Replies to HTTP clients: responses of upstream servers, and problems that the limiter reports
+//! itself.
 
 use super::forwarded_headers::write_forwarded_headers;
 use super::upstream_protocol::{HttpBody, HttpResponse};
@@ -11,14 +12,16 @@
 pub struct ReplyContext {
     /// Whether the connection remains open for further requests.
     pub(super) keep_alive: bool,
-    /// Whether the request has the version HTTP/1.1, in which connections persist unless a header states otherwise.
+    /// Whether the request has the version HTTP/1.1, in which connections persist unless a header
+    /// states otherwise.
     pub(super) is_http_1_1: bool,
     /// Whether the request is HEAD, whose reply has no body.
     pub(super) is_head: bool,
 }
 
 impl ReplyContext {
-    /// Context of the last reply on a connection, which belongs to no request or to one that can't be read.
+    /// Context of the last reply on a connection, which belongs to no request or to one that can't
+    /// be read.
     pub(super) const CLOSING: Self = Self {
         keep_alive: false,
         is_http_1_1: true,
@@ -82,7 +85,8 @@
                 "the account's quota or the ticket nodes leave no room now",
             )
         };
-        // Retry-After is given in whole seconds (RFC 9110, 10.2.3). A value of 0 would make the client retry at once.
+        // Retry-After is given in whole seconds (RFC 9110, 10.2.3). A value of 0 would make the
+        // client retry at once.
         let seconds = retry_after.as_secs() + u64::from(retry_after.subsec_nanos() > 0);
         problem.with_header("Retry-After", seconds.max(1).to_string())
     }
@@ -143,7 +147,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the client's connection failed, or the upstream server did not send all of a streamed body.
+/// Returns an error if the client's connection failed, or the upstream server did not send all of a
+/// streamed body.
 pub(super) fn write_response(
     mut client: &TcpStream,
     context: &ReplyContext,
@@ -169,7 +174,8 @@
     let announced_length = header(&head.headers, "content-length").filter(|_| context.is_head);
     let has_no_body = context.is_head || matches!(head.status, 204 | 304);
     if let Some(length) = announced_length {
-        // For HEAD, the length that the upstream server announced: that of the body in the response to GET.
+        // For HEAD, the length that the upstream server announced: that of the body in the response
+        // to GET.
         text.extend_from_slice(b"Content-Length: ");
         text.extend_from_slice(length);
         text.extend_from_slice(b"\r\n");
--- a/src/openapi/streamed_body.rs
+++ b/src/openapi/streamed_body.rs
@@ -1,5 +1,5 @@
-//! Streaming of bodies that are too long for a buffer: the thread that writes to the client reads them from the upstream
-//! server.
+//! Streaming of bodies that are too long for a buffer: the thread that writes to the client reads
+//! them from the upstream server.
 
 use crate::protocol::http::Reader;
 use crate::upstream::ConnectionReader;
@@ -24,7 +24,8 @@
     reader: Reader<ConnectionReader>,
     /// Length of the body, in bytes.
     length: usize,
-    /// Reports how the streaming ended. Dropped without a report if the client did not receive the whole body.
+    /// Reports how the streaming ended. Dropped without a report if the client did not receive the
+    /// whole body.
     end_sender: Sender<StreamEnd>,
 }
 
@@ -52,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the client's connection failed or the upstream server did not send the whole body. The client has
-    /// then received fewer bytes than were announced.
+    /// Returns an error if the client's connection failed or the upstream server did not send the
+    /// whole body. The client has then received fewer bytes than were announced.
     pub fn forward(mut self, mut client: &TcpStream) -> io::Result<()> {
         let mut remaining = self.length;
         while remaining > 0 {
--- a/src/openapi/upstream_protocol.rs
+++ b/src/openapi/upstream_protocol.rs
@@ -1,4 +1,5 @@
-//! HTTP protocol of upstream servers: forwards the client's request with the time left for it, and reads the response.
+//! HTTP protocol of upstream servers: forwards the client's request with the time left for it, and
+//! reads the response.
 
 use super::forwarded_headers::write_forwarded_headers;
 use super::streamed_body::{StreamEnd, StreamedBody};
@@ -12,14 +13,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum length of a body of unknown length (in chunks, or up to the end of the connection), in bytes. Such a body is
-/// received completely before it is forwarded.
+/// Maximum length of a body of unknown length (in chunks, or up to the end of the connection), in
+/// bytes. Such a body is received completely before it is forwarded.
 const MAX_UNSIZED_BODY_BYTES: usize = 1 << 20;
-/// Maximum length of a body of known length that is received completely before it is forwarded, in bytes.
+/// Maximum length of a body of known length that is received completely before it is forwarded, in
+/// bytes.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// Maximum length of a body that is streamed, in bytes.
 const MAX_STREAMED_BODY_BYTES: usize = 4 << 20;
-/// Name of the header that tells the upstream server for how many milliseconds the limiter waits for the response.
+/// Name of the header that tells the upstream server for how many milliseconds the limiter waits
+/// for the response.
 pub const TIME_LEFT_HEADER: &str = "X-Deadline-Ms";
 
 /// A request as it is forwarded to an upstream server.
@@ -115,13 +118,14 @@
     }
 
     fn check_health(&self, _: &TcpStream) -> Exchange<HttpResponse> {
-        // Never called: the settings of this front disable health checks, as OpenAPI defines no load reports.
+        // Never called: the settings of this front disable health checks, as OpenAPI defines no
+        // load reports.
         Exchange::failed(Outcome::Superseded)
     }
 }
 
-/// Reads the head of the final response and skips interim responses. A response to HEAD has no body, even if its header
-/// lines announce one.
+/// Reads the head of the final response and skips interim responses. A response to HEAD has no
+/// body, even if its header lines announce one.
 fn read_final_head(reader: &mut Reader<ConnectionReader>, method: &str) -> Result<Head, Broken> {
     let mut head = reader.response()?;
     while head.status < 200 {
@@ -181,7 +185,8 @@
             reusable: keep_alive && is_drained && stream.set_read_timeout(None).is_ok(),
         },
         Ok(StreamEnd::UpstreamFailed) => Exchange::failed(Outcome::Reset),
-        // The client closed its connection, or the body was dropped because the attempt was superseded.
+        // The client closed its connection, or the body was dropped because the attempt was
+        // superseded.
         Err(_) => Exchange::failed(Outcome::Cancelled),
     }
 }
--- a/src/platform/client_protocol.rs
+++ b/src/platform/client_protocol.rs
@@ -1,4 +1,5 @@
-//! Client protocol of the platform: RESP commands, which are forwarded as received except for their deadlines.
+//! Client protocol of the platform: RESP commands, which are forwarded as received except for their
+//! deadlines.
 
 use crate::client::interruptible::InterruptibleReader;
 use crate::client::{ClientProtocol, CloseReason, Session};
@@ -51,9 +52,10 @@
         match answer {
             Answer::Served(Served::Streamed(value)) => value.copy_to_client(to)?,
             Answer::Served(Served::Whole { buffer, value }) => {
-                // The upstream server's reply contains the length line, the value and its line end consecutively, so they
-                // are copied as one slice. The codec rejects lengths with leading zeros or a sign, so the length line
-                // has exactly as many digits as the value's length.
+                // The upstream server's reply contains the length line, the value and its line end
+                // consecutively, so they are copied as one slice. The codec rejects lengths with
+                // leading zeros or a sign, so the length line has exactly as many digits as the
+                // value's length.
                 let digits = value.len().to_string().len();
                 let length_line = digits + "$\r\n".len();
                 to.write_all(&buffer[value.start - length_line..value.end + "\r\n".len()])?;
--- a/src/platform/command.rs
+++ b/src/platform/command.rs
@@ -1,5 +1,5 @@
-//! Parses and validates the commands of platform clients, and maps the field names of the wire to the limiter's own
-//! terms.
+//! Parses and validates the commands of platform clients, and maps the field names of the wire to
+//! the limiter's own terms.
 
 use crate::decision::{AccountId, Idempotency, RequestId};
 use crate::platform::client_protocol::PlatformClientProtocol;
@@ -117,8 +117,9 @@
 impl PlatformClientProtocol {
     /// Parses and validates a request command.
     ///
-    /// Commands are checked in full because any program may send one under the id of a regular account. An invalid plan,
-    /// number of units or number of limiters must not reach the decision module, nor an invalid command an upstream server.
+    /// Commands are checked in full because any program may send one under the id of a regular
+    /// account. An invalid plan, number of units or number of limiters must not reach the decision
+    /// module, nor an invalid command an upstream server.
     pub(super) fn parse_request(
         &self,
         bytes: &[u8],
@@ -155,8 +156,8 @@
         })
     }
 
-    /// Checks that a request of the class may be sent by this kind of command with these fields. Returns the request's
-    /// timeout.
+    /// Checks that a request of the class may be sent by this kind of command with these fields.
+    /// Returns the request's timeout.
     fn check_class(
         &self,
         class: usize,
@@ -180,8 +181,8 @@
         Ok(Duration::from_millis(deadline_ms).min(max_timeout))
     }
 
-    /// Parses `name=value` pairs that begin at index `start` of the buffer. If a name occurs more than once, its last value is
-    /// used.
+    /// Parses `name=value` pairs that begin at index `start` of the buffer. If a name occurs more
+    /// than once, its last value is used.
     fn parse_fields<'a>(&self, pairs: &'a str, start: usize) -> Fields<'a> {
         let mut fields = Fields::default();
         let mut position = start;
--- a/src/platform/command_reader.rs
+++ b/src/platform/command_reader.rs
@@ -12,12 +12,14 @@
 use std::ops::{ControlFlow, Range};
 use std::time::{Duration, Instant};
 
-/// Maximum length of a command, in bytes. It is below the size of a buffer because a command that is forwarded to an
-/// upstream server may get longer: its deadline is replaced by one that can have more digits.
+/// Maximum length of a command, in bytes. It is below the size of a buffer because a command that
+/// is forwarded to an upstream server may get longer: its deadline is replaced by one that can have
+/// more digits.
 const MAX_COMMAND_BYTES: usize = SIZE - 64;
 /// Maximum number of consecutive rejected commands; the next one closes the connection.
 const MAX_REJECTED_COMMANDS: u32 = 8;
-/// Pause in reading after the first of several consecutive rejected commands. Each further one adds the same amount.
+/// Pause in reading after the first of several consecutive rejected commands. Each further one adds
+/// the same amount.
 const REJECTED_COMMAND_PAUSE: Duration = Duration::from_millis(10);
 
 /// Reader of the commands on one connection, with the bytes that were received and not yet processed.
@@ -60,7 +62,8 @@
         &self.buffer[self.start..self.end]
     }
 
-    /// Discards the bytes of processed commands, and returns the buffer to the pool if no bytes remain.
+    /// Discards the bytes of processed commands, and returns the buffer to the pool if no bytes
+    /// remain.
     pub(super) fn discard_processed(&mut self) {
         if self.start < self.end {
             self.buffer.copy_within(self.start..self.end, 0);
@@ -72,7 +75,8 @@
         self.start = 0;
     }
 
-    /// Processes all complete commands. Returns `Break` if the connection must not be read any further.
+    /// Processes all complete commands. Returns `Break` if the connection must not be read any
+    /// further.
     pub(super) fn process_commands(&mut self, arrived: Instant) -> ControlFlow<()> {
         while self.start < self.end {
             let words = match self.next_command() {
@@ -92,7 +96,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Returns the words of the next command as ranges of the buffer, or `None` if the command is incomplete.
+    /// Returns the words of the next command as ranges of the buffer, or `None` if the command is
+    /// incomplete.
     fn next_command(&mut self) -> Result<Option<Vec<Range<usize>>>, CommandError> {
         let start = self.start;
         let unprocessed = self.unprocessed();
@@ -136,8 +141,9 @@
 
     /// Replies with an error, and closes the connection after too many consecutive rejected commands.
     ///
-    /// Protects the limiter from clients that resend a command as soon as it is rejected: they get the error at once, but
-    /// the connection is then read after ever longer pauses and finally closed.
+    /// Protects the limiter from clients that resend a command as soon as it is rejected: they get
+    /// the error at once, but the connection is then read after ever longer pauses and finally
+    /// closed.
     fn reject(&mut self, error: CommandError, fields: &Range<usize>) -> ControlFlow<()> {
         self.rejected_commands += 1;
         if self.rejected_commands > MAX_REJECTED_COMMANDS {
@@ -154,8 +160,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Replies with an error, and closes the connection once the earlier commands are answered. Used where the bytes that
-    /// follow can't be parsed or too many commands were rejected.
+    /// Replies with an error, and closes the connection once the earlier commands are answered.
+    /// Used where the bytes that follow can't be parsed or too many commands were rejected.
     fn close(&self, error: CommandError) -> ControlFlow<()> {
         let reason = error.to_string();
         let reply = format!("-ERR {reason}\r\n").into_bytes();
@@ -195,8 +201,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Takes the buffer that contains the last processed command, as the command is forwarded from there. The unprocessed
-    /// bytes are copied to a new buffer.
+    /// Takes the buffer that contains the last processed command, as the command is forwarded from
+    /// there. The unprocessed bytes are copied to a new buffer.
     fn take_buffer(&mut self) -> Buffer {
         let mut remaining = Buffer::empty();
         let unprocessed = self.unprocessed();
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! Platform front of the limiter: its client and upstream protocols, with service discovery and the quota counter.
+//! Platform front of the limiter: its client and upstream protocols, with service discovery and the
+//! quota counter.
 
 pub mod client_protocol;
 mod command;
@@ -20,7 +21,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Starts all of a platform limiter except its core. Returns the limiter, and a function that applies a new configuration.
+/// Starts all of a platform limiter except its core. Returns the limiter, and a function that
+/// applies a new configuration.
 ///
 /// # Errors
 ///
@@ -89,7 +91,8 @@
     }
 }
 
-/// Returns the function that applies the addresses of service discovery and the counter in a new configuration.
+/// Returns the function that applies the addresses of service discovery and the counter in a new
+/// configuration.
 fn reload(
     mut current: Addresses,
     watch: Watch,
--- a/src/platform/streamed_value.rs
+++ b/src/platform/streamed_value.rs
@@ -1,4 +1,5 @@
-//! Streaming of values that are too long for a buffer: they are copied to the client while they are received.
+//! Streaming of values that are too long for a buffer: they are copied to the client while they are
+//! received.
 
 use crate::upstream::Connection;
 use crossbeam_channel::Sender;
@@ -10,8 +11,9 @@
 /// Maximum number of bytes received at a time.
 const RECEIVE_BYTES: usize = 16 * 1024;
 
-/// A value that is copied to the client while it is received, by the thread that writes to the client. A slow client thus
-/// slows down only the connection on which the value is received, and only a small part of the value is held in memory.
+/// A value that is copied to the client while it is received, by the thread that writes to the
+/// client. A slow client thus slows down only the connection on which the value is received, and
+/// only a small part of the value is held in memory.
 pub struct StreamedValue {
     /// Connection to the upstream server that sends the value.
     pub(super) connection: Arc<Connection>,
@@ -25,9 +27,11 @@
 
 /// How the copy of a value ended.
 pub(super) enum StreamEnd {
-    /// The whole value was written to the client. Contains the bytes that were received after the value.
+    /// The whole value was written to the client. Contains the bytes that were received after the
+    /// value.
     Complete(Vec<u8>),
-    /// The upstream server closed the connection, stalled, or sent a value that does not have its announced length.
+    /// The upstream server closed the connection, stalled, or sent a value that does not have its
+    /// announced length.
     UpstreamFailed,
     /// The client's connection failed.
     ClientFailed,
@@ -47,8 +51,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the client's connection failed or the value is incomplete. The caller then closes the client's
-    /// connection, from which the client recognizes that the value is incomplete.
+    /// Returns an error if the client's connection failed or the value is incomplete. The caller
+    /// then closes the client's connection, from which the client recognizes that the value is
+    /// incomplete.
     pub(super) fn copy_to_client(self, to: &TcpStream) -> io::Result<()> {
         let (end, result) = match self.copy(to) {
             Ok(trailing) => (StreamEnd::Complete(trailing), Ok(())),
--- a/src/platform/upstream_protocol.rs
+++ b/src/platform/upstream_protocol.rs
@@ -1,4 +1,5 @@
-//! Upstream protocol of the platform: writes attempts as RESP commands and reads the replies of upstream servers.
+//! Upstream protocol of the platform: writes attempts as RESP commands and reads the replies of
+//! upstream servers.
 
 use crate::decision::Outcome;
 use crate::platform::streamed_value::{StreamEnd, StreamedValue};
@@ -18,15 +19,16 @@
 const LOAD_REPORT_INDEX: usize = 2;
 /// Index of the command word that holds the fields.
 pub const FIELDS_INDEX: usize = 3;
-/// Time without received bytes after which an upstream server that streams a value is considered to have failed. The
-/// request's deadline does not apply once the value has begun.
+/// Time without received bytes after which an upstream server that streams a value is considered to
+/// have failed. The request's deadline does not apply once the value has begun.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Timeout for the usage and load report that follow a streamed value, once the client has received the value.
+/// Timeout for the usage and load report that follow a streamed value, once the client has received
+/// the value.
 const TRAILING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of bytes received at a time after a streamed value.
 const TRAILING_RECEIVE_BYTES: usize = 1_024;
-/// Number of bytes received after a streamed value above which no more are read, even if usage and load report are
-/// incomplete.
+/// Number of bytes received after a streamed value above which no more are read, even if usage and
+/// load report are incomplete.
 const MAX_TRAILING_BYTES: usize = 4 * TRAILING_RECEIVE_BYTES;
 
 /// A command that is forwarded as received except for its deadline.
@@ -77,8 +79,8 @@
     Streamed(StreamedValue),
 }
 
-/// Protocol of the platform's upstream servers. Contains the names of the figures in a load report, in the order of the
-/// settings.
+/// Protocol of the platform's upstream servers. Contains the names of the figures in a load report,
+/// in the order of the settings.
 pub struct PlatformUpstreamProtocol(pub Vec<String>);
 
 impl UpstreamProtocol for PlatformUpstreamProtocol {
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Returns the exchange for a value that was copied completely. The connection is reusable only if the usage and the
-    /// load report follow the value.
+    /// Returns the exchange for a value that was copied completely. The connection is reusable only
+    /// if the usage and the load report follow the value.
     fn finish_stream(&self, stream: &TcpStream, trailing: Vec<u8>) -> Exchange<Served> {
         let report = match stream.set_read_timeout(Some(TRAILING_TIMEOUT)) {
             Ok(()) => self.read_trailing_report(stream, trailing),
@@ -219,16 +221,16 @@
         }
     }
 
-    /// Reads the usage and the load report that follow a value. Returns the load report, or `None` if the connection can't be
-    /// used again.
+    /// Reads the usage and the load report that follow a value. Returns the load report, or `None`
+    /// if the connection can't be used again.
     fn read_trailing_report(
         &self,
         mut stream: &TcpStream,
         mut received: Vec<u8>,
     ) -> Option<Vec<f64>> {
         let began = Instant::now();
-        // The timeout applies to all reads together and not only to each of them, as an upstream server may go on sending
-        // single bytes indefinitely.
+        // The timeout applies to all reads together and not only to each of them, as an upstream
+        // server may go on sending single bytes indefinitely.
         while began.elapsed() < TRAILING_TIMEOUT {
             if let Some((report, end)) = trailing_report(&received).ok()? {
                 let load = match report {
@@ -247,10 +249,11 @@
         None
     }
 
-    /// Decodes a complete reply. `is_last` states that no bytes were received after it, so the connection can be used again.
+    /// Decodes a complete reply. `is_last` states that no bytes were received after it, so the
+    /// connection can be used again.
     ///
-    /// A reply that is not one of the protocol fails the exchange, which closes the connection: after a corrupt reply, the
-    /// connection may stay open without any further replies.
+    /// A reply that is not one of the protocol fails the exchange, which closes the connection:
+    /// after a corrupt reply, the connection may stay open without any further replies.
     fn decode_reply(&self, buffer: Buffer, reply: Reply, is_last: bool) -> Exchange<Served> {
         let exchange = |outcome, load, value| Exchange {
             outcome,
@@ -285,7 +288,8 @@
         }
     }
 
-    /// Parses the load report in an error reply, which is the last word of the reply. Returns an empty list if there is none.
+    /// Parses the load report in an error reply, which is the last word of the reply. Returns an
+    /// empty list if there is none.
     fn parse_error_load(&self, text: &[u8]) -> Vec<f64> {
         match text.rsplit(|byte| *byte == b' ').next() {
             Some(report) if report.contains(&b'=') => self.parse_load(report),
@@ -293,7 +297,8 @@
         }
     }
 
-    /// Parses a load report into figures in the order of the settings. Returns an empty list unless every figure is present.
+    /// Parses a load report into figures in the order of the settings. Returns an empty list unless
+    /// every figure is present.
     fn parse_load(&self, report: &[u8]) -> Vec<f64> {
         let text = std::str::from_utf8(report).unwrap_or("");
         let figure = |name: &String| {
@@ -309,15 +314,15 @@
     }
 }
 
-/// Whether the bytes begin an array other than one of value, usage and load report. Such a reply is rejected at once, as its
-/// end may never be received.
+/// Whether the bytes begin an array other than one of value, usage and load report. Such a reply is
+/// rejected at once, as its end may never be received.
 fn is_other_array(received: &[u8]) -> bool {
     let compared = received.len().min(SERVED_PREFIX.len());
     received[0] == b'*' && received[..compared] != SERVED_PREFIX[..compared]
 }
 
-/// Parses the usage and the load report that follow it. Returns the load report and the index of its end, or `None` if they
-/// are incomplete.
+/// Parses the usage and the load report that follow it. Returns the load report and the index of
+/// its end, or `None` if they are incomplete.
 fn trailing_report(received: &[u8]) -> Result<Option<(Reply, usize)>, resp::RespError> {
     match resp::reply(received, 0)? {
         Some((_, usage_end)) => resp::reply(received, usage_end),
--- a/src/protocol/buffers.rs
+++ b/src/protocol/buffers.rs
@@ -9,10 +9,11 @@
 
 /// Size of a buffer, in bytes.
 pub const SIZE: usize = 68 * 1024;
-/// Maximum number of unused buffers in the pool; further ones are freed. After a burst of requests the pool thus keeps at
-/// most about 3 MiB, of the 32 MB of memory that a limiter may use.
+/// Maximum number of unused buffers in the pool; further ones are freed. After a burst of requests
+/// the pool thus keeps at most about 3 MiB, of the 32 MB of memory that a limiter may use.
 const MAX_POOLED_BUFFERS: usize = 48;
-/// Size of the stack buffer that is read into before a buffer is taken from the pool, in bytes. Most commands fit in it.
+/// Size of the stack buffer that is read into before a buffer is taken from the pool, in bytes.
+/// Most commands fit in it.
 const FIRST_READ_BYTES: usize = 2 * 1024;
 
 static POOL: Mutex<Vec<Box<[u8]>>> = Mutex::new(Vec::new());
@@ -33,10 +34,12 @@
         Self(Box::default())
     }
 
-    /// Reads bytes into the buffer at index `end`. Returns the number of bytes read, which is 0 at the end of the stream.
+    /// Reads bytes into the buffer at index `end`. Returns the number of bytes read, which is 0 at
+    /// the end of the stream.
     ///
-    /// A buffer without capacity is replaced by one from the pool only once bytes have been received: a buffer for each of
-    /// hundreds of idle connections would need more memory than a small limiter has.
+    /// A buffer without capacity is replaced by one from the pool only once bytes have been
+    /// received: a buffer for each of hundreds of idle connections would need more memory than a
+    /// small limiter has.
     ///
     /// # Errors
     ///
--- a/src/protocol/http/framing.rs
+++ b/src/protocol/http/framing.rs
@@ -1,5 +1,5 @@
-//! Parses message heads, and derives the framing of the body and the persistence of the connection from the header
-//! lines (RFC 9112, sections 6 and 9.3).
+//! Parses message heads, and derives the framing of the body and the persistence of the connection
+//! from the header lines (RFC 9112, sections 6 and 9.3).
 
 use crate::protocol::http::{Body, Broken, Head, Headers, RequestHead, MAX_HEADERS};
 use httparse::{Header, Request, Response, Status, EMPTY_HEADER};
@@ -93,7 +93,8 @@
 
     fn add_content_length(&mut self, value: &str) -> Result<(), Broken> {
         const MALFORMED: Broken = Broken::Malformed("bad Content-Length");
-        // Only digits are accepted, as other proxies on the path may parse `+5` or a list differently.
+        // Only digits are accepted, as other proxies on the path may parse `+5` or a list
+        // differently.
         if !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(MALFORMED);
         }
--- a/src/protocol/http/mod.rs
+++ b/src/protocol/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages over blocking sockets (RFC 9112). Heads are parsed by httparse; bodies are delimited by their length,
-//! by chunks or by the end of the connection.
+//! HTTP/1.1 messages over blocking sockets (RFC 9112). Heads are parsed by httparse; bodies are
+//! delimited by their length, by chunks or by the end of the connection.
 
 mod framing;
 mod reader;
--- a/src/protocol/http/reader.rs
+++ b/src/protocol/http/reader.rs
@@ -13,8 +13,9 @@
 ///
 /// # Errors
 ///
-/// Methods that read return an error if the connection ends or fails, if the message is malformed, if a head is larger than
-/// a buffer, or if a body is larger than allowed. The reader can't be used after an error.
+/// Methods that read return an error if the connection ends or fails, if the message is malformed,
+/// if a head is larger than a buffer, or if a body is larger than allowed. The reader can't be used
+/// after an error.
 pub struct Reader<R> {
     from: R,
     buffer: Buffer,
@@ -68,8 +69,9 @@
         }
     }
 
-    /// Reads a final response with its body of at most `max_bytes`, and skips interim responses. `is_bodyless` states that
-    /// the request was HEAD: its response has no body, even if the head announces one.
+    /// Reads a final response with its body of at most `max_bytes`, and skips interim responses.
+    /// `is_bodyless` states that the request was HEAD: its response has no body, even if the head
+    /// announces one.
     pub fn response_with_body(
         &mut self,
         max_bytes: usize,
@@ -126,8 +128,8 @@
         Ok(bytes)
     }
 
-    /// Appends the next chunk of a body to `to`, whose length may not exceed `max_bytes`. Returns false at the end of the
-    /// body.
+    /// Appends the next chunk of a body to `to`, whose length may not exceed `max_bytes`. Returns
+    /// false at the end of the body.
     pub fn chunk(&mut self, to: &mut Vec<u8>, max_bytes: usize) -> Result<bool, Broken> {
         let size = self.chunk_size()?;
         if size > max_bytes.saturating_sub(to.len()) as u64 {
@@ -191,7 +193,8 @@
         Ok(())
     }
 
-    /// Appends all bytes up to the end of the connection to `to`, whose length may not exceed `max_bytes`.
+    /// Appends all bytes up to the end of the connection to `to`, whose length may not exceed
+    /// `max_bytes`.
     fn append_until_close(&mut self, to: &mut Vec<u8>, max_bytes: usize) -> Result<(), Broken> {
         loop {
             to.extend_from_slice(self.unread());
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -1,11 +1,14 @@
-//! RESP2 codec: parses the commands of clients and the replies of upstream servers and the Redis store.
+//! RESP2 codec: parses the commands of clients and the replies of upstream servers and the Redis
+//! store.
 
 use std::ops::Range;
 use thiserror::Error;
 
-/// Maximum length of a value that is held in a buffer, in bytes. Values in clients' commands may not be longer.
+/// Maximum length of a value that is held in a buffer, in bytes. Values in clients' commands may
+/// not be longer.
 const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Maximum length of a value from an upstream server, in bytes. A value longer than [`MAX_VALUE_BYTES`] is streamed.
+/// Maximum length of a value from an upstream server, in bytes. A value longer than
+/// [`MAX_VALUE_BYTES`] is streamed.
 const MAX_STREAMED_VALUE_BYTES: usize = 4 << 20;
 /// Maximum length of a line, in bytes. A longer line is rejected without waiting for its end.
 const MAX_LINE_BYTES: usize = 1024;
@@ -90,7 +93,8 @@
         .ok_or(RespError::NotANumber)
 }
 
-/// Parses the length that begins at `at`, after a type byte. A length of -1, which means null, is returned as `None`.
+/// Parses the length that begins at `at`, after a type byte. A length of -1, which means null, is
+/// returned as `None`.
 fn length(bytes: &[u8], at: usize, max: usize) -> Parsed<Option<usize>> {
     let Some((text, next)) = line(bytes, at)? else {
         return if bytes.len() - at > MAX_LENGTH_LINE_BYTES {
@@ -123,8 +127,8 @@
     }
 }
 
-/// Parses the command at the start of `bytes`. Returns the ranges of its words and the index of its end, or `None` if the
-/// command is incomplete.
+/// Parses the command at the start of `bytes`. Returns the ranges of its words and the index of its
+/// end, or `None` if the command is incomplete.
 ///
 /// # Errors
 ///
@@ -157,8 +161,8 @@
     Ok(Some((words, at)))
 }
 
-/// If `bytes` begin an upstream server's reply whose value is too long for a buffer, returns the index at which the value
-/// begins and its length in bytes.
+/// If `bytes` begin an upstream server's reply whose value is too long for a buffer, returns the
+/// index at which the value begins and its length in bytes.
 pub fn long_value(bytes: &[u8]) -> Option<(usize, usize)> {
     let head = bytes.strip_prefix(b"*3\r\n$")?;
     let (size, next) = length(head, 0, MAX_STREAMED_VALUE_BYTES).ok().flatten()?;
@@ -166,7 +170,8 @@
         .map(|size| (bytes.len() - head.len() + next, size))
 }
 
-/// Parses the reply that begins at `at`. Returns the reply and the index of its end, or `None` if the reply is incomplete.
+/// Parses the reply that begins at `at`. Returns the reply and the index of its end, or `None` if
+/// the reply is incomplete.
 ///
 /// # Errors
 ///
@@ -195,7 +200,8 @@
     })
 }
 
-/// Parses the array whose length begins at `at`, in whose elements arrays may be nested `depth` levels deep.
+/// Parses the array whose length begins at `at`, in whose elements arrays may be nested `depth`
+/// levels deep.
 fn array(bytes: &[u8], at: usize, depth: usize) -> Parsed<Reply> {
     let Some((count, mut next)) = length(bytes, at, MAX_ELEMENTS)? else {
         return Ok(None);
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -2,8 +2,8 @@
 
 use thiserror::Error;
 
-/// Reasons why a line, or the settings in it, can't be parsed. The texts give the name of the simulator message, and the index
-/// or key of the invalid value.
+/// Reasons why a line, or the settings in it, can't be parsed. The texts give the name of the
+/// simulator message, and the index or key of the invalid value.
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// The line is not JSON.
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -1,4 +1,5 @@
-//! Parser of the lines from the simulator: batches, starts and stops of instances, and events of instances.
+//! Parser of the lines from the simulator: batches, starts and stops of instances, and events of
+//! instances.
 
 use super::names::{Lookup, SETTINGS_INDEX};
 use super::reader::Message;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,5 @@
-//! Codec for the protocol of the simulator: JSON lines in both directions. Its wire names are used in this module only.
+//! Codec for the protocol of the simulator: JSON lines in both directions. Its wire names are used
+//! in this module only.
 
 mod actions;
 mod error;
--- a/src/simulator/names.rs
+++ b/src/simulator/names.rs
@@ -19,7 +19,8 @@
 }
 
 impl Names {
-    /// Reads the names in the line that starts an instance. Returns no names if the line can't be parsed.
+    /// Reads the names in the line that starts an instance. Returns no names if the line can't be
+    /// parsed.
     pub fn from_line(line: &str) -> Names {
         let value: Value = serde_json::from_str(line).unwrap_or_default();
         Names::from_settings(&value[SETTINGS_INDEX])
--- a/src/simulator/reader.rs
+++ b/src/simulator/reader.rs
@@ -6,7 +6,8 @@
 use base64::Engine;
 use serde_json::Value;
 
-/// A message from the simulator, or an entry in one, whose values are accessed by index. A null value is treated as absent.
+/// A message from the simulator, or an entry in one, whose values are accessed by index. A null
+/// value is treated as absent.
 pub(super) struct Message<'a> {
     /// Name of the message or entry, for errors.
     pub(super) name: &'a str,
@@ -120,7 +121,8 @@
     }
 }
 
-/// A section of the settings, whose values are accessed by key. Every key has a default, and null is treated as absent.
+/// A section of the settings, whose values are accessed by key. Every key has a default, and null
+/// is treated as absent.
 pub(super) struct Section<'a> {
     value: &'a Value,
     /// Path of the section in the settings, for errors.
@@ -142,8 +144,8 @@
         format!("{}.{key}", self.path)
     }
 
-    /// Reads the value of a key with `read`, which returns `None` if the value is not of the form `wanted`. Returns `default`
-    /// if the key is absent.
+    /// Reads the value of a key with `read`, which returns `None` if the value is not of the form
+    /// `wanted`. Returns `default` if the key is absent.
     pub(super) fn optional<T>(
         &self,
         key: &str,
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -10,7 +10,8 @@
 /// Path of the settings, as errors name it.
 const ROOT_PATH: &str = "facts";
 
-/// Reads the settings of an instance. Unknown keys are ignored. The value of an absent key is 0, false or empty.
+/// Reads the settings of an instance. Unknown keys are ignored. The value of an absent key is 0,
+/// false or empty.
 ///
 /// # Errors
 ///
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -1,4 +1,5 @@
-//! Tests of long values, slow peers and crowds over loopback.
+//! Tests of streamed values, client and server time-outs, shutdown and many idle connections, over
+//! loopback.
 
 mod peers;
 
@@ -7,10 +8,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{mpsc, Mutex};
 
-/// Longer than anything that is held whole.
-const LENGTH: usize = 1 << 20;
+/// Length of a value that is streamed because it is too long for a buffer, in bytes.
+const VALUE_BYTES: usize = 1 << 20;
 
-fn started(server: SocketAddr) -> Running {
+/// Starts a limiter whose two upstream servers have the same address.
+fn start_limiter(server: SocketAddr) -> Running {
     limiter(&settings(
         quiet_list(),
         quota_counter().0,
@@ -18,17 +20,22 @@
     ))
 }
 
-/// A server that begins a long value for a request, and goes on as it is told: with the rest, with what else is said, or not
-/// at all.
-fn server() -> (
+/// Starts an upstream server that replies to the request "long" with the first half of a long
+/// value, then sends the bytes that it receives on the channel, or closes the connection if it
+/// receives `None`. Other requests are served at once.
+///
+/// Returns the address, the sender of these instructions, and a receiver that is notified whenever
+/// the limiter has closed a connection.
+fn streaming_server() -> (
     SocketAddr,
     mpsc::Sender<Option<Vec<u8>>>,
     mpsc::Receiver<()>,
 ) {
-    let (go_on, told) = mpsc::channel::<Option<Vec<u8>>>();
-    let (tell, ended) = mpsc::channel();
-    let (told, tell) = (Mutex::new(told), Mutex::new(tell));
-    let at = peer(move |_, mut stream: TcpStream| {
+    let (instructions, instruction_receiver) = mpsc::channel::<Option<Vec<u8>>>();
+    let (closed_sender, closed) = mpsc::channel();
+    let instruction_receiver = Mutex::new(instruction_receiver);
+    let closed_sender = Mutex::new(closed_sender);
+    let address = peer(move |_, mut stream: TcpStream| {
         let mut bytes = Vec::new();
         while let Some(words) = command(&mut stream, &mut bytes) {
             if words[2] != "long" {
@@ -38,46 +45,64 @@
                 _ = stream.write_all(text.as_bytes());
                 continue;
             }
-            _ = stream
-                .write_all(format!("*3\r\n${LENGTH}\r\n{}", "a".repeat(LENGTH / 2)).as_bytes());
-            match told.lock().expect("whole").recv() {
+            _ = stream.write_all(
+                format!("*3\r\n${VALUE_BYTES}\r\n{}", "a".repeat(VALUE_BYTES / 2)).as_bytes(),
+            );
+            match instruction_receiver
+                .lock()
+                .expect("the receiver is not poisoned")
+                .recv()
+            {
                 Ok(Some(rest)) => _ = stream.write_all(&rest),
                 _ => return,
             }
         }
-        // The limiter has ended the connection.
-        _ = tell.lock().expect("whole").send(());
+        // The limiter has closed the connection.
+        _ = closed_sender
+            .lock()
+            .expect("the sender is not poisoned")
+            .send(());
     });
-    (at, go_on, ended)
+    (address, instructions, closed)
 }
 
-fn rest() -> Vec<u8> {
+/// The second half of the value, the usage and the load report.
+fn rest_of_reply() -> Vec<u8> {
     format!(
         "{}\r\n$-1\r\n$26\r\ninflight=7,queue=2,util=0.6\r\n",
-        "b".repeat(LENGTH / 2)
+        "b".repeat(VALUE_BYTES / 2)
     )
     .into_bytes()
 }
 
-/// The first half of the value, while the second has not left the server.
-fn first_half(client: &mut Client) {
-    assert_eq!(client.line(), format!("${LENGTH}"));
-    let mut half = vec![0; LENGTH / 2];
-    client.0.read_exact(&mut half).expect("the first half");
+/// Reads the first half of the value, of which the server has not sent the second half yet.
+fn read_first_half(client: &mut Client) {
+    assert_eq!(client.line(), format!("${VALUE_BYTES}"));
+    let mut half = vec![0; VALUE_BYTES / 2];
+    client
+        .0
+        .read_exact(&mut half)
+        .expect("the client receives the first half");
     assert!(half.iter().all(|b| *b == b'a'));
 }
 
 #[test]
 fn long_value_is_streamed_and_its_connection_reused() {
-    let (server, go_on, _ended) = server();
-    let limiter = started(server);
+    let (server, instructions, _closed) = streaming_server();
+    let limiter = start_limiter(server);
     let mut client = Client::ready(&limiter);
-    // Short ones behind it on the same connection, of which one is served at once.
+    // The request for a short value is sent together with that for the long one, and a further one
+    // after both replies.
     client.say(&(asking("look", "long", 1500) + &asking("look", "short", 1500)));
-    first_half(&mut client);
-    go_on.send(Some(rest())).expect("a node");
-    let mut half = vec![0; LENGTH / 2 + 2];
-    client.0.read_exact(&mut half).expect("the second half");
+    read_first_half(&mut client);
+    instructions
+        .send(Some(rest_of_reply()))
+        .expect("the upstream server waits for an instruction");
+    let mut half = vec![0; VALUE_BYTES / 2 + 2];
+    client
+        .0
+        .read_exact(&mut half)
+        .expect("the client receives the second half");
     assert!(half.ends_with(b"b\r\n"));
     assert_eq!(client.answer(), "short");
     client.ask("look", "later", 1500);
@@ -85,25 +110,27 @@
 }
 
 #[test]
-fn truncated_or_mismeasured_long_value_is_detectable() {
-    for end in [None, Some([rest(), b"more".to_vec()].concat())] {
-        let (server, go_on, _ended) = server();
-        let limiter = started(server);
+fn long_value_without_its_announced_length_is_detectable() {
+    for rest in [None, Some([rest_of_reply(), b"more".to_vec()].concat())] {
+        let (server, instructions, _closed) = streaming_server();
+        let limiter = start_limiter(server);
         let mut client = Client::ready(&limiter);
         client.ask("look", "long", 1500);
-        first_half(&mut client);
-        // Where the length is wrong, what stands behind the value is not the end of a line.
-        let lies = end.map(|mut bytes| {
+        read_first_half(&mut client);
+        // With one additional byte, the bytes after the announced length are not a line end.
+        let longer_rest = rest.map(|mut bytes| {
             bytes.insert(0, b'b');
             bytes
         });
-        go_on.send(lies).expect("a node");
-        let mut rest = Vec::new();
-        _ = client.0.read_to_end(&mut rest);
+        instructions
+            .send(longer_rest)
+            .expect("the upstream server waits for an instruction");
+        let mut received = Vec::new();
+        _ = client.0.read_to_end(&mut received);
         assert!(
-            rest.len() <= LENGTH / 2,
-            "{} bytes behind the first half",
-            rest.len()
+            received.len() <= VALUE_BYTES / 2,
+            "the client received {} bytes after the first half",
+            received.len()
         );
         let mut client = Client::ready(&limiter);
         client.ask("look", "after", 1500);
@@ -112,60 +139,76 @@
 }
 
 #[test]
-fn timeouts_do_not_cut_off_a_value_that_is_still_sent() {
-    let (server, go_on, _ended) = server();
-    let limiter = started(server);
+fn request_timeouts_do_not_truncate_a_value_that_is_being_streamed() {
+    let (server, instructions, _closed) = streaming_server();
+    let limiter = start_limiter(server);
     let mut client = Client::ready(&limiter);
-    // Its time is up long before the second half comes, and so is the time of another that is asked later.
+    // The request's deadline passes before the second half is sent, while a later request is served
+    // meanwhile.
     client.ask("look", "long", 100);
-    first_half(&mut client);
+    read_first_half(&mut client);
     let mut other = Client::ready(&limiter);
     other.ask("look", "short", 1500);
     assert_eq!(other.answer(), "short");
     std::thread::sleep(std::time::Duration::from_millis(300));
-    go_on.send(Some(rest())).expect("a node");
-    let mut half = vec![0; LENGTH / 2 + 2];
-    client.0.read_exact(&mut half).expect("the second half");
+    instructions
+        .send(Some(rest_of_reply()))
+        .expect("the upstream server waits for an instruction");
+    let mut half = vec![0; VALUE_BYTES / 2 + 2];
+    client
+        .0
+        .read_exact(&mut half)
+        .expect("the client receives the second half");
     assert!(half.ends_with(b"b\r\n"));
 }
 
 #[test]
-fn attempt_is_cancelled_if_its_client_closes_during_the_answer() {
-    let (server, go_on, ended) = server();
-    let limiter = started(server);
+fn attempt_is_cancelled_if_its_client_closes_while_a_value_is_streamed() {
+    let (server, instructions, closed) = streaming_server();
+    let limiter = start_limiter(server);
     let mut client = Client::ready(&limiter);
     client.ask("look", "long", 1500);
-    first_half(&mut client);
+    read_first_half(&mut client);
     drop(client);
-    go_on.send(Some(vec![b'b'; 10])).expect("a node");
-    ended
+    instructions
+        .send(Some(vec![b'b'; 10]))
+        .expect("the upstream server waits for an instruction");
+    closed
         .recv_timeout(std::time::Duration::from_secs(20))
-        .expect("the connection to the node ends");
+        .expect("the limiter closes its connection to the upstream server");
 }
 
 #[test]
 fn shutdown_waits_for_a_partially_written_command() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let limiter = started(server);
+    let (server, _received) = resp_peer(|_, words| serve(&words[2]));
+    let limiter = start_limiter(server);
     let mut client = Client::ready(&limiter);
     let text = asking("look", "slow", 1500);
     let (first, rest) = text.split_at(20);
     client.say(first);
-    let stopped = std::thread::spawn(move || limiter.stop());
-    // In pieces, well after connections have stopped coming.
+    let shutdown = std::thread::spawn(move || limiter.stop());
+    // The rest of the command is sent in small pieces after the limiter has stopped accepting
+    // connections.
     for piece in rest.as_bytes().chunks(10) {
         std::thread::sleep(std::time::Duration::from_millis(80));
-        client.0.get_mut().write_all(piece).expect("written");
+        client
+            .0
+            .get_mut()
+            .write_all(piece)
+            .expect("the limiter keeps the connection open");
     }
     assert_eq!(client.answer(), "slow");
-    stopped.join().expect("an end in order");
+    shutdown
+        .join()
+        .expect("the limiter shuts down without a panic");
 }
 
 #[test]
-fn waiting_connections_hold_only_their_reader_thread() {
-    // A system that gives a process a part of a processor by stopping and continuing it does so with each of its threads:
-    // 280 of them took all of 0.12 of a core.
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+fn idle_connections_keep_only_their_reader_thread() {
+    // An operating system that limits a process to a share of a core by stopping and continuing it
+    // must do so for each of its threads. With 280 threads, this took up a whole limit of 0.12
+    // cores.
+    let (server, _received) = resp_peer(|_, words| serve(&words[2]));
     let program = Program::start(
         "threads",
         &settings(quiet_list(), quota_counter().0, &[("s-1", server)]),
@@ -175,6 +218,6 @@
         client.ask("look", &format!("look-{number}"), 1500);
         client.answer();
     }
-    // Those without work rest for a moment.
+    // Threads without work exit after a short time.
     until(|| program.threads(), |threads| *threads < 100 + 30);
 }
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -1,4 +1,5 @@
-//! Tests of the OpenAPI front, over loopback: the description in `deploy/` against scripted peers.
+//! Tests of the OpenAPI front with the description in `deploy/`, against scripted upstream servers
+//! and counters on loopback.
 
 mod peers;
 
@@ -11,34 +12,42 @@
 use std::sync::{Arc, Mutex};
 
 const DESCRIPTION: &str = include_str!("../deploy/ferry.openapi.json");
-const FILE: &str = include_str!("../deploy/openapi.json");
+const CONFIGURATION: &str = include_str!("../deploy/openapi.json");
 
-/// The file in `deploy/` with ports of this test.
-fn file(servers: &[SocketAddr], store: Value) -> Value {
-    let mut file: Value = serde_json::from_str(FILE).expect("JSON");
-    let servers = servers
-        .iter()
-        .enumerate()
-        .map(|(n, at)| json!({"name": format!("node-{n}"), "address": at.to_string()}));
-    file["listen"] = json!("127.0.0.1:0");
-    file["ticket_nodes"] = servers.collect();
-    file["store"] = store;
-    file
+/// Returns the configuration in `deploy/` with these upstream servers and store, and a free port to
+/// listen on.
+fn configuration(servers: &[SocketAddr], store: Value) -> Value {
+    let mut configuration: Value =
+        serde_json::from_str(CONFIGURATION).expect("deploy/openapi.json is valid JSON");
+    let servers = servers.iter().enumerate().map(
+        |(index, address)| json!({"name": format!("node-{index}"), "address": address.to_string()}),
+    );
+    configuration["listen"] = json!("127.0.0.1:0");
+    configuration["ticket_nodes"] = servers.collect();
+    configuration["store"] = store;
+    configuration
 }
 
-/// A upstream server that answers its first requests by this list and serves the rest; what it was asked.
-fn server(first: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
-    let (script, asked) = (Mutex::new(first.to_vec()), Arc::new(Mutex::new(Vec::new())));
-    let own = asked.clone();
-    let at = http_peer(move |first, headers, body| {
-        let left = headers
+/// Starts an upstream server that handles its first requests as `script` states and serves all
+/// further ones. A step of the script is "close", "hang" or a status. Returns the server's address
+/// and a log of the requests that it received.
+fn scripted_server(script: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+    let (script, received) = (
+        Mutex::new(script.to_vec()),
+        Arc::new(Mutex::new(Vec::new())),
+    );
+    let log = received.clone();
+    let address = http_peer(move |request_line, headers, body| {
+        let time_left_ms = headers
             .iter()
-            .find_map(|l| l.strip_prefix("X-Deadline-Ms: ")?.parse::<u64>().ok());
-        let in_time = left.is_some_and(|ms| ms > 0 && ms <= 5_000);
-        own.lock()
-            .expect("whole")
-            .push(format!("{first} | {body} | time left told: {in_time}"));
-        let mut script = script.lock().expect("whole");
+            .find_map(|line| line.strip_prefix("X-Deadline-Ms: ")?.parse::<u64>().ok());
+        let has_valid_deadline = time_left_ms.is_some_and(|ms| ms > 0 && ms <= 5_000);
+        log.lock()
+            .expect("the request log is not poisoned")
+            .push(format!(
+                "{request_line} | {body} | time left told: {has_valid_deadline}"
+            ));
+        let mut script = script.lock().expect("the script is not poisoned");
         match (!script.is_empty()).then(|| script.remove(0)) {
             Some("close") => Act::Close,
             Some("hang") => Act::Hang,
@@ -46,7 +55,7 @@
             None => answer("200 OK", "{\"ok\":true}"),
         }
     });
-    (at, asked)
+    (address, received)
 }
 
 fn request(line: &str, headers: &str, body: &str) -> String {
@@ -60,11 +69,14 @@
     )
 }
 
-/// Sends a request and reads its answer: status line, the header lines that a client acts on, body.
+/// Sends a request and reads the response. Returns its status line, the header lines that are
+/// listed here and its body.
 fn exchange(client: &mut Client, text: &str) -> String {
     client.say(text);
-    let (first, headers, body) = http(&mut client.0, text.starts_with("HEAD")).expect("an answer");
-    let told = [
+    let is_head = text.starts_with("HEAD");
+    let (status_line, headers, body) =
+        http(&mut client.0, is_head).expect("the limiter sends a complete response");
+    let reported_headers = [
         "Retry-After",
         "Allow",
         "WWW-Authenticate",
@@ -72,145 +84,171 @@
         "X-From",
         "Content-Length",
     ];
-    let told = headers
+    let header_lines = headers
         .into_iter()
-        .filter(|l| told.iter().any(|t| l.starts_with(t)));
-    let told = told.filter(|l| text.starts_with("HEAD") || !l.starts_with("Content-Length"));
-    std::iter::once(first)
-        .chain(told)
+        .filter(|line| reported_headers.iter().any(|name| line.starts_with(name)));
+    let header_lines = header_lines.filter(|line| is_head || !line.starts_with("Content-Length"));
+    std::iter::once(status_line)
+        .chain(header_lines)
         .chain([body])
         .collect::<Vec<_>>()
         .join(" | ")
 }
 
-const LOOK: &str = "GET /v1/sailings/KMP-7/seats?class=2";
-const HOLD: &str = "POST /v1/sailings/KMP-7/holds";
-const PAY: &str = "POST /v1/tickets";
-const REPORT: &str = "GET /v1/reports/daily";
-const KEY: &str = "Idempotency-Key: 77\r\n";
+const GET_SEATS: &str = "GET /v1/sailings/KMP-7/seats?class=2";
+const HOLD_SEATS: &str = "POST /v1/sailings/KMP-7/holds";
+const BUY_TICKET: &str = "POST /v1/tickets";
+const GET_REPORT: &str = "GET /v1/reports/daily";
+const KEY_HEADER: &str = "Idempotency-Key: 77\r\n";
 
 #[test]
 fn each_operation_is_charged_its_units_and_retried_by_its_idempotency() {
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for (operation, headers, body) in [
-        (LOOK, "", ""),
-        (HOLD, KEY, "two"),
-        (PAY, "", "pay"),
-        (REPORT, "", ""),
+        (GET_SEATS, "", ""),
+        (HOLD_SEATS, KEY_HEADER, "two"),
+        (BUY_TICKET, "", "pay"),
+        (GET_REPORT, "", ""),
     ] {
-        // A 500 may have run; a 503 never did, as the description states of all but the report.
-        for trouble in ["none", "500 Oops", "503 Busy", "close"] {
-            let (at, asked) = server(if trouble == "none" {
+        // A request answered with 500 may have run. One answered with 503 never ran, as the
+        // description states for all operations but the report.
+        for first_response in ["none", "500 Oops", "503 Busy", "close"] {
+            let (server, received) = scripted_server(if first_response == "none" {
                 &[]
             } else {
-                std::slice::from_ref(&trouble)
+                std::slice::from_ref(&first_response)
             });
             let (counter, totals) = quota_counter();
-            // Two limiters: units are told to the others.
-            let mut file = file(
-                &[at, at],
+            // With two limiters configured, the limiter reports its units to the counter.
+            let mut configuration = configuration(
+                &[server, server],
                 json!({"kind": "quota-counter", "address": counter.to_string()}),
             );
-            file["limiters"] = json!({"me": 0, "all": 2});
-            let limiter = openapi_limiter(&file, DESCRIPTION);
+            configuration["limiters"] = json!({"me": 0, "all": 2});
+            let limiter = openapi_limiter(&configuration, DESCRIPTION);
             let mut client = Client::connect(&limiter);
-            let answer = exchange(&mut client, &request(operation, headers, body));
-            let asked = asked.lock().expect("whole").join("\n    ");
-            // What is told of in passing is told within a second.
+            let response = exchange(&mut client, &request(operation, headers, body));
+            let received = received
+                .lock()
+                .expect("the request log is not poisoned")
+                .join("\n    ");
+            // Units that are reported in the background reach the counter within a second.
             let charged = until(
-                || totals.lock().expect("whole").values().sum::<f64>(),
+                || {
+                    totals
+                        .lock()
+                        .expect("the totals are not poisoned")
+                        .values()
+                        .sum::<f64>()
+                },
                 |total| *total > 0.0,
             );
-            told.push(format!(
-                "{operation}, {trouble}: {answer}\n    charged {charged}\n    {asked}"
+            results.push(format!(
+                "{operation}, {first_response}: {response}\n    charged {charged}\n    {received}"
             ));
         }
     }
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[test]
 fn http_errors_of_the_front() {
-    let (at, asked) = server(&[]);
-    let limiter = openapi_limiter(&file(&[at], json!({})), DESCRIPTION);
+    let (server, received) = scripted_server(&[]);
+    let limiter = openapi_limiter(&configuration(&[server], json!({})), DESCRIPTION);
     let mut client = Client::connect(&limiter);
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for text in [
         request("GET /v1/nowhere", "", ""),
         request("DELETE /v1/tickets", "", ""),
         request("POST /v1/sailings/KMP-7/seats", "", ""),
-        request(LOOK, "", "").replace("agen-utama", "nobody"),
-        request(HOLD, "", "no key"),
-        request(PAY, "Expect: 100-continue\r\n", "patient"),
-        request(LOOK, "", "").replace("GET", "HEAD"),
-        request(PAY, "Transfer-Encoding: chunked\r\n", "")
+        request(GET_SEATS, "", "").replace("agen-utama", "nobody"),
+        request(HOLD_SEATS, "", "no key"),
+        request(BUY_TICKET, "Expect: 100-continue\r\n", "patient"),
+        request(GET_SEATS, "", "").replace("GET", "HEAD"),
+        request(BUY_TICKET, "Transfer-Encoding: chunked\r\n", "")
             .replace("\r\n\r\n", "\r\n\r\n3\r\npay\r\n2\r\n!!\r\n0\r\n\r\n"),
     ] {
-        told.push(exchange(&mut client, &text));
-        if told.last().is_some_and(|t| t.contains(" 100 ")) {
-            told.push(exchange(&mut client, ""));
+        results.push(exchange(&mut client, &text));
+        // An interim response is followed by the final one.
+        if results.last().is_some_and(|line| line.contains(" 100 ")) {
+            results.push(exchange(&mut client, ""));
         }
     }
-    // Each of these ends its connection.
+    // After each of these requests the limiter closes the connection.
     for text in [
-        request(PAY, "Content-Length: 70000\r\n", ""),
-        request(PAY, "Content-Length: +5\r\n", ""),
+        request(BUY_TICKET, "Content-Length: 70000\r\n", ""),
+        request(BUY_TICKET, "Content-Length: +5\r\n", ""),
         request(
-            PAY,
+            BUY_TICKET,
             "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
             "",
         ),
         "GET /v1/reports/daily HTTP/1.1\r\n\r\n".into(),
         "NONSENSE\r\n\r\n".into(),
-        request(LOOK, &format!("X-Long: {}\r\n", "x".repeat(70_000)), ""),
-        request(LOOK, "Connection: close\r\n", ""),
+        request(
+            GET_SEATS,
+            &format!("X-Long: {}\r\n", "x".repeat(70_000)),
+            "",
+        ),
+        request(GET_SEATS, "Connection: close\r\n", ""),
     ] {
         let mut client = Client::connect(&limiter);
-        told.push(format!(
+        results.push(format!(
             "{} then {:?}",
             exchange(&mut client, &text),
             client.line()
         ));
     }
-    let asked = asked.lock().expect("whole").join("\n");
-    insta::assert_snapshot!(format!("{}\n{asked}", told.join("\n")));
+    let received = received
+        .lock()
+        .expect("the request log is not poisoned")
+        .join("\n");
+    insta::assert_snapshot!(format!("{}\n{received}", results.join("\n")));
 }
 
 #[test]
 fn rejections_server_failures_and_deadlines_become_statuses() {
-    let (dead, _) = server(&["500 Oops", "500 Oops", "500 Oops", "500 Oops", "500 Oops"]);
-    let (hung, _) = server(&["hang"]);
-    let mut told = Vec::new();
-    let limiter = openapi_limiter(&file(&[dead], json!({})), DESCRIPTION);
-    told.push(exchange(
+    let (failing, _) =
+        scripted_server(&["500 Oops", "500 Oops", "500 Oops", "500 Oops", "500 Oops"]);
+    let (silent, _) = scripted_server(&["hang"]);
+    let mut results = Vec::new();
+    let limiter = openapi_limiter(&configuration(&[failing], json!({})), DESCRIPTION);
+    results.push(exchange(
         &mut Client::connect(&limiter),
-        &request(PAY, "", "pay"),
+        &request(BUY_TICKET, "", "pay"),
     ));
-    let short = DESCRIPTION.replace(
+    let short_deadline = DESCRIPTION.replace(
         "\"aim-ms\": 1200, \"deadline-ms\": 3000",
         "\"aim-ms\": 200, \"deadline-ms\": 200",
     );
-    let limiter = openapi_limiter(&file(&[hung], json!({})), &short);
-    told.push(exchange(
+    let limiter = openapi_limiter(&configuration(&[silent], json!({})), &short_deadline);
+    results.push(exchange(
         &mut Client::connect(&limiter),
-        &request(PAY, "", "pay"),
+        &request(BUY_TICKET, "", "pay"),
     ));
-    // A plan whose store holds one payment, and fills far too slowly for another.
-    let (at, asked) = server(&[]);
-    let mut file = file(&[at], json!({}));
-    file["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 4});
-    let limiter = openapi_limiter(&file, DESCRIPTION);
+    // The plan's burst suffices for one payment, and its rate is too low for a second one during
+    // the test.
+    let (server, received) = scripted_server(&[]);
+    let mut configuration = configuration(&[server], json!({}));
+    configuration["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 4});
+    let limiter = openapi_limiter(&configuration, DESCRIPTION);
     let mut client = Client::connect(&limiter);
     for _ in 0..2 {
-        told.push(exchange(&mut client, &request(PAY, "", "pay")));
+        results.push(exchange(&mut client, &request(BUY_TICKET, "", "pay")));
     }
-    told.push(format!("sent on: {}", asked.lock().expect("whole").len()));
-    insta::assert_snapshot!(told.join("\n"));
+    results.push(format!(
+        "sent on: {}",
+        received
+            .lock()
+            .expect("the request log is not poisoned")
+            .len()
+    ));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[test]
 fn incomplete_descriptions_are_rejected() {
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for (from, to) in [
         ("\"openapi\": \"3.0.3\"", "\"openapi\": \"2.0\""),
         (
@@ -239,57 +277,80 @@
         ("\"503\": {\"$ref\"", "\"default\": {\"$ref\""),
         ("\"worth\": 5, ", ""),
     ] {
-        assert!(DESCRIPTION.contains(from), "{from}");
+        assert!(
+            DESCRIPTION.contains(from),
+            "the description does not contain {from}"
+        );
         let errors = Description::read(&DESCRIPTION.replacen(from, to, 1)).expect_err(to);
         let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
-        told.push(format!("{from} -> {to}\n    {}", errors.join("\n    ")));
+        results.push(format!("{from} -> {to}\n    {}", errors.join("\n    ")));
     }
-    let good = Description::read(DESCRIPTION).expect("a good description");
-    told.push(format!(
+    let complete = Description::read(DESCRIPTION).expect("the unchanged description is valid");
+    results.push(format!(
         "never repeated, as unmarked: {:?}",
-        good.without_effect
+        complete.without_effect
     ));
     for (key, value) in [
         ("description", json!(null)),
         ("accounts", json!([{"name": "a", "plan": "gratis"}])),
         ("listen", json!(5)),
     ] {
-        let mut file = file(&[], json!({}));
-        file[key] = value;
-        told.push(
-            config::openapi(&file.to_string(), |_| Ok(DESCRIPTION.into()))
+        let mut configuration = configuration(&[], json!({}));
+        configuration[key] = value;
+        results.push(
+            config::openapi(&configuration.to_string(), |_| Ok(DESCRIPTION.into()))
                 .err()
                 .expect(key)
                 .to_string(),
         );
     }
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[test]
 fn reload_moves_upstream_servers_and_store() {
-    let ((old, at_old), (new, at_new)) = (server(&[]), server(&[]));
-    let ((before, _), (after, totals)) = (quota_counter(), quota_counter());
-    let store = |at: SocketAddr| json!({"kind": "quota-counter", "address": at.to_string()});
-    let with = |server, counter| {
-        let mut file = file(&[server], store(counter));
-        file["limiters"] = json!({"me": 0, "all": 2});
-        file
+    let ((old_server, old_received), (new_server, new_received)) =
+        (scripted_server(&[]), scripted_server(&[]));
+    let ((old_counter, _), (new_counter, totals)) = (quota_counter(), quota_counter());
+    let store =
+        |address: SocketAddr| json!({"kind": "quota-counter", "address": address.to_string()});
+    let configuration_with = |server, counter| {
+        let mut configuration = configuration(&[server], store(counter));
+        configuration["limiters"] = json!({"me": 0, "all": 2});
+        configuration
     };
-    let limiter = openapi_reloaded(&with(old, before), Some(&with(new, after)), DESCRIPTION);
+    let limiter = openapi_reloaded(
+        &configuration_with(old_server, old_counter),
+        Some(&configuration_with(new_server, new_counter)),
+        DESCRIPTION,
+    );
     let mut client = Client::connect(&limiter);
-    assert!(exchange(&mut client, &request(LOOK, "", "")).starts_with("HTTP/1.1 200 OK"));
-    let asked = |at: &Mutex<Vec<String>>| at.lock().expect("whole").len();
-    assert_eq!((asked(&at_old), asked(&at_new)), (0, 1));
-    until(|| totals.lock().expect("whole").len(), |counts| *counts > 0);
+    assert!(exchange(&mut client, &request(GET_SEATS, "", "")).starts_with("HTTP/1.1 200 OK"));
+    let request_count = |received: &Mutex<Vec<String>>| {
+        received
+            .lock()
+            .expect("the request log is not poisoned")
+            .len()
+    };
+    assert_eq!(
+        (request_count(&old_received), request_count(&new_received)),
+        (0, 1),
+        "requests at the old and the new upstream server"
+    );
+    until(
+        || totals.lock().expect("the totals are not poisoned").len(),
+        |counter_count| *counter_count > 0,
+    );
 }
 
 #[test]
 fn long_body_is_streamed_and_a_truncated_one_is_detectable() {
     const LENGTH: usize = 1 << 20;
-    let (go_on, told) = std::sync::mpsc::channel::<bool>();
-    let told = Mutex::new(told);
-    let at = peer(move |_, stream| {
+    // Tells the server after the first half of a body whether to send the second half or to close
+    // the connection.
+    let (send_rest, send_rest_receiver) = std::sync::mpsc::channel::<bool>();
+    let send_rest_receiver = Mutex::new(send_rest_receiver);
+    let server = peer(move |_, stream| {
         let mut from = BufReader::new(stream);
         while http(&mut from, false).is_ok() {
             let head = format!(
@@ -297,24 +358,37 @@
                 "a".repeat(LENGTH / 2)
             );
             _ = from.get_mut().write_all(head.as_bytes());
-            if told.lock().expect("whole").recv() != Ok(true) {
+            let sends_rest = send_rest_receiver
+                .lock()
+                .expect("the receiver is not poisoned")
+                .recv();
+            if sends_rest != Ok(true) {
                 return;
             }
             _ = from.get_mut().write_all("b".repeat(LENGTH / 2).as_bytes());
         }
     });
-    let limiter = openapi_limiter(&file(&[at], json!({})), DESCRIPTION);
+    let limiter = openapi_limiter(&configuration(&[server], json!({})), DESCRIPTION);
     let mut client = Client::connect(&limiter);
-    // Twice on one connection, the second time to no good end.
-    for goes_on in [true, false] {
-        client.say(&request(LOOK, "", ""));
+    // Two requests on one connection; the body of the second is truncated.
+    for is_complete in [true, false] {
+        client.say(&request(GET_SEATS, "", ""));
         while !client.line().is_empty() {}
-        // The first half, while the second has not left the server.
+        // The client receives the first half before the server has sent the second.
         let mut half = vec![0; LENGTH / 2];
-        client.0.read_exact(&mut half).expect("the first half");
-        go_on.send(goes_on).expect("a node");
+        client
+            .0
+            .read_exact(&mut half)
+            .expect("the client receives the first half");
+        send_rest
+            .send(is_complete)
+            .expect("the upstream server waits for its instruction");
         let read = client.0.read_exact(&mut half);
-        assert_eq!(read.is_ok(), goes_on, "{read:?}");
-        assert!(!goes_on || half.iter().all(|b| *b == b'b'));
+        assert_eq!(
+            read.is_ok(),
+            is_complete,
+            "reading the second half gave {read:?}"
+        );
+        assert!(!is_complete || half.iter().all(|byte| *byte == b'b'));
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire: what is read, what is written, and plain words on bad input.
+//! Tests of the simulator protocol: parsing of lines, encoding of actions, and errors for invalid
+//! input.
 
 use mossrill::decision::*;
 use mossrill::simulator::{parse, write, Line, Lookup, Names};
@@ -9,27 +10,28 @@
 "classes":[{"name":"look","semantics":"read_like","slo":500000,"deadline":2000000,"importance":1.5}],
 "tariffs":[{"name":"basic","refill":2.5,"peakUnits":5}],"specifics":{"mayCount":true}}]"#;
 
-struct One(Names);
+/// Names of instance 3, the only one that is running.
+struct SingleInstance(Names);
 
-impl Lookup for One {
+impl Lookup for SingleInstance {
     fn names(&self, instance: u64) -> Option<&Names> {
         (instance == 3).then_some(&self.0)
     }
 }
 
-fn one() -> One {
-    One(Names::from_line(&START.replace('\n', "")))
+fn single_instance() -> SingleInstance {
+    SingleInstance(Names::from_line(&START.replace('\n', "")))
 }
 
 #[test]
-fn settings_ignore_what_is_unknown_and_default_what_is_absent() {
+fn settings_ignore_unknown_keys_and_default_absent_ones() {
     let Ok(Line::Start {
         instance: 3,
         seed: u64::MAX,
         settings,
-    }) = parse(&START.replace('\n', ""), &one())
+    }) = parse(&START.replace('\n', ""), &single_instance())
     else {
-        panic!("not a start")
+        panic!("the line is not parsed as the start of instance 3 with its seed")
     };
     assert_eq!(
         (
@@ -43,29 +45,39 @@
 }
 
 #[test]
-fn events_and_actions_have_the_page_s_order() {
+fn values_of_events_and_actions_have_the_documented_order() {
     let line = r#"["workItem",3,"rq","look","basic","key:a",240000,2,3,1,false,false]"#;
     let Ok(Line::Event {
         instance: 3,
-        event: Event::Request(r),
-    }) = parse(line, &one())
+        event: Event::Request(request),
+    }) = parse(line, &single_instance())
     else {
-        panic!("not a request")
+        panic!("{line} is not parsed as a request of instance 3")
     };
     assert_eq!(
-        (r.timeout, r.units, r.limiter_count, r.first_limiter),
+        (
+            request.timeout,
+            request.units,
+            request.limiter_count,
+            request.first_limiter
+        ),
         (240_000, 2.0, 3, 1)
     );
     let line = r#"["resolved",3,"rq",null,86,18500,"b",303,1,false,null]"#;
     let Ok(Line::Event {
         instance: 3,
-        event: Event::AttemptEnded(e),
-    }) = parse(line, &one())
+        event: Event::AttemptEnded(result),
+    }) = parse(line, &single_instance())
     else {
-        panic!("not an outcome")
+        panic!("{line} is not parsed as an attempt result of instance 3")
     };
     assert_eq!(
-        (e.outcome, e.attempt, e.is_final, e.latency),
+        (
+            result.outcome,
+            result.attempt,
+            result.is_final,
+            result.latency
+        ),
         (Outcome::Timeout, 1, false, 18_500)
     );
     let send = Action::Send {
@@ -75,17 +87,17 @@
         write_before: Micros::MAX,
     };
     assert_eq!(write(3, &send), r#"["submitTo",3,"rq",80000,"b"]"#);
-    let count = Action::AddToCounter {
+    let counter_call = Action::AddToCounter {
         key: 9,
         amount: 4.0,
         ttl: 3_000_000,
     };
-    assert_eq!(write(3, &count), r#"["addAndGet",3,9,4.0,3000000]"#);
+    assert_eq!(write(3, &counter_call), r#"["addAndGet",3,9,4.0,3000000]"#);
 }
 
 #[test]
-fn bad_lines_are_named_in_plain_words() {
-    for (line, words) in [
+fn parse_errors_name_the_message_and_the_invalid_value() {
+    for (line, expected) in [
         ("{", "not JSON"),
         ("7", "not a list"),
         (r#"["what",3]"#, "unknown message what"),
@@ -104,42 +116,57 @@
             "unknown class none",
         ),
     ] {
-        let fault = parse(line, &one()).expect_err(line).to_string();
-        assert!(fault.contains(words), "{line}: {fault}");
+        let error = parse(line, &single_instance()).expect_err(line).to_string();
+        assert!(
+            error.contains(expected),
+            "{line} gives the error {error:?}, expected {expected:?}"
+        );
     }
 }
 
-fn host(input: &str) -> (bool, String, String) {
+/// Runs the simhost with this input. Returns whether it succeeded, and its standard output and
+/// standard error.
+fn run_simhost(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_mossrill-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
+        .expect("the simhost starts");
     child
         .stdin
         .take()
-        .expect("piped")
+        .expect("standard input is piped")
         .write_all(input.as_bytes())
-        .expect("reads");
-    let out = child.wait_with_output().expect("ends");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
-    (out.status.success(), text(out.stdout), text(out.stderr))
+        .expect("the simhost reads its input");
+    let output = child.wait_with_output().expect("the simhost exits");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is UTF-8");
+    (
+        output.status.success(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 #[test]
-fn the_host_answers_batches_and_ends_at_the_end_of_input() {
-    let (ok, out, err) = host("[\"batch\",5]\n[\"end\"]\n");
-    assert_eq!((ok, out.as_str(), err.as_str()), (true, "[\"next\"]\n", ""));
+fn simhost_replies_to_a_batch_and_exits_at_the_end_of_input() {
+    let (is_success, stdout, stderr) = run_simhost("[\"batch\",5]\n[\"end\"]\n");
+    assert_eq!(
+        (is_success, stdout.as_str(), stderr.as_str()),
+        (true, "[\"next\"]\n", "")
+    );
 }
 
 #[test]
-fn the_host_names_a_bad_line_and_gives_no_part_of_a_reply() {
+fn simhost_reports_an_invalid_line_and_writes_no_partial_reply() {
     let start = START.replace('\n', "");
-    let (ok, out, err) = host(&format!(
+    let (is_success, stdout, stderr) = run_simhost(&format!(
         "[\"batch\",5]\n{start}\n[\"fleet\",3,\"Odd\",1,[]]\n[\"end\"]\n"
     ));
-    assert!(!ok && out.is_empty());
-    assert_eq!(err.lines().count(), 1);
-    assert!(err.contains("line 3: fleet: value 2"), "{err}");
+    assert!(
+        !is_success && stdout.is_empty(),
+        "success: {is_success}, standard output: {stdout:?}"
+    );
+    assert_eq!(stderr.lines().count(), 1);
+    assert!(stderr.contains("line 3: fleet: value 2"), "{stderr}");
 }
