--- a/tests/golden/hosts.rs
+++ b/tests/golden/hosts.rs
@@ -1,4 +1,5 @@
-//! What hosts the decision engine: the program on the simulator's wire, or the library itself.
+//! Hosts of decision engines: the program `mossrill-simhost`, or the library in the process of the
+//! test.
 
 use mossrill::decision::{Action, Event};
 use mossrill::simulator::{self, Line, Lookup, Names};
@@ -8,12 +9,13 @@
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// Takes the lines of a batch and gives the lines of its reply.
+/// A host of decision engines. `exchange` sends the lines of a batch and returns the lines of the
+/// reply.
 pub trait Host {
     fn exchange(&mut self, batch: &[String]) -> Vec<String>;
 }
 
-/// The program `mossrill-simhost` over its standard input and output.
+/// The program `mossrill-simhost`, connected by its standard input and output.
 pub struct ProcessHost {
     child: Child,
     input: BufWriter<ChildStdin>,
@@ -27,9 +29,9 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let input = BufWriter::new(child.stdin.take().expect("standard input"));
-        let output = BufReader::new(child.stdout.take().expect("standard output"));
+            .expect("mossrill-simhost starts");
+        let input = BufWriter::new(child.stdin.take().expect("standard input is piped"));
+        let output = BufReader::new(child.stdout.take().expect("standard output is piped"));
         Self {
             child,
             input,
@@ -41,17 +43,19 @@
 impl Host for ProcessHost {
     fn exchange(&mut self, batch: &[String]) -> Vec<String> {
         for line in batch {
-            writeln!(self.input, "{line}").expect("the program reads");
+            writeln!(self.input, "{line}").expect("mossrill-simhost reads its input");
         }
-        self.input.flush().expect("the program reads");
+        self.input
+            .flush()
+            .expect("mossrill-simhost reads its input");
         let mut reply = Vec::new();
         loop {
             let mut line = String::new();
             let size = self
                 .output
                 .read_line(&mut line)
-                .expect("the program writes");
-            assert!(size > 0, "the program ended");
+                .expect("the output of mossrill-simhost can be read");
+            assert!(size > 0, "mossrill-simhost ended within a reply");
             reply.push(line.trim_end_matches('\n').to_owned());
             if line == "[\"next\"]\n" {
                 return reply;
@@ -67,7 +71,8 @@
     }
 }
 
-/// The library with leased quotas, which the simulator's wire does not have.
+/// Engines with leased quotas, which the protocol of the simulator does not support. Run in the
+/// process of the test.
 #[derive(Default)]
 pub struct LeasedHost {
     instances: BTreeMap<u64, (Engine, Names)>,
@@ -82,12 +87,12 @@
 
 impl LeasedHost {
     fn on_event(&mut self, number: u64, event: Event, reply: &mut Vec<String>) {
-        let Some((gateway, _)) = self.instances.get_mut(&number) else {
+        let Some((engine, _)) = self.instances.get_mut(&number) else {
             return;
         };
         let mut actions = Vec::new();
-        gateway.on_event(self.now, event, &mut actions);
-        reply.extend(actions.iter().map(|action| write(number, action)));
+        engine.on_event(self.now, event, &mut actions);
+        reply.extend(actions.iter().map(|action| write_action(number, action)));
     }
 }
 
@@ -95,18 +100,27 @@
     fn exchange(&mut self, batch: &[String]) -> Vec<String> {
         let mut reply = Vec::new();
         for line in batch {
-            let value: Value = serde_json::from_str(line).expect("the world writes JSON");
+            let value: Value = serde_json::from_str(line).expect("the world writes lines of JSON");
             if value[0] == "leased" {
-                let id = value[2].as_str().expect("an id").into();
-                let granted = value[3].as_bool().expect("granted or not");
+                let id = value[2]
+                    .as_str()
+                    .expect("value 2 of a lease reply is a request id")
+                    .into();
+                let granted = value[3]
+                    .as_bool()
+                    .expect("value 3 of a lease reply states whether units were granted");
                 self.on_event(
-                    value[1].as_u64().expect("a number"),
+                    value[1]
+                        .as_u64()
+                        .expect("value 1 of a lease reply is the number of an instance"),
                     Event::LeaseReply { id, granted },
                     &mut reply,
                 );
                 continue;
             }
-            match simulator::parse(line, self).expect("a line of the wire") {
+            match simulator::parse(line, self)
+                .expect("the world writes valid lines of the simulator protocol")
+            {
                 Line::Batch(now) => self.now = now,
                 Line::End => {}
                 Line::Start {
@@ -133,15 +147,26 @@
     }
 }
 
-fn write(number: u64, action: &Action) -> String {
+/// Returns the line for an action. Requests for leases, which the simulator protocol does not have,
+/// become `lease` lines.
+fn write_action(number: u64, action: &Action) -> String {
     match action {
         Action::RequestLease {
             id,
-            account: customer,
+            account,
             plan,
-            limiter_count: spread,
+            limiter_count,
             units,
-        } => json!(["lease", number, &*id.0, &*customer.0, plan, spread, units]).to_string(),
+        } => json!([
+            "lease",
+            number,
+            &*id.0,
+            &*account.0,
+            plan,
+            limiter_count,
+            units
+        ])
+        .to_string(),
         other => simulator::write(number, other),
     }
 }
--- a/tests/golden/main.rs
+++ b/tests/golden/main.rs
@@ -1,6 +1,7 @@
-//! Golden tests: the decisions and the bytes of the program, compared with those recorded before it was restructured.
+//! Golden tests: decisions and encoded messages are compared with those that were recorded before
+//! the program was restructured.
 //!
-//! The recorded files are never written by these tests. A difference is a change of behaviour.
+//! The tests never write the recorded files. A difference means that the behaviour has changed.
 
 #[path = "../common/golden.rs"]
 mod golden;
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,6 +1,7 @@
-//! Golden bytes of the binary messages: hand-over records, datagrams between limiters, lease reports and grants.
+//! Golden bytes of the binary messages: hand-over frames, fleet datagrams, lease reports and grants.
 //!
-//! Each recorded message is read and written again, and compared with the message that it was recorded from.
+//! Each message is encoded and compared with the recorded bytes. The recorded bytes are decoded,
+//! compared with the message, and encoded again.
 
 use crate::golden::{assert_matches, hex, recorded};
 use mossrill::handover::message::{
@@ -104,8 +105,8 @@
     ]
 }
 
-fn datagram(format: u32, word: MessageKind) -> Datagram {
-    let parts = format == PARTS_FORMAT;
+fn datagram(format: u32, kind: MessageKind) -> Datagram {
+    let has_parts = format == PARTS_FORMAT;
     let part = RevocationPart {
         first: 768,
         count: 768,
@@ -125,7 +126,7 @@
         ip: 0x7f00_0001,
         port: 7_946,
         version: 1_002_003,
-        message: Some(word),
+        message: Some(kind),
         updates: vec![GossipUpdate {
             limiter: 2,
             state: 3,
@@ -135,14 +136,14 @@
             port: 7_947,
             version: 4,
         }],
-        revoked: if parts { Vec::new() } else { vec![4, 1] },
-        revoked_part: parts.then_some(part),
-        limiters: if parts { 2_000 } else { 0 },
+        revoked: if has_parts { Vec::new() } else { vec![4, 1] },
+        revoked_part: has_parts.then_some(part),
+        limiters: if has_parts { 2_000 } else { 0 },
     }
 }
 
 fn datagrams() -> Vec<(String, Datagram)> {
-    let words = [
+    let kinds = [
         ("ping", MessageKind::Ping(true)),
         ("ack", MessageKind::Ack(true)),
         ("ask", MessageKind::PingRequest(9)),
@@ -152,7 +153,7 @@
     ];
     let formats = [FORMAT, PARTS_FORMAT];
     let named = |format| {
-        words.map(|(name, word)| (format!("{name}-format-{format}"), datagram(format, word)))
+        kinds.map(|(name, kind)| (format!("{name}-format-{format}"), datagram(format, kind)))
     };
     let mut all: Vec<_> = formats.into_iter().flat_map(named).collect();
     let runs = RevocationPart {
@@ -161,11 +162,11 @@
         bits: Vec::new(),
         runs: vec![3, 400, 1_000, 2],
     };
-    let by_runs = Datagram {
+    let datagram_with_runs = Datagram {
         revoked_part: Some(runs),
         ..datagram(PARTS_FORMAT, MessageKind::Ping(true))
     };
-    all.push(("ping-runs".into(), by_runs));
+    all.push(("ping-runs".into(), datagram_with_runs));
     all
 }
 
@@ -229,46 +230,59 @@
     grant
 }
 
-/// Compares messages with those recorded, both ways.
-fn compare<M: Message + Default + PartialEq + Debug>(file: &str, messages: &[(String, M)]) {
+/// Checks that the messages are encoded as recorded, and that the recorded bytes are decoded to the
+/// messages and encoded to the same bytes again.
+fn assert_encoding_matches<M: Message + Default + PartialEq + Debug>(
+    file: &str,
+    messages: &[(String, M)],
+) {
     let lines: String = messages
         .iter()
         .map(|(name, message)| format!("{name} {}\n", hex(&message.encode_to_vec())))
         .collect();
     assert_matches(file, &lines);
     for (line, (name, message)) in recorded(file).lines().zip(messages) {
-        let (_, digits) = line.split_once(' ').expect("a name and digits");
+        let (_, digits) = line
+            .split_once(' ')
+            .expect("a recorded line has a name and hexadecimal digits");
         let bytes = unhex(digits);
-        let read = M::decode(&*bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(&read, message, "{name} is read as another message");
+        let decoded =
+            M::decode(&*bytes).unwrap_or_else(|error| panic!("{name} can't be decoded: {error}"));
         assert_eq!(
-            read.encode_to_vec(),
+            &decoded, message,
+            "{name} is decoded to a different message"
+        );
+        assert_eq!(
+            decoded.encode_to_vec(),
             bytes,
-            "{name} is written in other bytes"
+            "{name} is not encoded to the recorded bytes again"
         );
     }
 }
 
 fn unhex(digits: &str) -> Vec<u8> {
-    let byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |start| {
+        u8::from_str_radix(&digits[start..start + 2], 16)
+            .expect("a recorded message consists of hexadecimal digits")
+    };
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
-fn hand_over_frames_are_written_and_read_as_recorded() {
+fn hand_over_frames_are_encoded_and_decoded_as_recorded() {
     let frame =
         |(name, body): (&str, HandoverMessage)| (name.to_owned(), Frame { body: Some(body) });
     let frames: Vec<_> = hand_over_bodies().into_iter().map(frame).collect();
-    compare("hand-over.txt", &frames);
+    assert_encoding_matches("hand-over.txt", &frames);
 }
 
 #[test]
-fn datagrams_are_written_and_read_as_recorded() {
-    compare("datagrams.txt", &datagrams());
+fn datagrams_are_encoded_and_decoded_as_recorded() {
+    assert_encoding_matches("datagrams.txt", &datagrams());
 }
 
 #[test]
-fn sealed_datagrams_are_those_recorded_and_open() {
+fn sealed_datagrams_match_the_recording_and_can_be_opened() {
     let key = Key::new(b"one secret of the fleet");
     let sealed = datagrams()
         .iter()
@@ -276,21 +290,23 @@
         .collect::<String>();
     assert_matches("sealed-datagrams.txt", &sealed);
     for (line, (_, datagram)) in recorded("sealed-datagrams.txt").lines().zip(datagrams()) {
-        let (_, digits) = line.split_once(' ').expect("a name and digits");
+        let (_, digits) = line
+            .split_once(' ')
+            .expect("a recorded line has a name and hexadecimal digits");
         assert_eq!(key.open("ferry", &unhex(digits)), Ok(datagram));
     }
 }
 
 #[test]
-fn lease_messages_are_written_and_read_as_recorded() {
-    compare(
+fn lease_messages_are_encoded_and_decoded_as_recorded() {
+    assert_encoding_matches(
         "lease-reports.txt",
         &[
             ("report".to_owned(), report()),
             ("empty".to_owned(), Report::default()),
         ],
     );
-    compare(
+    assert_encoding_matches(
         "lease-grants.txt",
         &[
             ("grant".to_owned(), grant()),
@@ -300,7 +316,7 @@
 }
 
 #[test]
-fn account_keys_are_those_recorded() {
+fn account_keys_match_the_recording() {
     let names = ["", "account-1", "0000000000000a1f"];
     let keys = names
         .map(|name| format!("{name:?} {:016x}\n", AccountKey::of(name).0))
--- a/tests/golden/random.rs
+++ b/tests/golden/random.rs
@@ -1,6 +1,7 @@
-//! A small random number generator whose sequence no dependency can change.
+//! Random number generator of the golden tests. It is implemented here so that no update of a
+//! dependency can change its sequence, on which the recorded traces depend.
 
-/// SplitMix64.
+/// The SplitMix64 generator.
 pub struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -16,22 +17,23 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number from 0 up to `bound`, which it never is.
+    /// Returns a number from 0 to `bound`, excluding `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound.max(1)
     }
 
-    /// A number from `least` to `most`.
-    pub fn between(&mut self, least: u64, most: u64) -> u64 {
-        least + self.below(most - least + 1)
+    /// Returns a number from `min` to `max`, including both.
+    pub fn between(&mut self, min: u64, max: u64) -> u64 {
+        min + self.below(max - min + 1)
     }
 
-    /// True in `percent` of a hundred cases.
+    /// Returns true with a probability of `percent` %.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    pub fn pick<'a, T>(&mut self, from: &'a [T]) -> &'a T {
-        &from[self.below(from.len() as u64) as usize]
+    /// Returns a random element.
+    pub fn pick<'a, T>(&mut self, elements: &'a [T]) -> &'a T {
+        &elements[self.below(elements.len() as u64) as usize]
     }
 }
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,58 +1,67 @@
-//! Settings of one sequence, as the simulator gives them to an instance.
+//! Parameters of the recorded sequences, and the settings that the simulator sends to their
+//! instances.
 
 use crate::random::SplitMix64;
 use serde_json::{json, Value};
 
-/// What one sequence is made of.
+/// Parameters of one sequence of events.
 pub struct Scenario {
     pub seed: u64,
+    /// Number of instances of the decision engine.
     pub instances: u64,
+    /// Number of zones.
     pub zones: u64,
+    /// Number of upstream servers at the start.
     pub servers: u64,
-    pub customers: u64,
-    /// Of a hundred counter calls: lost with the amount added, lost without, full, answered wrongly.
+    /// Number of accounts.
+    pub accounts: u64,
+    /// Percentages of counter calls that fail: the reply is lost after the amount was added; the
+    /// call is lost before; the call is rejected or can't connect; the reply contains a wrong
+    /// total.
     pub counter_faults: [u64; 4],
-    /// Of a hundred attempts, those that are served.
+    /// Percentage of attempts that are served.
     pub served_percent: u64,
-    /// Longest time of an attempt in microseconds.
-    pub slowest: u64,
+    /// Maximum duration of an attempt, in microseconds.
+    pub max_attempt_us: u64,
     pub polls_discovery: bool,
     pub counter: bool,
     pub hedging: bool,
     pub cancel: bool,
     pub max_attempts: u64,
-    pub late_value: bool,
+    /// Whether a response after the latency objective keeps a part of its priority weight.
+    pub has_late_weight: bool,
 }
 
 impl Scenario {
-    /// The scenario of a sequence: each combines the choices in another way.
+    /// Returns the scenario of the sequence with this number. Each number gives another combination
+    /// of parameters.
     pub fn new(number: u64) -> Self {
         let mut random = SplitMix64::new(0xd15c_0000 + number);
-        let calm = number % 4 == 0;
+        let has_few_faults = number % 4 == 0;
         Self {
             seed: number,
             instances: 1 + number % 4,
             zones: 1 + number % 3,
             servers: 3 + number % 7,
-            customers: [3, 12, 40][(number / 2 % 3) as usize],
-            counter_faults: if calm { [0; 4] } else { [3, 3, 6, 2] },
-            served_percent: if calm { 96 } else { 75 },
-            slowest: [20_000, 150_000, 900_000][random.below(3) as usize],
+            accounts: [3, 12, 40][(number / 2 % 3) as usize],
+            counter_faults: if has_few_faults { [0; 4] } else { [3, 3, 6, 2] },
+            served_percent: if has_few_faults { 96 } else { 75 },
+            max_attempt_us: [20_000, 150_000, 900_000][random.below(3) as usize],
             polls_discovery: number % 2 == 1,
             counter: number % 5 != 4,
             hedging: number % 3 != 2,
             cancel: number % 7 != 3,
             max_attempts: 1 + number % 4,
-            late_value: number % 3 == 1,
+            has_late_weight: number % 3 == 1,
         }
     }
 
-    /// The settings of one instance.
+    /// Returns the settings of one instance in the form that the simulator sends.
     pub fn settings(&self, instance: u64) -> Value {
-        let late_worth = if self.late_value { 0.4 } else { 0.0 };
+        let late_weight = if self.has_late_weight { 0.4 } else { 0.0 };
         let class = |name: &str, semantics: &str, group: &str, objective: u64, window: u64| {
             json!({"name": name, "semantics": semantics, "group": group, "slo": objective, "deadline": 2 * objective,
-                "memorySpan": window, "importance": objective as f64 / 200_000.0, "lateWorth": late_worth,
+                "memorySpan": window, "importance": objective as f64 / 200_000.0, "lateWorth": late_weight,
                 "stream": name == "stream"})
         };
         let plan = |name: &str,
@@ -98,6 +107,7 @@
     }
 }
 
+/// Names of the classes with their deadlines in microseconds.
 pub const CLASSES: [(&str, u64); 6] = [
     ("read", 800_000),
     ("keyed-all", 1_200_000),
@@ -106,4 +116,5 @@
     ("write", 1_600_000),
     ("stream", 1_000_000),
 ];
+/// Names of the plans.
 pub const PLANS: [&str; 6] = ["rate", "thin", "both", "concurrent", "ceiling", "open"];
