--- a/src/bin/mossrill-simhost.rs
+++ b/src/bin/mossrill-simhost.rs
@@ -58,7 +58,7 @@
     /// Processes one line of input. Returns whether the line completes a batch, whose reply must
     /// then be written.
     fn process_line(&mut self, text: &str) -> Result<bool, ParseError> {
-        match simulator::parse(text, self)? {
+        match simulator::parse_line(text, self)? {
             Line::Batch(now) => self.now = now,
             Line::End => return Ok(true),
             Line::Start {
@@ -80,7 +80,7 @@
                 self.instances.insert(number, Instance { engine, names });
             }
             Err(_) => {
-                let fault = simulator::write_fault(number, "panic at the start");
+                let fault = simulator::encode_fault(number, "panic at the start");
                 self.reply.push(fault);
             }
         }
@@ -98,13 +98,13 @@
         if let Err(panic) = catch_unwind(run) {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or(panic.downcast_ref::<&str>().copied());
-            let fault = simulator::write_fault(number, text.unwrap_or("panic"));
+            let fault = simulator::encode_fault(number, text.unwrap_or("panic"));
             self.reply.push(fault);
             actions.clear();
         }
         let lines = actions
             .drain(..)
-            .map(|action| simulator::write(number, &action));
+            .map(|action| simulator::encode_action(number, &action));
         self.reply.extend(lines);
     }
 
--- a/src/openapi/description/mod.rs
+++ b/src/openapi/description/mod.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Statuses {
     /// A single status.
-    Exact(u16),
+    Single(u16),
     /// All statuses with this first digit, such as 5 for `5XX`.
     FirstDigit(u16),
 }
@@ -50,12 +50,14 @@
             return Some(Self::FirstDigit(digit));
         }
         let status = text.parse().ok()?;
-        (400..=599).contains(&status).then_some(Self::Exact(status))
+        (400..=599)
+            .contains(&status)
+            .then_some(Self::Single(status))
     }
 
     fn contains(self, status: u16) -> bool {
         match self {
-            Self::Exact(exact) => exact == status,
+            Self::Single(single) => single == status,
             Self::FirstDigit(digit) => digit == status / 100,
         }
     }
@@ -95,8 +97,8 @@
     paths: Vec<Path>,
 }
 
-#[derive(Debug)]
 /// A path of the description with its operations.
+#[derive(Debug)]
 struct Path {
     segments: Vec<Segment>,
     /// Operations by method name in upper case.
--- a/src/simulator/actions.rs
+++ b/src/simulator/actions.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 /// Returns the line for an action of an instance.
-pub fn write(instance: u64, action: &Action) -> String {
+pub fn encode_action(instance: u64, action: &Action) -> String {
     let line = match action {
         Action::Send {
             id,
@@ -24,12 +24,12 @@
             json!(["addAndGet", instance, key, amount, ttl])
         }
         Action::WatchEndpoints => json!(["tail", instance, true]),
-        Action::RequestLease { .. } => return write_fault(instance, "the platform has no leases"),
+        Action::RequestLease { .. } => return encode_fault(instance, "the platform has no leases"),
     };
     line.to_string()
 }
 
 /// Returns the line that reports a failure in the code of an instance.
-pub fn write_fault(instance: u64, text: &str) -> String {
+pub fn encode_fault(instance: u64, text: &str) -> String {
     json!(["giveIn", instance, text]).to_string()
 }
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// Returns an error that names the message and the index of the value that is missing or invalid.
-pub fn parse(line: &str, lookup: &impl Lookup) -> Result<Line, ParseError> {
+pub fn parse_line(line: &str, lookup: &impl Lookup) -> Result<Line, ParseError> {
     let value: Value = serde_json::from_str(line).map_err(ParseError::NotJson)?;
     let values = value.as_array().ok_or(ParseError::NotAList)?;
     let name = values
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -8,8 +8,8 @@
 mod reader;
 mod settings;
 
-pub use actions::{write, write_fault};
+pub use actions::{encode_action, encode_fault};
 pub use error::ParseError;
-pub use events::{parse, Line};
+pub use events::{parse_line, Line};
 pub use names::{Lookup, Names};
 pub use settings::settings;
--- a/tests/golden/hosts.rs
+++ b/tests/golden/hosts.rs
@@ -92,7 +92,7 @@
         };
         let mut actions = Vec::new();
         engine.on_event(self.now, event, &mut actions);
-        reply.extend(actions.iter().map(|action| write_action(number, action)));
+        reply.extend(actions.iter().map(|action| encode_action(number, action)));
     }
 }
 
@@ -118,7 +118,7 @@
                 );
                 continue;
             }
-            match simulator::parse(line, self)
+            match simulator::parse_line(line, self)
                 .expect("the world writes valid lines of the simulator protocol")
             {
                 Line::Batch(now) => self.now = now,
@@ -149,7 +149,7 @@
 
 /// Returns the line for an action. Requests for leases, which the simulator protocol does not have,
 /// become `lease` lines.
-fn write_action(number: u64, action: &Action) -> String {
+fn encode_action(number: u64, action: &Action) -> String {
     match action {
         Action::RequestLease {
             id,
@@ -167,6 +167,6 @@
             units
         ])
         .to_string(),
-        other => simulator::write(number, other),
+        other => simulator::encode_action(number, other),
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -2,7 +2,7 @@
 //! input.
 
 use mossrill::decision::*;
-use mossrill::simulator::{parse, write, Line, Lookup, Names};
+use mossrill::simulator::{encode_action, parse_line, Line, Lookup, Names};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -29,7 +29,7 @@
         instance: 3,
         seed: u64::MAX,
         settings,
-    }) = parse(&START.replace('\n', ""), &single_instance())
+    }) = parse_line(&START.replace('\n', ""), &single_instance())
     else {
         panic!("the line is not parsed as the start of instance 3 with its seed")
     };
@@ -50,7 +50,7 @@
     let Ok(Line::Event {
         instance: 3,
         event: Event::Request(request),
-    }) = parse(line, &single_instance())
+    }) = parse_line(line, &single_instance())
     else {
         panic!("{line} is not parsed as a request of instance 3")
     };
@@ -67,7 +67,7 @@
     let Ok(Line::Event {
         instance: 3,
         event: Event::AttemptEnded(result),
-    }) = parse(line, &single_instance())
+    }) = parse_line(line, &single_instance())
     else {
         panic!("{line} is not parsed as an attempt result of instance 3")
     };
@@ -86,13 +86,16 @@
         timeout: 80_000,
         write_before: Micros::MAX,
     };
-    assert_eq!(write(3, &send), r#"["submitTo",3,"rq",80000,"b"]"#);
+    assert_eq!(encode_action(3, &send), r#"["submitTo",3,"rq",80000,"b"]"#);
     let counter_call = Action::AddToCounter {
         key: 9,
         amount: 4.0,
         ttl: 3_000_000,
     };
-    assert_eq!(write(3, &counter_call), r#"["addAndGet",3,9,4.0,3000000]"#);
+    assert_eq!(
+        encode_action(3, &counter_call),
+        r#"["addAndGet",3,9,4.0,3000000]"#
+    );
 }
 
 #[test]
@@ -116,7 +119,9 @@
             "unknown class none",
         ),
     ] {
-        let error = parse(line, &single_instance()).expect_err(line).to_string();
+        let error = parse_line(line, &single_instance())
+            .expect_err(line)
+            .to_string();
         assert!(
             error.contains(expected),
             "{line} gives the error {error:?}, expected {expected:?}"
