--- a/src/simulator/actions.rs
+++ b/src/simulator/actions.rs
@@ -1,12 +1,12 @@
-//! Lines to the simulator: actions of instances, and errors of their code.
+//! Encoder of the lines sent to the simulator: actions of instances, and failures of their code.
 
 use crate::decision::Action;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde_json::json;
 
-/// Writes one action of an instance as a line.
-pub fn write(instance: u64, action: &Action) -> String {
+/// Returns the line for an action of an instance.
+pub fn encode_action(instance: u64, action: &Action) -> String {
     let line = match action {
         Action::Send {
             id,
@@ -24,12 +24,12 @@
             json!(["addAndGet", instance, key, amount, ttl])
         }
         Action::WatchEndpoints => json!(["tail", instance, true]),
-        Action::RequestLease { .. } => return write_fault(instance, "the platform has no leases"),
+        Action::RequestLease { .. } => return encode_fault(instance, "the platform has no leases"),
     };
     line.to_string()
 }
 
-/// Writes that the code of an instance has failed.
-pub fn write_fault(instance: u64, text: &str) -> String {
+/// Returns the line that reports a failure in the code of an instance.
+pub fn encode_fault(instance: u64, text: &str) -> String {
     json!(["giveIn", instance, text]).to_string()
 }
