--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,5 @@
-//! Codec of the simulator's wire: JSON lines in, JSON lines out. The names of the wire occur here alone.
+//! Codec for the protocol of the simulator: JSON lines in both directions. Its wire names are used
+//! in this module only.
 
 mod actions;
 mod error;
@@ -7,8 +8,8 @@
 mod reader;
 mod settings;
 
-pub use actions::{write, write_fault};
+pub use actions::{encode_action, encode_fault};
 pub use error::ParseError;
-pub use events::{parse, Line};
+pub use events::{parse_line, Line};
 pub use names::{Lookup, Names};
 pub use settings::settings;
