--- a/tests/quota_lease/figures.rs
+++ b/tests/quota_lease/figures.rs
@@ -1,5 +1,6 @@
-//! What messages and state take. Prints figures, asserts no times: `cargo test --release --test quota_lease figures --
-//! --ignored --nocapture`.
+//! Measures the size of messages, the memory of the state and the processing time per entry. The tests
+//! print the results and assert no times. To run them:
+//! `cargo test --release --test quota_lease figures -- --ignored --nocapture`.
 
 use std::time::Instant;
 
@@ -13,7 +14,9 @@
     rate: 500,
     burst: 5_000,
 };
-const SPREAD: u32 = 100;
+/// Number of limiters that receive requests of each account.
+const LIMITER_COUNT: u32 = 100;
+/// Time of the first request.
 const START: u64 = 1_000 * SECOND;
 
 fn allocator() -> Allocator {
@@ -40,12 +43,12 @@
     )
 }
 
-fn name(number: usize) -> AccountKey {
+fn account_key(number: usize) -> AccountKey {
     AccountKey::of(&format!("tenant-{number}"))
 }
 
-/// Resident memory of this process in bytes.
-fn resident() -> usize {
+/// Returns the resident memory of this process in bytes, for pages of 4 KiB.
+fn resident_bytes() -> usize {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap();
     pages
         .split_whitespace()
@@ -67,56 +70,62 @@
 }
 
 #[test]
-#[ignore = "prints figures"]
-fn figures_of_messages() {
-    println!("entries  report bytes  a entry  grant bytes  a entry");
+#[ignore = "prints measurements only"]
+fn measure_message_sizes() {
+    println!("entries  report bytes  per entry  grant bytes  per entry");
     for entries in [0, 1, 2, 5, 20, 100, 1_000] {
         let (mut holder, mut allocator) = (holder(), allocator());
-        // The allocator is known, as it is after the first report.
-        holder.take(START, name(usize::MAX), PLAN, SPREAD, 1_000);
+        // The first exchange makes the incarnation of the allocator known to the holder.
+        holder.take(START, account_key(usize::MAX), PLAN, LIMITER_COUNT, 1_000);
         exchange(&mut holder, &mut allocator, START);
         (0..entries).for_each(|number| {
-            drop(holder.take(START + SECOND, name(number), PLAN, SPREAD, 1_000))
+            drop(holder.take(
+                START + SECOND,
+                account_key(number),
+                PLAN,
+                LIMITER_COUNT,
+                1_000,
+            ))
         });
         let exchanged = exchange(&mut holder, &mut allocator, START + SECOND);
         let (report, grant) = exchanged.last().map_or((0, 0), |(report, grant)| {
             (report.encoded_len(), grant.encoded_len())
         });
-        let each = |bytes: usize| bytes as f64 / entries.max(1) as f64;
+        let per_entry = |bytes: usize| bytes as f64 / entries.max(1) as f64;
         println!(
-            "{entries:>7}  {report:>12}  {:>7.1}  {grant:>11}  {:>7.1}",
-            each(report),
-            each(grant)
+            "{entries:>7}  {report:>12}  {:>9.1}  {grant:>11}  {:>9.1}",
+            per_entry(report),
+            per_entry(grant)
         );
     }
 }
 
 #[test]
-#[ignore = "prints figures"]
-fn figures_of_state() {
+#[ignore = "prints measurements only"]
+fn measure_memory_of_state() {
     const ACCOUNTS: usize = 20_000;
-    let before = resident();
+    let bytes_before = resident_bytes();
     let mut holder = holder();
     for number in 0..ACCOUNTS {
         let now = START + number as u64;
         holder.on_connection_lost(now, 0);
-        holder.take(now, name(number), PLAN, 1, 1_000);
+        holder.take(now, account_key(number), PLAN, 1, 1_000);
     }
-    let held = resident() - before;
+    let holder_bytes = resident_bytes() - bytes_before;
     println!(
-        "holder, thin: {} accounts, {} bytes each with maps",
+        "holder, accounts with one request each: {} accounts, {} bytes per account including maps",
         holder.accounts(),
-        held / holder.accounts()
+        holder_bytes / holder.accounts()
     );
 
     let mut allocator = allocator();
-    let mut busy = self::holder();
-    let before = resident();
+    let mut leased_holder = self::holder();
+    let bytes_before = resident_bytes();
     for second in 0..10 {
         for number in 0..ACCOUNTS / 20 {
-            busy.take(
+            leased_holder.take(
                 START + second * SECOND,
-                name(number),
+                account_key(number),
                 PlanLimits {
                     rate: 1_000_000,
                     burst: 1_000_000,
@@ -125,26 +134,26 @@
                 1_000,
             );
         }
-        exchange(&mut busy, &mut allocator, START + second * SECOND);
+        exchange(&mut leased_holder, &mut allocator, START + second * SECOND);
         exchange(
-            &mut busy,
+            &mut leased_holder,
             &mut allocator,
             START + second * SECOND + SECOND / 2,
         );
     }
-    let both = resident() - before;
+    let total_bytes = resident_bytes() - bytes_before;
     println!(
-        "both sides, leased: {} accounts, {} bytes each",
-        busy.accounts(),
-        both / busy.accounts()
+        "holder and allocator, leased: {} accounts, {} bytes per account",
+        leased_holder.accounts(),
+        total_bytes / leased_holder.accounts()
     );
     println!(
-        "holder, leased: {} bytes each without maps",
-        busy.account_bytes() / busy.accounts()
+        "holder, leased: {} bytes per account without maps",
+        leased_holder.account_bytes() / leased_holder.accounts()
     );
 
     let mut allocator = self::allocator();
-    let before = resident();
+    let bytes_before = resident_bytes();
     for number in 0..ACCOUNTS as u64 {
         let mut report = Report {
             format: 1,
@@ -154,18 +163,18 @@
         };
         report.push(&ReportEntry {
             waiting: 1_000,
-            ..ReportEntry::new(name(number as usize), PLAN)
+            ..ReportEntry::new(account_key(number as usize), PLAN)
         });
         allocator.on_report(START, &report).unwrap();
     }
-    let kept = resident() - before;
+    let allocator_bytes = resident_bytes() - bytes_before;
     println!(
-        "allocator: {} accounts, {} bytes each with maps",
+        "allocator: {} accounts, {} bytes per account including maps",
         allocator.accounts(),
-        kept / allocator.accounts()
+        allocator_bytes / allocator.accounts()
     );
 
-    let before = allocator.cached_answer_bytes();
+    let bytes_before = allocator.cached_answer_bytes();
     for limiter in 0..2_000 {
         let mut report = Report {
             format: 1,
@@ -177,50 +186,51 @@
         for number in 0..20 {
             report.push(&ReportEntry {
                 waiting: 1_000,
-                ..ReportEntry::new(name(number), PLAN)
+                ..ReportEntry::new(account_key(number), PLAN)
             });
         }
         allocator.on_report(START, &report).unwrap();
     }
     println!(
-        "kept answers of 2,000 limiters, 20 entries each: {} bytes",
-        allocator.cached_answer_bytes() - before
+        "cached answers to 2,000 limiters, 20 entries each: {} bytes",
+        allocator.cached_answer_bytes() - bytes_before
     );
 }
 
 #[test]
-#[ignore = "prints figures"]
-fn figures_of_time() {
+#[ignore = "prints measurements only"]
+fn measure_processing_time() {
     const ROUNDS: u64 = 2_000;
-    println!("entries  allocator ns an entry  holder ns an entry (take, report and answer)");
+    println!("entries  allocator ns per entry  holder ns per entry (request, report and answer)");
     for entries in [1, 20, 200] {
         let (mut holder, mut allocator) = (holder(), allocator());
-        let (mut of_allocator, mut of_holder) = (0, 0);
+        let (mut allocator_ns, mut holder_ns) = (0, 0);
         for round in 0..ROUNDS {
             let now = START + round * SECOND;
-            let began = Instant::now();
-            (0..entries)
-                .for_each(|number| drop(holder.take(now, name(number), PLAN, SPREAD, 1_000)));
+            let start = Instant::now();
+            (0..entries).for_each(|number| {
+                drop(holder.take(now, account_key(number), PLAN, LIMITER_COUNT, 1_000))
+            });
             let reports = holder.poll(now).reports;
-            of_holder += began.elapsed().as_nanos();
+            holder_ns += start.elapsed().as_nanos();
             for (_, report) in reports {
                 let bytes = report.encode_to_vec();
-                let began = Instant::now();
+                let start = Instant::now();
                 let grant = allocator
                     .on_report(now, &Report::read(&bytes).unwrap())
                     .unwrap()
                     .encode_to_vec();
-                of_allocator += began.elapsed().as_nanos();
-                let began = Instant::now();
+                allocator_ns += start.elapsed().as_nanos();
+                let start = Instant::now();
                 holder.on_grant(now, &Grant::read(&grant).unwrap()).unwrap();
-                of_holder += began.elapsed().as_nanos();
+                holder_ns += start.elapsed().as_nanos();
             }
         }
-        let sent = holder.figures().entries.max(1);
+        let entries_sent = holder.figures().entries.max(1);
         println!(
-            "{entries:>7}  {:>22}  {:>18}",
-            of_allocator / u128::from(sent),
-            of_holder / u128::from(sent)
+            "{entries:>7}  {:>22}  {:>19}",
+            allocator_ns / u128::from(entries_sent),
+            holder_ns / u128::from(entries_sent)
         );
     }
 }
--- a/tests/quota_lease/holder.rs
+++ b/tests/quota_lease/holder.rs
@@ -1,4 +1,5 @@
-//! One limiter, answered by hand.
+//! Unit tests of the holder: each test plays the allocators of one limiter and checks its reports and
+//! the answers to its requests.
 
 use mossrill::decision::Micros;
 use mossrill::quota_lease::holder::{
@@ -13,14 +14,17 @@
 const SECOND: Micros = 1_000_000;
 const MILLI: Micros = 1_000;
 const START: Micros = 100 * SECOND;
-const SPREAD: u32 = 10;
+/// Number of limiters that receive requests of the account.
+const LIMITER_COUNT: u32 = 10;
+/// One unit in thousandths.
 const UNIT: u64 = 1_000;
 const PLAN: PlanLimits = PlanLimits {
     rate: 100 * UNIT,
     burst: 200 * UNIT,
 };
-/// Of the one allocator.
+/// Incarnation of the only allocator.
 const INCARNATION: u64 = 8;
+/// Time slot in which the allocator grants units.
 const SLOT: u64 = 3;
 
 fn account() -> AccountKey {
@@ -43,10 +47,10 @@
 }
 
 fn take(holder: &mut Holder, now: Micros, units: u64) -> TakeResult {
-    holder.take(now, account(), PLAN, SPREAD, units)
+    holder.take(now, account(), PLAN, LIMITER_COUNT, units)
 }
 
-fn take_one(holder: &mut Holder, now: Micros) -> TakeResult {
+fn take_unit(holder: &mut Holder, now: Micros) -> TakeResult {
     take(holder, now, UNIT)
 }
 
@@ -54,22 +58,24 @@
     matches!(take, TakeResult::Taken(_))
 }
 
+/// Returns the ticket of a waiting request.
 fn ticket(take: TakeResult) -> Ticket {
     match take {
         TakeResult::Waiting(ticket) => ticket,
-        other => panic!("{other:?}"),
+        other => panic!("expected a waiting request, got {other:?}"),
     }
 }
 
+/// Returns the receipt of a request that took its units.
 fn receipt(take: TakeResult) -> Receipt {
     match take {
         TakeResult::Taken(receipt) => receipt,
-        other => panic!("{other:?}"),
+        other => panic!("expected taken units, got {other:?}"),
     }
 }
 
-/// The only report that is sent now.
-fn sent(holder: &mut Holder, now: Micros) -> Report {
+/// Polls the holder and returns the only report that it sends.
+fn sent_report(holder: &mut Holder, now: Micros) -> Report {
     let poll = holder.poll(now);
     assert_eq!(poll.reports.len(), 1, "{poll:?}");
     poll.reports.into_iter().next().unwrap().1
@@ -116,11 +122,11 @@
     report.entries().next().unwrap()
 }
 
-/// A limiter that was granted so many units at `START`, of which the first request took one.
-fn with_lease(units: u64) -> Holder {
+/// Returns a holder that was granted `units` at `START`, of which the first request took one unit.
+fn holder_with_lease(units: u64) -> Holder {
     let mut holder = holder();
-    take_one(&mut holder, START);
-    let report = sent(&mut holder, START);
+    take_unit(&mut holder, START);
+    let report = sent_report(&mut holder, START);
     holder
         .on_grant(START, &answer(&report, &[granted(units)]))
         .unwrap();
@@ -128,11 +134,11 @@
 }
 
 #[test]
-fn the_first_request_asks_at_once_and_is_answered_by_its_grant() {
+fn first_request_is_reported_at_once_and_answered_by_the_grant() {
     let mut holder = holder();
-    let first = ticket(take_one(&mut holder, START));
+    let first = ticket(take_unit(&mut holder, START));
     assert_eq!(holder.next_wake(), 0);
-    let report = sent(&mut holder, START);
+    let report = sent_report(&mut holder, START);
     let entry = only_entry(&report);
     assert_eq!(
         (entry.account, entry.limits, entry.waiting, entry.expected),
@@ -152,84 +158,84 @@
         (*ticket, receipt.leased(), receipt.fallback()),
         (first, UNIT, 0)
     );
-    // Two more without asking.
-    assert!(is_taken(&take_one(&mut holder, START + 2 * MILLI)));
-    assert!(is_taken(&take_one(&mut holder, START + 3 * MILLI)));
-    ticket_of_third(take_one(&mut holder, START + 4 * MILLI));
+    // The remaining units serve two more requests without a report.
+    assert!(is_taken(&take_unit(&mut holder, START + 2 * MILLI)));
+    assert!(is_taken(&take_unit(&mut holder, START + 3 * MILLI)));
+    assert_second_ticket(take_unit(&mut holder, START + 4 * MILLI));
 }
 
-fn ticket_of_third(take: TakeResult) {
+fn assert_second_ticket(take: TakeResult) {
     assert_eq!(ticket(take), Ticket(1));
 }
 
 #[test]
-fn one_report_is_out_at_a_time_and_is_sent_again_with_its_number() {
+fn one_report_is_in_flight_at_a_time_and_is_retried_with_its_sequence_number() {
     let mut holder = holder();
-    take_one(&mut holder, START);
-    let first = sent(&mut holder, START);
-    take_one(&mut holder, START + MILLI);
+    take_unit(&mut holder, START);
+    let first = sent_report(&mut holder, START);
+    take_unit(&mut holder, START + MILLI);
     assert!(sends_nothing(&mut holder, START + MILLI));
-    let again = START + settings().retry_report_after;
-    assert_eq!(holder.next_wake(), again);
-    assert_eq!(sent(&mut holder, again), first);
+    let retry_at = START + settings().retry_report_after;
+    assert_eq!(holder.next_wake(), retry_at);
+    assert_eq!(sent_report(&mut holder, retry_at), first);
     holder
-        .on_grant(again, &answer(&first, &[granted(UNIT)]))
+        .on_grant(retry_at, &answer(&first, &[granted(UNIT)]))
         .unwrap();
-    let second = sent(&mut holder, again);
+    let second = sent_report(&mut holder, retry_at);
     assert_eq!(
         (second.sequence, only_entry(&second).waiting),
         (first.sequence + 1, UNIT)
     );
-    // The answer to the first one, once more.
-    let twice = holder.on_grant(again, &answer(&first, &[granted(UNIT)]));
-    assert_eq!(twice, Err(MessageError::Outdated(first.sequence)));
+    // A duplicate of the answer to the first report.
+    let duplicate = holder.on_grant(retry_at, &answer(&first, &[granted(UNIT)]));
+    assert_eq!(duplicate, Err(MessageError::Outdated(first.sequence)));
     assert_eq!(holder.dropped().outdated, 1);
 }
 
 #[test]
-fn reports_keep_their_spacing() {
+fn reports_keep_their_minimum_spacing() {
     let mut holder = holder();
-    take_one(&mut holder, START);
-    let first = sent(&mut holder, START);
+    take_unit(&mut holder, START);
+    let first = sent_report(&mut holder, START);
     holder
         .on_grant(START + MILLI, &answer(&first, &[granted(UNIT)]))
         .unwrap();
-    take_one(&mut holder, START + 2 * MILLI);
+    take_unit(&mut holder, START + 2 * MILLI);
     assert!(sends_nothing(&mut holder, START + 2 * MILLI));
     assert_eq!(holder.next_wake(), START + settings().min_report_spacing);
-    sent(&mut holder, START + settings().min_report_spacing);
+    sent_report(&mut holder, START + settings().min_report_spacing);
 }
 
 #[test]
-fn nothing_is_used_of_a_lease_that_expired() {
-    let holder = with_lease(5 * UNIT);
+fn expired_leases_are_not_used() {
+    let holder = holder_with_lease(5 * UNIT);
     let end = START + lease();
-    assert!(is_taken(&take_one(&mut holder.clone(), end - 1)));
-    assert!(!is_taken(&take_one(&mut holder.clone(), end)));
-    // A limiter that stood still and did not look in between.
-    assert!(!is_taken(&take_one(&mut holder.clone(), end + lease())));
+    assert!(is_taken(&take_unit(&mut holder.clone(), end - 1)));
+    assert!(!is_taken(&take_unit(&mut holder.clone(), end)));
+    // A limiter whose process was paused and did not poll the holder in between.
+    assert!(!is_taken(&take_unit(&mut holder.clone(), end + lease())));
     assert_eq!(holder.leased(end, account()), 0);
 }
 
 #[test]
-fn a_lease_lasts_from_the_first_sending_of_its_report() {
+fn lease_begins_when_its_report_is_first_sent() {
     let mut holder = holder();
-    take_one(&mut holder, START);
-    let report = sent(&mut holder, START);
-    let again = START + settings().retry_report_after;
-    sent(&mut holder, again);
+    take_unit(&mut holder, START);
+    let report = sent_report(&mut holder, START);
+    let retry_at = START + settings().retry_report_after;
+    sent_report(&mut holder, retry_at);
     holder
-        .on_grant(again, &answer(&report, &[granted(5 * UNIT)]))
+        .on_grant(retry_at, &answer(&report, &[granted(5 * UNIT)]))
         .unwrap();
     assert_eq!(holder.leased(START + lease() - 1, account()), 4 * UNIT);
     assert_eq!(holder.leased(START + lease(), account()), 0);
 }
 
 #[test]
-fn no_lease_lasts_longer_than_this_limiter_expects() {
+fn lease_duration_is_limited_by_the_settings_of_the_holder() {
     let mut holder = holder();
-    take_one(&mut holder, START);
-    let report = sent(&mut holder, START);
+    take_unit(&mut holder, START);
+    let report = sent_report(&mut holder, START);
     let grant = Grant {
         lease_ms: u32::MAX,
         ..answer(&report, &[granted(5 * UNIT)])
@@ -239,11 +245,11 @@
 }
 
 #[test]
-fn what_an_expired_lease_left_is_returned_once_to_the_incarnation_that_granted_it() {
-    let mut holder = with_lease(5 * UNIT);
+fn unused_units_of_an_expired_lease_are_returned_once_to_the_granting_incarnation() {
+    let mut holder = holder_with_lease(5 * UNIT);
     let end = START + lease();
     holder.poll(end - 1);
-    let report = sent(&mut holder, end);
+    let report = sent_report(&mut holder, end);
     let entry = only_entry(&report);
     assert_eq!(
         (report.addressed_to, entry.returned, entry.returned_slot),
@@ -252,17 +258,20 @@
     holder
         .on_grant(end, &answer(&report, &[granted(0)]))
         .unwrap();
-    take_one(&mut holder, end + SECOND);
-    assert_eq!(only_entry(&sent(&mut holder, end + SECOND)).returned, 0);
+    take_unit(&mut holder, end + SECOND);
+    assert_eq!(
+        only_entry(&sent_report(&mut holder, end + SECOND)).returned,
+        0
+    );
 }
 
 #[test]
-fn what_another_incarnation_granted_is_not_returned() {
-    let mut holder = with_lease(5 * UNIT);
-    // Another account's report is answered by a later process of the allocator.
+fn units_granted_by_an_earlier_incarnation_are_not_returned() {
+    let mut holder = holder_with_lease(5 * UNIT);
+    // A report for another account is answered by a later incarnation of the allocator.
     let later = START + SECOND;
-    holder.take(later, AccountKey::of("b"), PLAN, SPREAD, UNIT);
-    let report = sent(&mut holder, later);
+    holder.take(later, AccountKey::of("b"), PLAN, LIMITER_COUNT, UNIT);
+    let report = sent_report(&mut holder, later);
     let grant = Grant {
         incarnation: INCARNATION + 1,
         ..answer(&report, &[granted(UNIT)])
@@ -270,25 +279,25 @@
     holder.on_grant(later, &grant).unwrap();
     assert!(sends_nothing(&mut holder, START + lease()));
     assert_eq!(holder.figures().returned, 0);
-    // The earlier process is heard no more.
-    take_one(&mut holder, START + lease());
-    let report = sent(&mut holder, START + lease());
+    // Answers of the earlier incarnation are dropped.
+    take_unit(&mut holder, START + lease());
+    let report = sent_report(&mut holder, START + lease());
     let refused = holder.on_grant(START + lease(), &answer(&report, &[granted(UNIT)]));
     assert_eq!(refused, Err(MessageError::Outdated(report.sequence)));
 }
 
 #[test]
-fn units_put_back_go_into_their_own_lease() {
-    let mut holder = with_lease(2 * UNIT);
-    let last = receipt(take_one(&mut holder, START + MILLI));
+fn units_that_are_put_back_return_to_the_lease_they_came_from() {
+    let mut holder = holder_with_lease(2 * UNIT);
+    let last = receipt(take_unit(&mut holder, START + MILLI));
     assert_eq!(holder.leased(START + MILLI, account()), 0);
     holder.put_back(START + 2 * MILLI, last);
     assert_eq!(holder.leased(START + 2 * MILLI, account()), UNIT);
-    // A later lease gets nothing of what was taken out of an earlier one.
-    let early = receipt(take_one(&mut holder, START + 3 * MILLI));
+    // Units taken from an earlier lease are not added to a later one.
+    let early = receipt(take_unit(&mut holder, START + 3 * MILLI));
     let later = START + SECOND;
-    ticket(take_one(&mut holder, later));
-    let report = sent(&mut holder, later);
+    ticket(take_unit(&mut holder, later));
+    let report = sent_report(&mut holder, later);
     holder
         .on_grant(later, &answer(&report, &[granted(3 * UNIT)]))
         .unwrap();
@@ -299,12 +308,12 @@
 }
 
 #[test]
-fn exhausted_accounts_cost_no_message_until_the_hold_off_is_over() {
+fn exhausted_accounts_send_no_reports_during_the_hold_off_time() {
     let mut holder = holder();
-    let first = ticket(take_one(&mut holder, START));
-    let second = ticket(take_one(&mut holder, START));
-    let report = sent(&mut holder, START);
-    let third = ticket(take_one(&mut holder, START));
+    let first = ticket(take_unit(&mut holder, START));
+    let second = ticket(take_unit(&mut holder, START));
+    let report = sent_report(&mut holder, START);
+    let third = ticket(take_unit(&mut holder, START));
     let answers = holder
         .on_grant(START, &answer(&report, &[exhausted(UNIT, 700)]))
         .unwrap();
@@ -327,15 +336,15 @@
         let expected = TakeResult::Denied {
             retry_after: 700 * MILLI - passed,
         };
-        assert_eq!(take_one(&mut holder, START + passed), expected);
+        assert_eq!(take_unit(&mut holder, START + passed), expected);
         assert!(sends_nothing(&mut holder, START + passed));
     }
-    ticket(take_one(&mut holder, START + 700 * MILLI));
-    sent(&mut holder, START + 700 * MILLI);
+    ticket(take_unit(&mut holder, START + 700 * MILLI));
+    sent_report(&mut holder, START + 700 * MILLI);
 }
 
 #[test]
-fn a_request_larger_than_the_burst_is_denied_for_good() {
+fn request_larger_than_the_burst_is_denied_permanently() {
     let mut holder = holder();
     let never = TakeResult::Denied {
         retry_after: Micros::MAX,
@@ -347,8 +356,11 @@
         rate: u64::MAX,
         burst: u64::MAX,
     };
-    assert_eq!(holder.take(START, account(), huge, SPREAD, UNIT), never);
-    assert!(is_taken(&take(&mut with_lease(UNIT), START, 0)));
+    assert_eq!(
+        holder.take(START, account(), huge, LIMITER_COUNT, UNIT),
+        never
+    );
+    assert!(is_taken(&take(&mut holder_with_lease(UNIT), START, 0)));
     assert!(sends_nothing(&mut holder, START));
     let largest = PlanLimits {
         rate: MAX_UNITS,
@@ -357,33 +369,36 @@
     for _ in 0..3 {
         ticket(holder.take(START, account(), largest, u32::MAX, MAX_UNITS));
     }
-    assert_eq!(only_entry(&sent(&mut holder, START)).waiting, MAX_UNITS);
+    assert_eq!(
+        only_entry(&sent_report(&mut holder, START)).waiting,
+        MAX_UNITS
+    );
 }
 
 #[test]
-fn leases_follow_use_and_an_account_that_comes_once_asks_for_nothing_more() {
-    // Ten requests a second.
+fn leases_follow_demand_and_rare_requests_ask_only_for_their_own_units() {
+    // Ten requests per second.
     let mut holder = holder();
-    let (mut waited, mut asked) = (Vec::new(), Vec::new());
+    let (mut has_waited, mut requested) = (Vec::new(), Vec::new());
     for step in 0..300u64 {
         let now = START + step * SECOND / 10;
-        let waits = !is_taken(&take_one(&mut holder, now));
-        waited.push(waits);
+        let waits = !is_taken(&take_unit(&mut holder, now));
+        has_waited.push(waits);
         for (_, report) in holder.poll(now).reports {
             let entries: Vec<_> = report
                 .entries()
                 .map(|entry| granted(entry.waiting + entry.expected))
                 .collect();
-            asked.extend(entries.iter().map(|entry| entry.units));
+            requested.extend(entries.iter().map(|entry| entry.units));
             holder.on_grant(now, &answer(&report, &entries)).unwrap();
         }
     }
-    let waits = |from: usize| waited[from..].iter().filter(|waits| **waits).count();
-    assert!(waits(0) < 20 && waits(100) == 0, "{waited:?}");
-    assert!(asked.iter().max() > Some(&(20 * UNIT)), "{asked:?}");
+    let waits = |from: usize| has_waited[from..].iter().filter(|waits| **waits).count();
+    assert!(waits(0) < 20 && waits(100) == 0, "{has_waited:?}");
+    assert!(requested.iter().max() > Some(&(20 * UNIT)), "{requested:?}");
     let figures = holder.figures();
     assert!(figures.returned < figures.granted / 10, "{figures:?}");
-    // Then none: what is left is returned, and nothing more is asked for.
+    // Then no requests: unused units are returned and none are requested.
     for step in 0..60 {
         let now = START + (30 + step) * SECOND;
         for (_, report) in holder.poll(now).reports {
@@ -399,12 +414,12 @@
     let figures = holder.figures();
     assert_eq!(figures.granted, figures.taken + figures.returned);
 
-    // One request a minute: each asks for itself alone.
+    // One request per minute: each report asks only for the units of that request.
     let mut holder = self::holder();
     for minute in 0..10 {
         let now = START + minute * 60 * SECOND;
-        take_one(&mut holder, now);
-        let report = sent(&mut holder, now);
+        take_unit(&mut holder, now);
+        let report = sent_report(&mut holder, now);
         assert_eq!(
             (only_entry(&report).waiting, only_entry(&report).expected),
             (UNIT, 0)
@@ -418,14 +433,14 @@
 }
 
 #[test]
-fn an_owner_that_does_not_answer_leaves_the_fallback_part() {
-    // Half of the quota over ten limiters: 5 a second, 10 at once.
+fn requests_use_the_fallback_share_if_the_owner_does_not_answer() {
+    // Half of the quota divided by ten limiters: 5 units per second, burst of 10 units.
     let mut holder = holder();
     let mut waiting: Vec<_> = (0..12)
-        .map(|_| ticket(take_one(&mut holder, START + 50 * SECOND)))
+        .map(|_| ticket(take_unit(&mut holder, START + 50 * SECOND)))
         .collect();
     let sent_at = START + 50 * SECOND;
-    sent(&mut holder, sent_at);
+    sent_report(&mut holder, sent_at);
     assert!(holder
         .poll(sent_at + settings().unavailable_after - 1)
         .answers
@@ -444,11 +459,11 @@
             retry_after: SECOND / 5
         }
     );
-    // It goes on without waiting.
+    // Later requests use the fallback share without waiting.
     let now = sent_at + settings().unavailable_after + SECOND / 5;
-    assert_eq!(receipt(take_one(&mut holder, now)).fallback(), UNIT);
+    assert_eq!(receipt(take_unit(&mut holder, now)).fallback(), UNIT);
     assert_eq!(
-        take_one(&mut holder, now),
+        take_unit(&mut holder, now),
         TakeResult::Denied {
             retry_after: SECOND / 5
         }
@@ -456,76 +471,77 @@
 }
 
 #[test]
-fn a_part_is_opened_with_what_is_surely_unused() {
-    // A process that has just started knows nothing of what the last one used.
+fn fallback_share_starts_with_the_units_that_are_certainly_unused() {
+    // A process that has just started does not know what the previous one used, so the share is empty.
     let mut holder = holder();
     holder.on_connection_lost(START, 0);
     assert_eq!(
-        take_one(&mut holder, START),
+        take_unit(&mut holder, START),
         TakeResult::Denied {
             retry_after: SECOND / 5
         }
     );
-    assert!(is_taken(&take_one(&mut holder, START + SECOND / 5)));
-    // What was taken out of leases is used as well.
+    assert!(is_taken(&take_unit(&mut holder, START + SECOND / 5)));
+    // Units taken from leases count as used.
     let mut holder = Holder::new(0, settings());
     take(&mut holder, START, 7 * UNIT);
-    let report = sent(&mut holder, START);
+    let report = sent_report(&mut holder, START);
     holder
         .on_grant(START, &answer(&report, &[granted(7 * UNIT)]))
         .unwrap();
     holder.on_connection_lost(START, 0);
     let taken = (0..10)
-        .filter(|_| is_taken(&take_one(&mut holder, START)))
+        .filter(|_| is_taken(&take_unit(&mut holder, START)))
         .count();
     assert_eq!(taken, 3);
 }
 
 #[test]
-fn without_a_fallback_nothing_goes_beyond_and_a_least_part_holds_a_unit() {
-    let lost = |settings| {
+fn disabled_fallback_serves_nothing_and_minimum_burst_serves_one_unit() {
+    let is_served_after_connection_loss = |settings| {
         let mut holder = Holder::new(0, settings);
         holder.on_connection_lost(START, 0);
-        let thin = PlanLimits {
+        let low_rate_plan = PlanLimits {
             rate: 10,
             burst: 2 * UNIT,
         };
-        is_taken(&holder.take(1_000 * START, account(), thin, 100, UNIT))
+        is_taken(&holder.take(1_000 * START, account(), low_rate_plan, 100, UNIT))
     };
-    assert!(!lost(HolderSettings {
+    assert!(!is_served_after_connection_loss(HolderSettings {
         fallback_thousandths: 0,
         fallback_min_burst: UNIT,
         ..settings()
     }));
-    assert!(!lost(settings()));
-    assert!(lost(HolderSettings {
+    assert!(!is_served_after_connection_loss(settings()));
+    assert!(is_served_after_connection_loss(HolderSettings {
         fallback_min_burst: UNIT,
         ..settings()
     }));
 }
 
 #[test]
-fn use_beyond_is_reported_once_when_the_owner_is_back() {
+fn fallback_use_is_reported_once_when_the_owner_answers_again() {
     let mut holder = Holder::new(0, settings());
     holder.on_connection_lost(START, 0);
-    receipt(take_one(&mut holder, START));
-    let undone = receipt(take(&mut holder, START, 2 * UNIT));
+    receipt(take_unit(&mut holder, START));
+    let unused = receipt(take(&mut holder, START, 2 * UNIT));
     receipt(take(&mut holder, START, 3 * UNIT));
-    holder.put_back(START, undone);
-    // It is asked whether it is back, with nothing that might be counted without an answer.
+    holder.put_back(START, unused);
+    // The probe of the owner has no entries, because the owner might process them although its answer
+    // is lost.
     let retry = START + settings().probe_after;
     assert!(sends_nothing(&mut holder, retry - 1));
-    let report = sent(&mut holder, retry);
+    let report = sent_report(&mut holder, retry);
     assert!(report.accounts.is_empty());
     holder.on_grant(retry, &answer(&report, &[])).unwrap();
     let later = retry + settings().report_interval;
-    let report = sent(&mut holder, later);
+    let report = sent_report(&mut holder, later);
     assert_eq!(only_entry(&report).fallback_used, 4 * UNIT);
-    // Lost on its way, perhaps after it was counted: it is not told twice.
+    // The report is lost, possibly after it was processed, so its use is not reported again.
     holder.on_connection_lost(later, 0);
-    let again = sent(&mut holder, later + settings().probe_after);
+    let probe = sent_report(&mut holder, later + settings().probe_after);
     holder
-        .on_grant(later + settings().probe_after, &answer(&again, &[]))
+        .on_grant(later + settings().probe_after, &answer(&probe, &[]))
         .unwrap();
     for step in 0..100 {
         let poll = holder.poll(later + 5 * SECOND + step * SECOND);
@@ -536,8 +552,9 @@
     }
 }
 
-/// Three allocators, and the account's owner with none, one and two of them given away.
-fn three() -> (Holder, [u32; 3]) {
+/// Returns a holder with three allocators, and the owners of the account when none, the first, and the
+/// first two of them are reassigned.
+fn holder_with_three_allocators() -> (Holder, [u32; 3]) {
     let holder = Holder::new(
         0,
         HolderSettings {
@@ -551,9 +568,9 @@
 }
 
 #[test]
-fn a_request_follows_its_account_to_the_owner_that_it_is_told_of() {
-    let (mut holder, [first, second, _]) = three();
-    ticket(take_one(&mut holder, START));
+fn waiting_request_is_reported_to_the_new_owner_of_its_account() {
+    let (mut holder, [first, second, _]) = holder_with_three_allocators();
+    ticket(take_unit(&mut holder, START));
     let poll = holder.poll(START);
     assert_eq!(poll.reports[0].0, first);
     let refusal = GrantEntry {
@@ -579,9 +596,9 @@
 }
 
 #[test]
-fn allocators_that_send_a_request_to_each_other_leave_it_the_fallback() {
-    let (mut holder, [first, second, _]) = three();
-    ticket(take_one(&mut holder, START));
+fn request_that_allocators_refuse_in_turn_uses_the_fallback_share() {
+    let (mut holder, [first, second, _]) = holder_with_three_allocators();
+    ticket(take_unit(&mut holder, START));
     let refusal = GrantEntry {
         verdict: Verdict::NotOwner,
         units: 0,
@@ -612,9 +629,9 @@
 }
 
 #[test]
-fn an_allocator_without_its_own_lease_is_not_believed() {
-    let (mut holder, [first, _, _]) = three();
-    ticket(take_one(&mut holder, START));
+fn reassignments_from_an_allocator_without_its_own_lease_are_ignored() {
+    let (mut holder, [first, _, _]) = holder_with_three_allocators();
+    ticket(take_unit(&mut holder, START));
     let (_, report) = holder.poll(START).reports.remove(0);
     let refusal = GrantEntry {
         verdict: Verdict::NotOwner,
@@ -630,24 +647,24 @@
     let answers = holder.on_grant(START, &cut_off).unwrap();
     assert_eq!(answers.len(), 1);
     assert!(!holder.is_available(first));
-    // Somebody is asked who has its accounts.
-    let asked: Vec<_> = holder
+    // The other allocators are asked which allocators are reassigned.
+    let requested: Vec<_> = holder
         .poll(START)
         .reports
         .into_iter()
         .map(|(number, _)| number)
         .collect();
     assert_eq!(
-        asked,
+        requested,
         (0..3).filter(|number| *number != first).collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn answers_that_do_not_fit_are_dropped_and_counted() {
+fn invalid_answers_are_dropped_and_counted() {
     let mut holder = holder();
-    take_one(&mut holder, START);
-    let report = sent(&mut holder, START);
+    take_unit(&mut holder, START);
+    let report = sent_report(&mut holder, START);
     let good = answer(&report, &[granted(UNIT)]);
     let unknown = Grant {
         allocator: 1,
@@ -698,8 +715,8 @@
 }
 
 #[test]
-fn accounts_that_come_once_are_forgotten_and_their_number_is_bounded() {
-    let thin = PlanLimits {
+fn idle_accounts_are_evicted_and_the_number_of_accounts_is_bounded() {
+    let low_rate_plan = PlanLimits {
         rate: 2_000,
         burst: 2 * UNIT,
     };
@@ -723,7 +740,7 @@
     let mut now = START;
     for number in 0..2_000 {
         now += 10 * MILLI;
-        holder.take(now, AccountKey(number), thin, 1, UNIT);
+        holder.take(now, AccountKey(number), low_rate_plan, 1, UNIT);
         exchange(&mut holder, now);
         assert!(holder.accounts() <= 500);
     }
@@ -732,14 +749,14 @@
     assert_eq!(holder.waiting(), 0);
     holder.poll(now + 100 * SECOND);
     if holder.accounts() > 0 {
-        panic!("{:#?} {now}", holder);
+        panic!("expected no accounts at {now}, got {holder:#?}");
     }
     assert_eq!(holder.accounts(), 0);
     assert_eq!(holder.next_wake(), Micros::MAX);
 }
 
 #[test]
-fn no_more_requests_wait_than_may() {
+fn number_of_waiting_requests_is_limited() {
     let mut holder = Holder::new(
         0,
         HolderSettings {
@@ -748,10 +765,10 @@
         },
     );
     for _ in 0..3 {
-        ticket(take_one(&mut holder, START));
+        ticket(take_unit(&mut holder, START));
     }
     assert_eq!(
-        take_one(&mut holder, START),
+        take_unit(&mut holder, START),
         TakeResult::Denied {
             retry_after: settings().report_interval
         }
@@ -760,7 +777,7 @@
 }
 
 #[test]
-fn on_trust_a_request_does_not_wait_and_is_reported() {
+fn with_fallback_first_a_request_does_not_wait_and_its_use_is_reported() {
     let mut holder = Holder::new(
         0,
         HolderSettings {
@@ -768,9 +785,9 @@
             ..settings()
         },
     );
-    assert_eq!(receipt(take_one(&mut holder, START)).fallback(), UNIT);
-    // It is told to a process that is known alone, so that it counts once.
-    let report = sent(&mut holder, START);
+    assert_eq!(receipt(take_unit(&mut holder, START)).fallback(), UNIT);
+    // The use is reported only to a known incarnation, so that it is counted once.
+    let report = sent_report(&mut holder, START);
     assert_eq!(
         (
             report.addressed_to,
@@ -783,22 +800,22 @@
         .on_grant(START, &answer(&report, &[granted(0)]))
         .unwrap();
     let later = START + settings().report_interval;
-    let report = sent(&mut holder, later);
+    let report = sent_report(&mut holder, later);
     assert_eq!(
         (report.addressed_to, only_entry(&report).fallback_used),
         (INCARNATION, UNIT)
     );
-    // The account owes: nothing more goes on trust.
+    // The account owes units: requests no longer use the fallback share first.
     holder
         .on_grant(later, &answer(&report, &[exhausted(0, 500)]))
         .unwrap();
     assert_eq!(
-        take_one(&mut holder, later),
+        take_unit(&mut holder, later),
         TakeResult::Denied {
             retry_after: 500 * MILLI
         }
     );
-    // A part that is used up leaves waiting.
+    // Once the fallback share is used up, requests wait.
     let mut holder = Holder::new(
         0,
         HolderSettings {
@@ -806,6 +823,6 @@
             ..settings()
         },
     );
-    assert!((0..10).all(|_| is_taken(&take_one(&mut holder, START))));
-    ticket(take_one(&mut holder, START));
+    assert!((0..10).all(|_| is_taken(&take_unit(&mut holder, START))));
+    ticket(take_unit(&mut holder, START));
 }
--- a/tests/quota_lease/main.rs
+++ b/tests/quota_lease/main.rs
@@ -1,5 +1,6 @@
-//! Quota leases: allocators and limiters as state machines on a network of hand-made time, with losses, delays, pauses and
-//! deaths. The bounds are those of `docs/quota-leases.md`.
+//! Quota leases: tests of the allocator and holder state machines, separately and in a simulation with
+//! virtual time that loses and delays messages and pauses and restarts processes. The bounds that the
+//! simulation checks are those of `docs/quota-leases.md`.
 
 mod allocator;
 mod figures;
--- a/tests/quota_lease/messages.rs
+++ b/tests/quota_lease/messages.rs
@@ -1,4 +1,5 @@
-//! Bad messages are named, dropped and counted.
+//! Encoding and validation of reports and grants: invalid messages are rejected with a reason, dropped
+//! and counted.
 
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
 use mossrill::quota_lease::message::{
@@ -44,18 +45,20 @@
         serving: true,
         ..Grant::default()
     };
-    let given = GrantEntry {
+    let granted = GrantEntry {
         verdict: Verdict::Exhausted,
         units: 7,
         hold_off_ms: 9,
     };
-    (0..entries).for_each(|_| grant.push(&given));
+    (0..entries).for_each(|_| grant.push(&granted));
     grant
 }
 
-fn refuses_report(spoil: impl Fn(&mut Report), reason: MessageError) {
+/// Asserts that a report is rejected for `reason` after `corrupt` has changed it, both when it is
+/// decoded and when an allocator processes it.
+fn assert_report_rejected(corrupt: impl Fn(&mut Report), reason: MessageError) {
     let mut report = report(3);
-    spoil(&mut report);
+    corrupt(&mut report);
     assert_eq!(Report::read(&report.encode_to_vec()), Err(reason.clone()));
     let mut allocator = Allocator::new(0, 1, 1, AllocatorSettings::default());
     allocator.set_ownership(
@@ -70,21 +73,21 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn encoded_messages_decode_to_the_same_entries() {
     for entries in [0, 1, 100, MAX_ENTRIES as u64] {
         let (mut report, mut grant) = (report(entries), grant(entries));
         assert_eq!(Report::read(&report.encode_to_vec()).as_ref(), Ok(&report));
         assert_eq!(Grant::read(&grant.encode_to_vec()).as_ref(), Ok(&grant));
-        let (all_asked, all_given): (Vec<_>, Vec<_>) =
+        let (report_entries, grant_entries): (Vec<_>, Vec<_>) =
             (report.entries().collect(), grant.entries().collect());
         report.leave_out_zeros();
         grant.leave_out_zeros();
-        assert!(report.entries().eq(all_asked) && grant.entries().eq(all_given));
+        assert!(report.entries().eq(report_entries) && grant.entries().eq(grant_entries));
     }
 }
 
 #[test]
-fn columns_of_zeros_are_left_out_and_read_as_zeros() {
+fn columns_of_zeros_are_omitted_and_decode_as_zeros() {
     let mut report = Report {
         format: FORMAT,
         ..Report::default()
@@ -105,121 +108,125 @@
 }
 
 #[test]
-fn a_message_cut_short_at_any_byte_is_no_message_with_other_entries() {
+fn truncated_message_never_decodes_to_different_entries() {
     let (report, grant) = (report(5), grant(5));
-    let (of_report, of_grant) = (report.encode_to_vec(), grant.encode_to_vec());
-    // Where a field ends a shorter message may begin: it has columns of other lengths, or no entries.
-    for end in 0..of_report.len() {
-        if let Ok(short) = Report::read(&of_report[..end]) {
+    let (report_bytes, grant_bytes) = (report.encode_to_vec(), grant.encode_to_vec());
+    // A message that is truncated at the end of a field may still decode: its columns have different
+    // lengths, or it has no entries.
+    for end in 0..report_bytes.len() {
+        if let Ok(truncated) = Report::read(&report_bytes[..end]) {
             assert!(
-                short.accounts.is_empty()
-                    || short
+                truncated.accounts.is_empty()
+                    || truncated
                         .entries()
                         .zip(report.entries())
                         .all(|(a, b)| a.account == b.account)
             );
-            assert_ne!(short, report);
+            assert_ne!(truncated, report);
         }
     }
-    for end in 0..of_grant.len() {
-        if let Ok(short) = Grant::read(&of_grant[..end]) {
-            assert!(short
+    for end in 0..grant_bytes.len() {
+        if let Ok(truncated) = Grant::read(&grant_bytes[..end]) {
+            assert!(truncated
                 .entries()
                 .all(|entry| entry.units == 0 || entry.units == 7));
-            assert_ne!(short, grant);
+            assert_ne!(truncated, grant);
         }
     }
 }
 
 #[test]
-fn spoilt_reports_are_refused_by_their_reason() {
+fn invalid_reports_are_rejected_with_the_reason() {
     let lengths = MessageError::Entries("columns of different lengths");
-    refuses_report(
+    assert_report_rejected(
         |report| report.format = FORMAT + 1,
         MessageError::Format(FORMAT + 1),
     );
-    refuses_report(|report| report.format = 0, MessageError::Format(0));
-    refuses_report(|report| report.waiting.truncate(2), lengths.clone());
-    refuses_report(|report| report.fallback_used.push(1), lengths.clone());
-    refuses_report(|report| report.accounts.truncate(1), lengths.clone());
-    refuses_report(|report| report.returned_slot.truncate(1), lengths);
-    refuses_report(
+    assert_report_rejected(|report| report.format = 0, MessageError::Format(0));
+    assert_report_rejected(|report| report.waiting.truncate(2), lengths.clone());
+    assert_report_rejected(|report| report.fallback_used.push(1), lengths.clone());
+    assert_report_rejected(|report| report.accounts.truncate(1), lengths.clone());
+    assert_report_rejected(|report| report.returned_slot.truncate(1), lengths);
+    assert_report_rejected(
         |report| report.plan_index[1] = 1,
         MessageError::Entries("index of a plan"),
     );
-    refuses_report(
+    assert_report_rejected(
         |report| report.plan_index[1] = u32::MAX,
         MessageError::Entries("index of a plan"),
     );
-    refuses_report(
+    assert_report_rejected(
         |report| report.plans.clear(),
         MessageError::Entries("no plan"),
     );
-    let many_plans = |report: &mut Report| report.plans.resize(MAX_PLANS + 1, PLAN);
-    refuses_report(many_plans, MessageError::Entries("too many plans"));
-    let many = |report: &mut Report| {
+    let exceed_max_plans = |report: &mut Report| report.plans.resize(MAX_PLANS + 1, PLAN);
+    assert_report_rejected(exceed_max_plans, MessageError::Entries("too many plans"));
+    let exceed_max_entries = |report: &mut Report| {
         (0..MAX_ENTRIES as u64).for_each(|number| report.push(&entry(number)))
     };
-    refuses_report(many, MessageError::Entries("too many"));
+    assert_report_rejected(exceed_max_entries, MessageError::Entries("too many"));
     for units in [MAX_UNITS + 1, u64::MAX] {
         let reason = MessageError::Entries("too many units");
-        refuses_report(|report| report.waiting[0] = units, reason.clone());
-        refuses_report(|report| report.expected[1] = units, reason.clone());
-        refuses_report(|report| report.returned[2] = units, reason.clone());
-        refuses_report(|report| report.fallback_used[0] = units, reason.clone());
-        refuses_report(|report| report.plans[0].rate = units, reason.clone());
-        refuses_report(|report| report.plans[0].burst = units, reason);
+        assert_report_rejected(|report| report.waiting[0] = units, reason.clone());
+        assert_report_rejected(|report| report.expected[1] = units, reason.clone());
+        assert_report_rejected(|report| report.returned[2] = units, reason.clone());
+        assert_report_rejected(|report| report.fallback_used[0] = units, reason.clone());
+        assert_report_rejected(|report| report.plans[0].rate = units, reason.clone());
+        assert_report_rejected(|report| report.plans[0].burst = units, reason);
     }
 }
 
 #[test]
-fn spoilt_answers_are_refused_by_their_reason() {
-    let refused = |spoil: &dyn Fn(&mut Grant)| {
+fn invalid_grants_are_rejected_with_the_reason() {
+    let rejection = |corrupt: &dyn Fn(&mut Grant)| {
         let mut grant = grant(3);
-        spoil(&mut grant);
+        corrupt(&mut grant);
         Grant::read(&grant.encode_to_vec()).unwrap_err()
     };
-    assert_eq!(refused(&|grant| grant.format = 9), MessageError::Format(9));
+    assert_eq!(
+        rejection(&|grant| grant.format = 9),
+        MessageError::Format(9)
+    );
     let lengths = MessageError::Entries("columns of different lengths");
-    assert_eq!(refused(&|grant| grant.entries = 4), lengths);
-    assert_eq!(refused(&|grant| grant.units.truncate(1)), lengths);
+    assert_eq!(rejection(&|grant| grant.entries = 4), lengths);
+    assert_eq!(rejection(&|grant| grant.units.truncate(1)), lengths);
     assert_eq!(
-        refused(&|grant| grant.entries = u32::MAX),
+        rejection(&|grant| grant.entries = u32::MAX),
         MessageError::Entries("too many")
     );
     assert_eq!(
-        refused(&|grant| grant.verdict[1] = 3),
+        rejection(&|grant| grant.verdict[1] = 3),
         MessageError::Entries("verdict")
     );
     assert_eq!(
-        refused(&|grant| grant.verdict[1] = -1),
+        rejection(&|grant| grant.verdict[1] = -1),
         MessageError::Entries("verdict")
     );
     assert_eq!(
-        refused(&|grant| grant.units[1] = u64::MAX),
+        rejection(&|grant| grant.units[1] = u64::MAX),
         MessageError::Entries("too many units")
     );
 }
 
 #[test]
-fn what_is_too_long_is_not_read() {
-    let long = vec![0; MAX_BYTES + 1];
+fn messages_above_the_maximum_length_are_not_decoded() {
+    let too_long = vec![0; MAX_BYTES + 1];
     assert_eq!(
-        Report::read(&long),
+        Report::read(&too_long),
         Err(MessageError::TooLong(MAX_BYTES + 1))
     );
     assert_eq!(
-        Grant::read(&long),
+        Grant::read(&too_long),
         Err(MessageError::TooLong(MAX_BYTES + 1))
     );
     assert!(matches!(
-        Report::read(&long[1..]),
+        Report::read(&too_long[1..]),
         Err(MessageError::Malformed(_))
     ));
 }
 
 #[test]
-fn the_longest_report_and_answer_fit() {
+fn largest_report_and_grant_fit_into_the_maximum_length() {
     let mut report = report(0);
     (report.incarnation, report.sequence, report.addressed_to) = (u64::MAX, u64::MAX, u64::MAX);
     for number in 0..MAX_ENTRIES {
@@ -238,21 +245,24 @@
     }
     assert!(Report::read(&report.encode_to_vec()).is_ok());
     let mut grant = grant(0);
-    let given = GrantEntry {
+    let granted = GrantEntry {
         verdict: Verdict::Exhausted,
         units: MAX_UNITS,
         hold_off_ms: u32::MAX,
     };
-    (0..MAX_ENTRIES).for_each(|_| grant.push(&given));
+    (0..MAX_ENTRIES).for_each(|_| grant.push(&granted));
     assert!(Grant::read(&grant.encode_to_vec()).is_ok());
 }
 
 #[test]
-fn each_reason_has_its_counter() {
+fn each_rejection_reason_has_its_counter() {
     let mut dropped = DroppedMessages::default();
     let reasons = [
         MessageError::TooLong(1),
-        MessageError::Malformed(Report::decode([0xff].as_slice()).expect_err("not a report")),
+        MessageError::Malformed(
+            Report::decode([0xff].as_slice())
+                .expect_err("the byte 0xff should not decode as a report"),
+        ),
         MessageError::Format(2),
         MessageError::Entries(""),
         MessageError::UnknownSender(3),
@@ -286,21 +296,21 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn random_bytes_and_changed_bytes_never_panic(
+    fn random_and_corrupted_bytes_never_panic(
         random in prop::collection::vec(any::<u8>(), 0..400),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
         let mut allocator = Allocator::new(0, 1, 1, AllocatorSettings::default());
         allocator.set_ownership(0, Ownership { lease_ends: u64::MAX, ..Ownership::default() });
         let _ = (Report::read(&random), Grant::read(&random));
-        let (mut of_report, mut of_grant) = (report(4).encode_to_vec(), grant(4).encode_to_vec());
-        for (place, byte) in &changes {
-            let place_in = |bytes: &[u8]| place.index(bytes.len());
-            let (in_report, in_grant) = (place_in(&of_report), place_in(&of_grant));
-            (of_report[in_report], of_grant[in_grant]) = (*byte, *byte);
+        let (mut report_bytes, mut grant_bytes) = (report(4).encode_to_vec(), grant(4).encode_to_vec());
+        for (index, byte) in &changes {
+            let position_in = |bytes: &[u8]| index.index(bytes.len());
+            let (report_position, grant_position) = (position_in(&report_bytes), position_in(&grant_bytes));
+            (report_bytes[report_position], grant_bytes[grant_position]) = (*byte, *byte);
         }
-        let _ = Grant::read(&of_grant);
-        if let Ok(report) = Report::read(&of_report) {
+        let _ = Grant::read(&grant_bytes);
+        if let Ok(report) = Report::read(&report_bytes) {
             for now in [0, 1, u64::MAX / 2, u64::MAX] {
                 let _ = allocator.on_report(now, &report);
             }
--- a/tests/quota_lease/placement.rs
+++ b/tests/quota_lease/placement.rs
@@ -1,4 +1,4 @@
-//! Which allocator owns an account.
+//! Placement: which allocator owns an account.
 
 use mossrill::quota_lease::message::AccountKey;
 use mossrill::quota_lease::placement::{ahead_of, owner, MAX_ALLOCATORS};
@@ -16,7 +16,7 @@
     for key in keys() {
         owned[owner(key, ALLOCATORS, 0).unwrap() as usize] += 1;
     }
-    // Five standard deviations of a seventh of 75,000.
+    // 480 is about five standard deviations of the number of accounts of one of seven allocators.
     let even = ACCOUNTS / ALLOCATORS as usize;
     assert!(
         owned.iter().all(|count| count.abs_diff(even) < 480),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_lost_allocator_moves_its_own_accounts_alone_and_to_all_others() {
+fn accounts_of_a_lost_allocator_move_evenly_to_the_others_and_no_other_accounts_move() {
     for lost in 0..ALLOCATORS {
         let mut gained = [0usize; ALLOCATORS as usize];
         for key in keys() {
@@ -50,17 +50,17 @@
 }
 
 #[test]
-fn an_owner_has_only_those_ahead_of_it_that_are_given_away() {
+fn an_allocator_owns_an_account_if_all_allocators_ahead_of_it_are_reassigned() {
     for key in keys().take(2_000) {
-        for given_away in 0..1u64 << ALLOCATORS {
+        for reassigned in 0..1u64 << ALLOCATORS {
             let owns = |number: &u32| {
                 let ahead = ahead_of(key, ALLOCATORS, *number).unwrap();
-                given_away >> number & 1 == 0 && ahead & !given_away == 0
+                reassigned >> number & 1 == 0 && ahead & !reassigned == 0
             };
             let owners: Vec<_> = (0..ALLOCATORS).filter(owns).collect();
             assert_eq!(
                 owners,
-                owner(key, ALLOCATORS, given_away)
+                owner(key, ALLOCATORS, reassigned)
                     .into_iter()
                     .collect::<Vec<_>>()
             );
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_own_nothing() {
+fn allocator_numbers_out_of_range_own_no_account() {
     let key = AccountKey::of("a");
     assert_eq!(owner(key, 0, 0), None);
     assert_eq!(owner(key, ALLOCATORS, u64::MAX), None);
--- a/tests/quota_lease/properties.rs
+++ b/tests/quota_lease/properties.rs
@@ -1,4 +1,5 @@
-//! What holds for every order of requests, losses, delays, pauses, deaths and changes of the owner.
+//! Property tests: bounds that hold for every sequence of requests, message losses, delays, pauses,
+//! restarts and changes of ownership.
 
 use mossrill::decision::Micros;
 use mossrill::quota_lease::holder::HolderSettings;
@@ -6,13 +7,15 @@
 
 use super::world::{Network, World, ALLOCATORS, LIMITERS, PLANS, SECOND};
 
-/// Requests that make one step, at most.
-const MOST_REQUESTS: usize = 8;
-/// A limiter pauses so long, in the issue's own case.
-const PAUSE: Micros = 10 * SECOND;
+/// Maximum number of requests that a step sends to one limiter.
+const MAX_REQUESTS_PER_LIMITER: usize = 8;
+/// Duration of a pause of a limiter, as in the failure that the issue describes. It equals the default
+/// duration of a lease.
+const PAUSE_DURATION: Micros = 10 * SECOND;
 const STEPS: usize = 60;
-/// What expired is returned, and told apart, by quarters of a lease.
-const SLOTS_OF_A_LEASE: u64 = 4;
+/// Number of time slots in the duration of a lease. Unused units of expired leases are
+/// returned by the slot in which they were granted.
+const SLOTS_PER_LEASE: u64 = 4;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -22,8 +25,8 @@
         units: u64,
         count: usize,
     },
-    /// Every limiter at once, as a giant's users do.
-    Rush {
+    /// Requests at every limiter at the same time, as for an account with a very high rate.
+    RequestsAtAllLimiters {
         account: usize,
         units: u64,
     },
@@ -32,10 +35,12 @@
     PauseLimiter(usize),
     RestartLimiter(usize),
     RestartAllocator(usize),
+    /// The allocator is cut off from the fleet of allocators.
     IsolateAllocator(usize, Micros),
-    Cut(usize, usize, Micros),
-    /// The limiters of one side reach one allocator alone.
-    Split(usize, Micros),
+    /// All messages between a limiter and an allocator are lost.
+    DropMessages(usize, usize, Micros),
+    /// Half of the limiters reach only this allocator.
+    IsolateHalfOfLimiters(usize, Micros),
     BreakConnection(usize, usize),
 }
 
@@ -49,49 +54,49 @@
         limiter.clone(),
         account.clone(),
         units.clone(),
-        1..=MOST_REQUESTS,
+        1..=MAX_REQUESTS_PER_LIMITER,
     );
     let step = prop_oneof![
         12 => requests.prop_map(|(limiter, account, units, count)| Step::Requests { limiter, account, units, count }),
-        4 => (account, units).prop_map(|(account, units)| Step::Rush { account, units }),
+        4 => (account, units).prop_map(|(account, units)| Step::RequestsAtAllLimiters { account, units }),
         8 => (1_000..2 * SECOND).prop_map(Step::Run),
         2 => (SECOND..15 * SECOND).prop_map(Step::Run),
         3 => Just(Step::PutBack),
         1 => limiter.clone().prop_map(Step::PauseLimiter),
         1 => limiter.clone().prop_map(Step::RestartLimiter),
         2 => allocator.clone().prop_map(Step::RestartAllocator),
-        2 => (allocator.clone(), span.clone()).prop_map(|(who, span)| Step::IsolateAllocator(who, span)),
-        1 => (limiter.clone(), allocator.clone(), span.clone()).prop_map(|(who, to, span)| Step::Cut(who, to, span)),
-        1 => (allocator.clone(), span).prop_map(|(who, span)| Step::Split(who, span)),
-        1 => (limiter, allocator).prop_map(|(who, to)| Step::BreakConnection(who, to)),
+        2 => (allocator.clone(), span.clone()).prop_map(|(number, span)| Step::IsolateAllocator(number, span)),
+        1 => (limiter.clone(), allocator.clone(), span.clone()).prop_map(|(limiter, allocator, span)| Step::DropMessages(limiter, allocator, span)),
+        1 => (allocator.clone(), span).prop_map(|(number, span)| Step::IsolateHalfOfLimiters(number, span)),
+        1 => (limiter, allocator).prop_map(|(limiter, allocator)| Step::BreakConnection(limiter, allocator)),
     ];
     prop::collection::vec(step, 1..STEPS)
 }
 
 fn networks() -> impl Strategy<Value = Network> {
     let delay = prop_oneof![2 => 1_000..50_000u64, 1 => 50_000..3 * SECOND];
-    (0..40u32, 0..40u32, delay).prop_map(|(lost_percent, doubled_percent, longest_delay)| Network {
-        lost_percent,
-        doubled_percent,
-        longest_delay,
+    (0..40u32, 0..40u32, delay).prop_map(|(loss_percent, duplicate_percent, max_delay)| Network {
+        loss_percent,
+        duplicate_percent,
+        max_delay,
     })
 }
 
 fn settings() -> impl Strategy<Value = HolderSettings> {
     let lease = prop_oneof![Just(2 * SECOND), Just(10 * SECOND)];
-    let least = prop_oneof![Just(0), Just(1_000u64)];
-    (lease, 0..=1_000u32, least, any::<bool>()).prop_map(
-        |(lease, fallback_thousandths, fallback_least, trust)| HolderSettings {
+    let min_burst = prop_oneof![Just(0), Just(1_000u64)];
+    (lease, 0..=1_000u32, min_burst, any::<bool>()).prop_map(
+        |(lease, fallback_thousandths, fallback_min_burst, use_fallback_first)| HolderSettings {
             lease,
             fallback_thousandths,
-            fallback_min_burst: fallback_least,
-            use_fallback_first: trust,
+            fallback_min_burst,
+            use_fallback_first,
             ..HolderSettings::default()
         },
     )
 }
 
-fn carry_out(world: &mut World, step: Step) {
+fn apply_step(world: &mut World, step: Step) {
     match step {
         Step::Requests {
             limiter,
@@ -101,61 +106,65 @@
         } => {
             (0..count).for_each(|_| world.request(limiter, account, units));
         }
-        Step::Rush { account, units } => {
-            (0..LIMITERS * MOST_REQUESTS).for_each(|n| world.request(n % LIMITERS, account, units));
+        Step::RequestsAtAllLimiters { account, units } => {
+            (0..LIMITERS * MAX_REQUESTS_PER_LIMITER)
+                .for_each(|index| world.request(index % LIMITERS, account, units));
         }
         Step::Run(span) => world.run(span),
         Step::PutBack => world.put_back(),
-        Step::PauseLimiter(limiter) => world.pause_limiter(limiter, PAUSE),
+        Step::PauseLimiter(limiter) => world.pause_limiter(limiter, PAUSE_DURATION),
         Step::RestartLimiter(limiter) => world.restart_limiter(limiter),
         Step::RestartAllocator(allocator) => world.restart_allocator(allocator),
         Step::IsolateAllocator(allocator, span) => world.isolate_allocator(allocator, span),
-        Step::Cut(limiter, allocator, span) => world.cut(limiter, allocator, span),
-        Step::Split(side, span) => {
-            for allocator in (0..ALLOCATORS).filter(|allocator| *allocator != side) {
-                (0..LIMITERS / 2).for_each(|limiter| world.cut(limiter, allocator, span));
+        Step::DropMessages(limiter, allocator, span) => {
+            world.drop_messages(limiter, allocator, span)
+        }
+        Step::IsolateHalfOfLimiters(reachable, span) => {
+            for allocator in (0..ALLOCATORS).filter(|allocator| *allocator != reachable) {
+                (0..LIMITERS / 2).for_each(|limiter| world.drop_messages(limiter, allocator, span));
             }
         }
         Step::BreakConnection(limiter, allocator) => world.break_connection(limiter, allocator),
     }
-    // What follows is never at the same moment as what came before.
+    // Consecutive steps never happen at the same time.
     world.run(1_000);
 }
 
 fn check_bounds(world: &World, settings: &HolderSettings) {
     for (account, (plan, ledger)) in PLANS.iter().zip(&world.ledgers).enumerate() {
         let (rate, burst) = (plan.rate, plan.burst as i64);
-        let granted = ledger.granted.most_above(rate);
+        let granted = ledger.granted.max_excess_over(rate);
         assert!(
             granted <= burst,
-            "account {account}: {granted} granted above the rate, burst {burst}"
+            "account {account}: {granted} granted in excess of the rate, expected at most {burst}"
         );
-        let lifetime = settings.lease + settings.lease / SLOTS_OF_A_LEASE;
+        let lifetime = settings.lease + settings.lease / SLOTS_PER_LEASE;
         let outstanding = (u128::from(rate) * u128::from(lifetime) / u128::from(SECOND)) as i64;
-        let used = ledger.leased.most_above(rate);
+        let used = ledger.leased.max_excess_over(rate);
         assert!(
             used <= burst + outstanding,
-            "account {account}: {used} used above the rate, burst {burst}"
+            "account {account}: {used} used in excess of the rate, expected at most {burst} + {outstanding}"
         );
         let fallback = u64::from(settings.fallback_thousandths);
-        let part = plan.burst * fallback / (1_000 * LIMITERS as u64);
-        let least = if fallback > 0 {
+        let share_burst = plan.burst * fallback / (1_000 * LIMITERS as u64);
+        let min_burst = if fallback > 0 {
             settings.fallback_min_burst.min(plan.burst)
         } else {
             0
         };
-        let part_rate = (rate * fallback).div_ceil(1_000 * LIMITERS as u64);
-        for flow in &ledger.beyond {
-            let beyond = flow.most_above(part_rate);
+        let share_rate = (rate * fallback).div_ceil(1_000 * LIMITERS as u64);
+        for units in &ledger.fallback {
+            let fallback_used = units.max_excess_over(share_rate);
             assert!(
-                beyond <= part.max(least) as i64,
-                "account {account}: {beyond} beyond above the part's rate"
+                fallback_used <= share_burst.max(min_burst) as i64,
+                "account {account}: {fallback_used} of the fallback share used in excess of its rate, \
+                 expected at most the larger of {share_burst} and {min_burst}"
             );
         }
-        let beyond: i64 = ledger.beyond.iter().map(|flow| flow.total()).sum();
+        let fallback_used: i64 = ledger.fallback.iter().map(|units| units.total()).sum();
         assert!(
-            ledger.reported as i64 <= beyond,
-            "account {account}: use beyond counted twice"
+            ledger.reported_fallback as i64 <= fallback_used,
+            "account {account}: reported more than the {fallback_used} used of the fallback share"
         );
     }
 }
@@ -164,7 +173,7 @@
     #![proptest_config(ProptestConfig { cases: 256, max_shrink_iters: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_granted_and_used_stays_within_the_bounds(
+    fn granted_and_used_units_stay_within_the_bounds(
         steps in steps(),
         network in networks(),
         settings in settings(),
@@ -173,14 +182,14 @@
         let mut world = World::new(seed, network, settings);
         world.run(SECOND);
         for step in steps {
-            carry_out(&mut world, step);
+            apply_step(&mut world, step);
         }
         world.run(3 * settings.lease);
         check_bounds(&world, &settings);
     }
 
     #[test]
-    fn once_all_is_well_every_account_is_served_by_leases_again(
+    fn every_account_is_served_by_leases_after_all_faults_end(
         steps in steps(),
         network in networks(),
         seed in any::<u64>(),
@@ -188,15 +197,16 @@
         let settings = HolderSettings { fallback_thousandths: 0, ..HolderSettings::default() };
         let mut world = World::new(seed, network, settings);
         for step in steps {
-            carry_out(&mut world, step);
+            apply_step(&mut world, step);
         }
-        world.heal();
-        // Leases of the fleet, what went beyond before, and a unit of the thinnest account.
+        world.end_faults();
+        // Time for the fleet's leases to be renewed, for earlier use of the fallback share to be made up,
+        // and for a unit of the account with the lowest rate to accrue.
         world.run(60 * SECOND);
         for account in 0..PLANS.len() {
             let taken = world.taken;
             world.request(0, account, 1_000);
-            world.run(world.longest_wait());
+            world.run(world.max_wait());
             prop_assert_eq!(world.taken, taken + 1, "account {}", account);
         }
     }
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -1,6 +1,7 @@
-//! Limiters and allocators on a network of hand-made time that loses, delays and doubles messages, and a fleet of allocators
-//! whose leases obey the rule of `mossrill::membership::parts`: nobody is given away while it holds its lease, and nobody's lease is
-//! renewed while somebody may still count it as given away.
+//! Simulation of limiters and allocators in virtual time, on a network that loses, delays and
+//! duplicates messages. The leases that allocators hold from their fleet follow the rule of
+//! `mossrill::membership::parts`: an allocator's accounts are not reassigned while it holds its lease,
+//! and its lease is not renewed while another allocator may still treat its accounts as reassigned.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -15,16 +16,18 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::ledger::Flow;
+use super::ledger::UnitSeries;
 
 pub const SECOND: Micros = 1_000_000;
 pub const LIMITERS: usize = 4;
 pub const ALLOCATORS: usize = 3;
-/// How long a lease of the allocators' fleet lasts, and how often it is renewed.
+/// Duration of the lease that an allocator holds from its fleet.
 const FLEET_LEASE: Micros = 4 * SECOND;
+/// Interval at which the fleet renews leases and the allocators learn of reassignments.
 const FLEET_PERIOD: Micros = SECOND / 4;
 
-/// An account that a giant has, one in the middle, and two that are thin.
+/// Plans of the accounts, by account number: one with a very high rate, one with a medium rate and two
+/// with low rates.
 pub const PLANS: [PlanLimits; 4] = [
     PlanLimits {
         rate: 200_000,
@@ -48,24 +51,26 @@
     AccountKey::of(&format!("account {account}"))
 }
 
-/// How bad the network is.
+/// Faults and delays of the simulated network.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    pub lost_percent: u32,
-    pub doubled_percent: u32,
-    pub longest_delay: Micros,
+    pub loss_percent: u32,
+    pub duplicate_percent: u32,
+    /// Maximum delay of a message.
+    pub max_delay: Micros,
 }
 
 impl Network {
-    pub const CALM: Self = Self {
-        lost_percent: 0,
-        doubled_percent: 0,
-        longest_delay: 2_000,
+    pub const RELIABLE: Self = Self {
+        loss_percent: 0,
+        duplicate_percent: 0,
+        max_delay: 2_000,
     };
 }
 
+/// An encoded message with the number of the allocator or limiter that receives it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Parcel {
+enum Packet {
     ToAllocator(usize, Vec<u8>),
     ToLimiter(usize, Vec<u8>),
 }
@@ -73,42 +78,43 @@
 struct AllocatorNode {
     allocator: Allocator,
     incarnation: u64,
-    /// Neither renewed nor told anything by its fleet.
+    /// Until then the allocator receives neither renewals nor reassignments from its fleet.
     isolated_until: Micros,
-    /// The last lease of its fleet that it was told of.
-    held_until: Micros,
-    /// Somebody may count it as given away until then.
-    given_until: Micros,
+    /// End of the lease that the allocator holds from its fleet.
+    lease_ends: Micros,
+    /// Until then another allocator may treat this allocator's accounts as reassigned.
+    reassigned_until: Micros,
 }
 
-/// A request that waits for units.
-struct Waiting {
+/// A request that waits for its units.
+struct WaitingRequest {
     account: usize,
     units: u64,
-    answered_by: Micros,
+    /// Latest time at which the request must be answered.
+    answer_deadline: Micros,
 }
 
 struct LimiterNode {
     holder: Holder,
     incarnation: u64,
     paused_until: Micros,
-    waiting: BTreeMap<Ticket, Waiting>,
+    waiting: BTreeMap<Ticket, WaitingRequest>,
 }
 
-/// What happened to one account.
+/// Units of one account that were granted, used and reported, in thousandths.
 #[derive(Clone, Debug, Default)]
 pub struct AccountLedger {
-    /// Granted, less what the incarnation that granted it was told is returned.
-    pub granted: Flow,
-    /// Used out of leases.
-    pub leased: Flow,
-    /// Used out of fallback parts, by limiter.
-    pub beyond: [Flow; LIMITERS],
-    /// Use beyond that an allocator has taken note of.
-    pub reported: u64,
+    /// Units granted, less those returned to the incarnation that granted them.
+    pub granted: UnitSeries,
+    /// Units used from leases.
+    pub leased: UnitSeries,
+    /// Units used from the fallback share, by limiter.
+    pub fallback: [UnitSeries; LIMITERS],
+    /// Use of the fallback share in reports that allocators have processed.
+    pub reported_fallback: u64,
 }
 
-/// A report, sent once or more often.
+/// Identifies a report, which may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ReportId {
     limiter: usize,
@@ -134,29 +140,29 @@
     }
 }
 
-/// A report, and the incarnation of the allocator that carried it out.
+/// A report, and the incarnation of the allocator that processed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct CarriedOutBy(ReportId, u64);
+struct ProcessedBy(ReportId, u64);
 
-/// The answer to a report, and the accounts that it is about.
-struct CarriedOut {
+/// The answer to a report, and the accounts of its entries.
+struct ProcessedReport {
     grant: Grant,
     accounts: Vec<usize>,
 }
 
-/// Units that a limiter was granted, and what it did with them.
+/// Thousandths of a unit of one account that a limiter was granted, used and returned.
 #[derive(Clone, Copy, Debug, Default)]
-struct Book {
+struct UnitTotals {
     granted: u64,
     used: u64,
     returned: u64,
 }
 
-/// What a request took.
-struct Use {
+/// Units that a request took.
+struct TakenUnits {
     account: usize,
     limiter: usize,
-    /// Units out of leases, and their place in the ledger.
+    /// Units from leases, and their index in [`AccountLedger::leased`].
     leased: Option<(u64, usize)>,
 }
 
@@ -164,22 +170,30 @@
     pub now: Micros,
     pub network: Network,
     pub ledgers: Vec<AccountLedger>,
-    /// Of the present process of each limiter, by account.
-    books: Vec<[Book; PLANS.len()]>,
+    /// Unit totals of the current process of each limiter, by account.
+    unit_totals: Vec<[UnitTotals; PLANS.len()]>,
+    /// Number of requests that took their units.
     pub taken: u64,
+    /// Number of requests that were denied.
     pub denied: u64,
     holder_settings: HolderSettings,
     allocator_settings: AllocatorSettings,
     random: StdRng,
     allocators: Vec<AllocatorNode>,
     limiters: Vec<LimiterNode>,
-    parcels: BinaryHeap<Reverse<(Micros, u64, Parcel)>>,
-    parcel_number: u64,
-    cut_until: [[Micros; ALLOCATORS]; LIMITERS],
-    next_fleet: Micros,
-    carried_out: HashMap<CarriedOutBy, CarriedOut>,
-    reports_seen: HashSet<ReportId>,
-    receipts: Vec<(Use, Receipt)>,
+    /// Messages in transit, by time of arrival.
+    packets_in_transit: BinaryHeap<Reverse<(Micros, u64, Packet)>>,
+    /// Number of messages put in transit so far; orders those that arrive at the same time.
+    packet_count: u64,
+    /// By limiter and allocator: time until which all messages between them are lost.
+    messages_dropped_until: [[Micros; ALLOCATORS]; LIMITERS],
+    next_renewal: Micros,
+    /// Reports that were processed, with their answers.
+    processed: HashMap<ProcessedBy, ProcessedReport>,
+    /// Reports of which the returned units are counted already.
+    reports_sent: HashSet<ReportId>,
+    /// Units that requests took and that can still be put back.
+    receipts: Vec<(TakenUnits, Receipt)>,
 }
 
 impl World {
@@ -198,7 +212,7 @@
             now,
             network,
             ledgers: vec![AccountLedger::default(); PLANS.len()],
-            books: vec![Default::default(); LIMITERS],
+            unit_totals: vec![Default::default(); LIMITERS],
             taken: 0,
             denied: 0,
             holder_settings,
@@ -206,12 +220,12 @@
             random: StdRng::seed_from_u64(seed),
             allocators: Vec::new(),
             limiters: Vec::new(),
-            parcels: BinaryHeap::new(),
-            parcel_number: 0,
-            cut_until: Default::default(),
-            next_fleet: now,
-            carried_out: HashMap::new(),
-            reports_seen: HashSet::new(),
+            packets_in_transit: BinaryHeap::new(),
+            packet_count: 0,
+            messages_dropped_until: Default::default(),
+            next_renewal: now,
+            processed: HashMap::new(),
+            reports_sent: HashSet::new(),
             receipts: Vec::new(),
         };
         for number in 0..ALLOCATORS {
@@ -220,8 +234,8 @@
                 allocator,
                 incarnation: 1,
                 isolated_until: 0,
-                held_until: 0,
-                given_until: 0,
+                lease_ends: 0,
+                reassigned_until: 0,
             };
             world.allocators.push(node);
         }
@@ -256,7 +270,7 @@
         Holder::new(self.now, settings)
     }
 
-    // Faults.
+    // Fault injection.
 
     pub fn restart_allocator(&mut self, number: usize) {
         let incarnation = self.allocators[number].incarnation + 1;
@@ -265,7 +279,7 @@
         (node.allocator, node.incarnation) = (allocator, incarnation);
     }
 
-    /// The limiter's process is gone with all that it held; another one begins.
+    /// Replaces the limiter's process by a new one, which holds no leases.
     pub fn restart_limiter(&mut self, number: usize) {
         let incarnation = self.limiters[number].incarnation + 1;
         let holder = self.new_holder(number, incarnation);
@@ -276,10 +290,12 @@
             paused_until: 0,
             waiting,
         };
-        self.books[number] = Default::default();
-        self.receipts.retain(|(what, _)| what.limiter != number);
+        self.unit_totals[number] = Default::default();
+        self.receipts
+            .retain(|(taken_units, _)| taken_units.limiter != number);
     }
 
+    /// Pauses the limiter's process. Requests that wait at it may be answered later by the same time.
     pub fn pause_limiter(&mut self, number: usize, span: Micros) {
         let node = &mut self.limiters[number];
         let end = node.paused_until.max(self.now) + span;
@@ -287,31 +303,33 @@
         node.paused_until = end;
         node.waiting
             .values_mut()
-            .for_each(|waiting| waiting.answered_by += longer);
+            .for_each(|waiting| waiting.answer_deadline += longer);
     }
 
-    /// An allocator's fleet does not reach it.
+    /// Cuts an allocator off from the fleet of allocators for `span`.
     pub fn isolate_allocator(&mut self, number: usize, span: Micros) {
         self.allocators[number].isolated_until = self.now + span;
     }
 
-    pub fn cut(&mut self, limiter: usize, allocator: usize, span: Micros) {
-        self.cut_until[limiter][allocator] = self.now + span;
+    /// Loses all messages between a limiter and an allocator for `span`.
+    pub fn drop_messages(&mut self, limiter: usize, allocator: usize, span: Micros) {
+        self.messages_dropped_until[limiter][allocator] = self.now + span;
     }
 
-    /// The limiter notices that its connection broke.
+    /// Notifies the limiter that its connection to the allocator is lost.
     pub fn break_connection(&mut self, limiter: usize, allocator: usize) {
         if self.now >= self.limiters[limiter].paused_until {
             let answers = self.limiters[limiter]
                 .holder
                 .on_connection_lost(self.now, allocator as u32);
-            self.take_answers(limiter, answers);
+            self.handle_answers(limiter, answers);
         }
     }
 
-    pub fn heal(&mut self) {
-        self.network = Network::CALM;
-        self.cut_until = Default::default();
+    /// Ends all faults.
+    pub fn end_faults(&mut self) {
+        self.network = Network::RELIABLE;
+        self.messages_dropped_until = Default::default();
         self.allocators
             .iter_mut()
             .for_each(|node| node.isolated_until = 0);
@@ -322,15 +340,16 @@
 
     // Requests.
 
-    /// How long a request may wait for its answer, whatever happens.
-    pub fn longest_wait(&self) -> Micros {
+    /// Returns the maximum time that a request may wait for its answer under any faults.
+    pub fn max_wait(&self) -> Micros {
         let settings = &self.holder_settings;
         3 * (2 * settings.unavailable_after + settings.min_report_spacing)
     }
 
+    /// Sends a request to a limiter, unless the limiter is paused.
     pub fn request(&mut self, limiter: usize, account: usize, units: u64) {
         let now = self.now;
-        let answered_by = now + self.longest_wait();
+        let answer_deadline = now + self.max_wait();
         let node = &mut self.limiters[limiter];
         if now < node.paused_until {
             return;
@@ -339,50 +358,55 @@
             .holder
             .take(now, key(account), PLANS[account], LIMITERS as u32, units)
         {
-            TakeResult::Taken(receipt) => self.used(limiter, account, receipt),
+            TakeResult::Taken(receipt) => self.record_taken(limiter, account, receipt),
             TakeResult::Denied { .. } => self.denied += 1,
             TakeResult::Waiting(ticket) => {
                 node.waiting.insert(
                     ticket,
-                    Waiting {
+                    WaitingRequest {
                         account,
                         units,
-                        answered_by,
+                        answer_deadline,
                     },
                 );
             }
         }
     }
 
-    /// The last request of those that still run ends without having used its units.
+    /// Puts back the units of the latest request at a limiter that is not paused.
     pub fn put_back(&mut self) {
-        let paused = |what: &Use| self.now < self.limiters[what.limiter].paused_until;
-        let Some(place) = self.receipts.iter().rposition(|(what, _)| !paused(what)) else {
+        let paused =
+            |taken_units: &TakenUnits| self.now < self.limiters[taken_units.limiter].paused_until;
+        let Some(index) = self
+            .receipts
+            .iter()
+            .rposition(|(taken_units, _)| !paused(taken_units))
+        else {
             return;
         };
-        let (what, receipt) = self.receipts.remove(place);
-        // What went beyond stays counted: it may have been reported.
-        if let Some((units, place)) = what.leased {
-            self.ledgers[what.account].leased.cancel(place);
-            self.books[what.limiter][what.account].used -= units;
+        let (taken_units, receipt) = self.receipts.remove(index);
+        // Use of the fallback share stays counted: it may have been reported already.
+        if let Some((units, index)) = taken_units.leased {
+            self.ledgers[taken_units.account].leased.cancel(index);
+            self.unit_totals[taken_units.limiter][taken_units.account].used -= units;
         }
-        self.limiters[what.limiter]
+        self.limiters[taken_units.limiter]
             .holder
             .put_back(self.now, receipt);
     }
 
-    fn used(&mut self, limiter: usize, account: usize, receipt: Receipt) {
+    fn record_taken(&mut self, limiter: usize, account: usize, receipt: Receipt) {
         assert_eq!(receipt.account(), key(account));
         self.taken += 1;
-        let (leased, beyond) = (receipt.leased(), receipt.fallback());
+        let (leased, fallback) = (receipt.leased(), receipt.fallback());
         let ledger = &mut self.ledgers[account];
-        if beyond > 0 {
-            ledger.beyond[limiter].add(self.now, beyond as i64);
+        if fallback > 0 {
+            ledger.fallback[limiter].add(self.now, fallback as i64);
         }
-        self.books[limiter][account].used += leased;
+        self.unit_totals[limiter][account].used += leased;
         let leased = (leased > 0).then(|| (leased, ledger.leased.add(self.now, leased as i64)));
         self.receipts.push((
-            Use {
+            TakenUnits {
                 account,
                 limiter,
                 leased,
@@ -391,17 +415,17 @@
         ));
     }
 
-    fn take_answers(&mut self, limiter: usize, answers: Vec<Answer>) {
+    fn handle_answers(&mut self, limiter: usize, answers: Vec<Answer>) {
         for Answer { ticket, outcome } in answers {
             let waiting = self.limiters[limiter]
                 .waiting
                 .remove(&ticket)
-                .expect("a ticket that waits");
+                .expect("an answer should have the ticket of a waiting request");
             match outcome {
                 Outcome::Denied { .. } => self.denied += 1,
                 Outcome::Taken(receipt) => {
                     assert_eq!(receipt.leased() + receipt.fallback(), waiting.units);
-                    self.used(limiter, waiting.account, receipt);
+                    self.record_taken(limiter, waiting.account, receipt);
                 }
             }
         }
@@ -409,6 +433,7 @@
 
     // Time.
 
+    /// Advances the virtual time by `span` and handles the events that are due.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(next) = self.next_event().filter(|next| *next <= end) {
@@ -420,30 +445,33 @@
     }
 
     fn next_event(&self) -> Option<Micros> {
-        let parcel = self.parcels.peek().map(|Reverse((at, _, _))| *at);
+        let packet = self
+            .packets_in_transit
+            .peek()
+            .map(|Reverse((at, _, _))| *at);
         let limiters = self
             .limiters
             .iter()
             .map(|node| node.holder.next_wake().max(node.paused_until));
-        let next = limiters.chain(parcel).chain([self.next_fleet]).min();
+        let next = limiters.chain(packet).chain([self.next_renewal]).min();
         next.map(|next| next.max(self.now))
     }
 
     fn step(&mut self) {
-        if self.now >= self.next_fleet {
-            self.next_fleet = self.now + FLEET_PERIOD;
+        if self.now >= self.next_renewal {
+            self.next_renewal = self.now + FLEET_PERIOD;
             self.renew_leases();
         }
-        while let Some(Reverse((_, _, parcel))) = self
-            .parcels
+        while let Some(Reverse((_, _, packet))) = self
+            .packets_in_transit
             .peek()
             .cloned()
             .filter(|Reverse((at, _, _))| *at <= self.now)
         {
-            self.parcels.pop();
-            match parcel {
-                Parcel::ToAllocator(number, bytes) => self.deliver_report(number, &bytes),
-                Parcel::ToLimiter(number, bytes) => self.deliver_grant(number, bytes),
+            self.packets_in_transit.pop();
+            match packet {
+                Packet::ToAllocator(number, bytes) => self.deliver_report(number, &bytes),
+                Packet::ToLimiter(number, bytes) => self.deliver_grant(number, bytes),
             }
         }
         for number in 0..LIMITERS {
@@ -455,59 +483,61 @@
             let next = node.holder.next_wake();
             assert!(
                 next > self.now,
-                "limiter {number} wants to be polled again at once"
+                "limiter {number}: next wake {next} should be after the poll at {}",
+                self.now
             );
-            self.take_answers(number, poll.answers);
+            self.handle_answers(number, poll.answers);
             for (allocator, report) in poll.reports {
-                self.count_returns(number, allocator as usize, &report);
-                self.post(
-                    Parcel::ToAllocator(allocator as usize, report.encode_to_vec()),
+                self.count_returned(number, allocator as usize, &report);
+                self.send(
+                    Packet::ToAllocator(allocator as usize, report.encode_to_vec()),
                     number,
                     allocator as usize,
                 );
             }
-            self.check_waiting(number);
+            self.check_deadlines(number);
         }
     }
 
-    fn check_waiting(&self, limiter: usize) {
+    fn check_deadlines(&self, limiter: usize) {
         for waiting in self.limiters[limiter].waiting.values() {
             assert!(
-                self.now <= waiting.answered_by,
-                "a request of account {} waits for too long",
+                self.now <= waiting.answer_deadline,
+                "a request of account {} was not answered by its deadline",
                 waiting.account
             );
         }
     }
 
-    // The allocators' fleet.
+    // Fleet of allocators.
 
     fn renew_leases(&mut self) {
         let now = self.now;
         for node in &mut self.allocators {
-            if now >= node.isolated_until && now >= node.given_until {
-                node.held_until = now + FLEET_LEASE;
+            if now >= node.isolated_until && now >= node.reassigned_until {
+                node.lease_ends = now + FLEET_LEASE;
             }
         }
-        // Whose lease ran out may be given away; not everybody hears of it, or at the same time.
+        // The accounts of an allocator whose lease has expired may be reassigned. Allocators learn of
+        // it at different times, or not at all.
         for number in 0..ALLOCATORS {
             if now < self.allocators[number].isolated_until || self.random.random_ratio(1, 4) {
                 continue;
             }
-            let mut given_away = 0;
+            let mut reassigned = 0;
             for other in 0..ALLOCATORS {
                 let node = &mut self.allocators[other];
-                let gone = now < node.isolated_until && now >= node.held_until;
-                if other != number && gone && self.random.random_ratio(3, 4) {
-                    given_away |= 1 << other;
-                    node.given_until = now + FLEET_LEASE;
+                let is_expired = now < node.isolated_until && now >= node.lease_ends;
+                if other != number && is_expired && self.random.random_ratio(3, 4) {
+                    reassigned |= 1 << other;
+                    node.reassigned_until = now + FLEET_LEASE;
                 }
             }
             let node = &mut self.allocators[number];
             let ownership = Ownership {
-                reassigned: given_away,
+                reassigned,
                 reassigned_until: now + FLEET_LEASE,
-                lease_ends: node.held_until,
+                lease_ends: node.lease_ends,
             };
             node.allocator.set_ownership(now, ownership);
         }
@@ -515,17 +545,20 @@
 
     // Messages.
 
-    fn post(&mut self, parcel: Parcel, limiter: usize, allocator: usize) {
-        let copies = 1 + u32::from(self.random.random_ratio(self.network.doubled_percent, 100));
+    fn send(&mut self, packet: Packet, limiter: usize, allocator: usize) {
+        let copies = 1 + u32::from(
+            self.random
+                .random_ratio(self.network.duplicate_percent, 100),
+        );
         for _ in 0..copies {
-            let lost = self.random.random_ratio(self.network.lost_percent, 100);
-            let delay = self.random.random_range(100..=self.network.longest_delay);
-            if !lost && self.now >= self.cut_until[limiter][allocator] {
-                self.parcel_number += 1;
-                self.parcels.push(Reverse((
+            let lost = self.random.random_ratio(self.network.loss_percent, 100);
+            let delay = self.random.random_range(100..=self.network.max_delay);
+            if !lost && self.now >= self.messages_dropped_until[limiter][allocator] {
+                self.packet_count += 1;
+                self.packets_in_transit.push(Reverse((
                     self.now + delay,
-                    self.parcel_number,
-                    parcel.clone(),
+                    self.packet_count,
+                    packet.clone(),
                 )));
             }
         }
@@ -537,60 +570,60 @@
         let Ok(grant) = node.allocator.on_report(self.now, &report) else {
             return;
         };
-        let id = CarriedOutBy(ReportId::of(&report, number), node.incarnation);
-        match self.carried_out.get(&id) {
+        let id = ProcessedBy(ReportId::of(&report, number), node.incarnation);
+        match self.processed.get(&id) {
             Some(before) => assert_eq!(
                 before.grant, grant,
-                "a repeated report is answered as before"
+                "a repeated report should get the same answer"
             ),
             None => {
-                self.record(number, &report, &grant);
+                self.record_exchange(number, &report, &grant);
                 let accounts = report
                     .entries()
                     .map(|entry| account_of(entry.account))
                     .collect();
-                self.carried_out.insert(
+                self.processed.insert(
                     id,
-                    CarriedOut {
+                    ProcessedReport {
                         grant: grant.clone(),
                         accounts,
                     },
                 );
             }
         }
-        self.post(
-            Parcel::ToLimiter(report.limiter as usize, grant.encode_to_vec()),
+        self.send(
+            Packet::ToLimiter(report.limiter as usize, grant.encode_to_vec()),
             report.limiter as usize,
             number,
         );
     }
 
-    fn record(&mut self, allocator: usize, report: &Report, grant: &Grant) {
-        let own = report.addressed_to == self.allocators[allocator].incarnation;
-        for (asked, given) in report.entries().zip(grant.entries()) {
-            if given.verdict == Verdict::NotOwner {
-                assert_eq!(given.units, 0);
+    fn record_exchange(&mut self, allocator: usize, report: &Report, grant: &Grant) {
+        let is_addressed = report.addressed_to == self.allocators[allocator].incarnation;
+        for (requested, granted) in report.entries().zip(grant.entries()) {
+            if granted.verdict == Verdict::NotOwner {
+                assert_eq!(granted.units, 0);
                 continue;
             }
-            let ledger = &mut self.ledgers[account_of(asked.account)];
-            if own && asked.returned > 0 {
-                ledger.granted.add(self.now, -(asked.returned as i64));
+            let ledger = &mut self.ledgers[account_of(requested.account)];
+            if is_addressed && requested.returned > 0 {
+                ledger.granted.add(self.now, -(requested.returned as i64));
             }
-            ledger.granted.add(self.now, given.units as i64);
-            ledger.reported += asked.fallback_used;
+            ledger.granted.add(self.now, granted.units as i64);
+            ledger.reported_fallback += requested.fallback_used;
         }
     }
 
     fn deliver_grant(&mut self, number: usize, bytes: Vec<u8>) {
         let node = &mut self.limiters[number];
         if self.now < node.paused_until {
-            // It is read when the process goes on.
-            self.parcel_number += 1;
+            // The process reads the message when it resumes.
+            self.packet_count += 1;
             let at = node.paused_until;
-            self.parcels.push(Reverse((
+            self.packets_in_transit.push(Reverse((
                 at,
-                self.parcel_number,
-                Parcel::ToLimiter(number, bytes),
+                self.packet_count,
+                Packet::ToLimiter(number, bytes),
             )));
             return;
         }
@@ -600,13 +633,13 @@
             return;
         };
         let accepted = node.holder.figures().granted - before;
-        // An account that was forgotten meanwhile takes none.
+        // The holder drops units for an account that it has evicted since the report.
         assert!(accepted <= grant.entries().map(|entry| entry.units).sum::<u64>());
-        self.count_received(number, &grant);
-        self.take_answers(number, answers);
+        self.count_granted(number, &grant);
+        self.handle_answers(number, answers);
     }
 
-    fn count_received(&mut self, limiter: usize, grant: &Grant) {
+    fn count_granted(&mut self, limiter: usize, grant: &Grant) {
         let incarnation = self.limiters[limiter].incarnation;
         let Grant {
             allocator,
@@ -619,24 +652,25 @@
             allocator: allocator as usize,
             sequence,
         };
-        let carried_out = &self.carried_out[&CarriedOutBy(report, grant.incarnation)];
-        for (account, given) in carried_out.accounts.iter().zip(grant.entries()) {
-            self.books[limiter][*account].granted += given.units;
+        let processed = &self.processed[&ProcessedBy(report, grant.incarnation)];
+        for (account, granted) in processed.accounts.iter().zip(grant.entries()) {
+            self.unit_totals[limiter][*account].granted += granted.units;
         }
     }
 
-    /// Each process of a limiter uses and returns no more than it was granted, whatever it sends twice.
-    fn count_returns(&mut self, limiter: usize, allocator: usize, report: &Report) {
-        if !self.reports_seen.insert(ReportId::of(report, allocator)) {
+    /// Checks that a limiter process uses and returns no more units than it was granted. A report that
+    /// is sent again is counted once.
+    fn count_returned(&mut self, limiter: usize, allocator: usize, report: &Report) {
+        if !self.reports_sent.insert(ReportId::of(report, allocator)) {
             return;
         }
         for entry in report.entries() {
             let account = account_of(entry.account);
-            let book = &mut self.books[limiter][account];
-            book.returned += entry.returned;
+            let totals = &mut self.unit_totals[limiter][account];
+            totals.returned += entry.returned;
             assert!(
-                book.used + book.returned <= book.granted,
-                "account {account}: units out of nothing"
+                totals.used + totals.returned <= totals.granted,
+                "account {account}: used and returned more units than granted: {totals:?}"
             );
         }
     }
--- a/tests/quota_lease_core.rs
+++ b/tests/quota_lease_core.rs
@@ -1,4 +1,5 @@
-//! The core with a holder of leases: its edges are played by the test, and so are the allocators.
+//! Tests of the core with a lease holder. The test takes the roles of the transport and the
+//! allocators.
 
 use crossbeam_channel::{bounded, never, unbounded, Receiver, Sender};
 use mossrill::core::{
@@ -14,26 +15,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a test fails if the core does not act, and timeout of each request.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const LEASE_MS: u32 = 60_000;
 
-/// What the core wants done.
+/// Call of the core to its transport.
 #[derive(Debug, PartialEq)]
-enum Wanted {
+enum TransportCall {
     Start(AttemptId),
     Answer(u64, String),
     Report(u32, Report),
 }
 
-struct Played(Sender<Wanted>);
+/// Transport that records the calls of the core.
+struct RecordingTransport(Sender<TransportCall>);
 
-impl Transport for Played {
+impl Transport for RecordingTransport {
     type Client = u64;
     type Call = ();
     type Value = &'static str;
 
     fn answer(&mut self, client: u64, answer: Answer<&'static str>) {
-        _ = self.0.send(Wanted::Answer(client, format!("{answer:?}")));
+        _ = self
+            .0
+            .send(TransportCall::Answer(client, format!("{answer:?}")));
     }
 
     fn start_attempt(
@@ -44,7 +49,7 @@
         _: AttemptDeadlines,
         _: &Self::Client,
     ) {
-        _ = self.0.send(Wanted::Start(attempt));
+        _ = self.0.send(TransportCall::Start(attempt));
     }
 
     fn cancel(&mut self, _: AttemptId) -> bool {
@@ -66,7 +71,7 @@
     fn add_to_counter(&mut self, _: u64, _: u64, _: f64, _: Duration) {}
 
     fn send_lease_report(&mut self, allocator: u32, report: Report) {
-        _ = self.0.send(Wanted::Report(allocator, report));
+        _ = self.0.send(TransportCall::Report(allocator, report));
     }
 
     fn has_clients(&self) -> bool {
@@ -74,13 +79,13 @@
     }
 }
 
-/// A core with one allocator.
-struct Story {
-    queue: Sender<Input<Played>>,
-    wanted: Receiver<Wanted>,
+/// A running core with one allocator, whose answers the test sends.
+struct RunningCore {
+    input_sender: Sender<Input<RecordingTransport>>,
+    transport_calls: Receiver<TransportCall>,
 }
 
-impl Story {
+impl RunningCore {
     fn start(fallback_thousandths: u32) -> Self {
         let class = RequestClass {
             latency_objective: 15_000_000,
@@ -107,8 +112,9 @@
             quota_leases: true,
             ..Settings::default()
         };
-        let ((queue, inputs), (tell, wanted)) = (unbounded(), unbounded());
-        let node = Endpoint {
+        let ((input_sender, input_receiver), (call_sender, transport_calls)) =
+            (unbounded(), unbounded());
+        let endpoint = Endpoint {
             id: "a".into(),
             zone: String::new(),
             cell: 0,
@@ -116,14 +122,15 @@
             weight: 1.0,
             started_at: 0,
         };
-        _ = queue.send(Input::EndpointUpdate(UpdateScope::Snapshot, vec![node]));
+        _ = input_sender.send(Input::EndpointUpdate(UpdateScope::Snapshot, vec![endpoint]));
         let (clock, log) = (Clock::start(), Logger::root(Discard, o!()));
         let holder = Holder::new(
             clock.now(),
             HolderSettings {
                 allocators: 1,
                 lease: Micros::from(LEASE_MS) * 1_000,
-                // Nothing is sent again or given up in the time of a test.
+                // Longer than a test, so that no report is retried and no allocator becomes
+                // unavailable.
                 report_interval: 60_000_000,
                 retry_report_after: 60_000_000,
                 unavailable_after: 60_000_000,
@@ -136,23 +143,26 @@
                 settings,
                 seed: 7,
                 max_open: 100,
-                transport: Played(tell),
+                transport: RecordingTransport(call_sender),
                 clock,
                 endpoints_known: bounded(1).0,
                 lease_holder: Some(holder),
                 log,
             })
-            .run(inputs, never());
+            .run(input_receiver, never());
         });
-        Self { queue, wanted }
+        Self {
+            input_sender,
+            transport_calls,
+        }
     }
 
-    fn ask(&self, number: u64) {
+    fn send_request(&self, number: u64) {
         let request = IncomingRequest {
             number,
             id: None,
             arrived: Instant::now(),
-            timeout: PATIENCE,
+            timeout: TEST_TIMEOUT,
             class: 0,
             plan: 0,
             account: "agent".into(),
@@ -162,23 +172,23 @@
             client: number,
             call: (),
         };
-        _ = self.queue.send(Input::Request(request));
+        _ = self.input_sender.send(Input::Request(request));
     }
 
-    fn next(&self) -> Wanted {
-        self.wanted
-            .recv_timeout(PATIENCE)
-            .expect("something to be wanted")
+    fn next_call(&self) -> TransportCall {
+        self.transport_calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the core should call its transport within the time limit")
     }
 
-    fn report(&self) -> Report {
-        match self.next() {
-            Wanted::Report(0, report) => report,
-            other => panic!("{other:?} in place of a report"),
+    fn next_report(&self) -> Report {
+        match self.next_call() {
+            TransportCall::Report(0, report) => report,
+            other => panic!("expected a report to allocator 0, got {other:?}"),
         }
     }
 
-    /// Answers a report: each entry gets so many thousandths of a unit.
+    /// Answers a report with a grant of `units` thousandths of a unit for each entry.
     fn grant(&self, report: &Report, units: u64) {
         let mut grant = Grant {
             format: FORMAT,
@@ -204,16 +214,16 @@
             });
         }
         _ = self
-            .queue
+            .input_sender
             .send(Input::Allocator(AllocatorEvent::Answer(grant)));
     }
 }
 
 #[test]
-fn a_request_waits_for_its_units_and_is_then_sent() {
-    let story = Story::start(0);
-    story.ask(1);
-    let report = story.report();
+fn request_is_sent_once_its_units_are_granted() {
+    let core = RunningCore::start(0);
+    core.send_request(1);
+    let report = core.next_report();
     assert_eq!(
         report
             .entries()
@@ -221,10 +231,10 @@
             .collect::<Vec<_>>(),
         [1_000]
     );
-    story.grant(&report, 1_000);
+    core.grant(&report, 1_000);
     assert_eq!(
-        story.next(),
-        Wanted::Start(AttemptId {
+        core.next_call(),
+        TransportCall::Start(AttemptId {
             request: 1,
             attempt: 0
         })
@@ -232,22 +242,22 @@
 }
 
 #[test]
-fn a_request_is_refused_where_there_are_no_units() {
-    let story = Story::start(0);
-    story.ask(1);
-    story.grant(&story.report(), 0);
+fn request_is_rejected_if_the_account_is_exhausted() {
+    let core = RunningCore::start(0);
+    core.send_request(1);
+    core.grant(&core.next_report(), 0);
     assert_eq!(
-        story.next(),
-        Wanted::Answer(
+        core.next_call(),
+        TransportCall::Answer(
             1,
             "Rejected { retry_after: 400ms, timed_out: false }".into()
         )
     );
-    // While the allocator has said that there are none, it is not asked.
-    story.ask(2);
+    // During the hold-off time no report is sent for the account.
+    core.send_request(2);
     assert_eq!(
-        story.next(),
-        Wanted::Answer(
+        core.next_call(),
+        TransportCall::Answer(
             2,
             "Rejected { retry_after: 400ms, timed_out: false }".into()
         )
@@ -255,17 +265,17 @@
 }
 
 #[test]
-fn units_of_a_request_that_was_never_sent_serve_another() {
-    let story = Story::start(0);
-    story.ask(1);
-    let report = story.report();
-    // Its client leaves before the answer comes.
-    _ = story.queue.send(Input::ClientDisconnected(vec![1]));
-    story.grant(&report, 1_000);
-    story.ask(2);
+fn units_of_a_request_that_was_never_sent_serve_the_next_request() {
+    let core = RunningCore::start(0);
+    core.send_request(1);
+    let report = core.next_report();
+    // The client disconnects before the grant arrives.
+    _ = core.input_sender.send(Input::ClientDisconnected(vec![1]));
+    core.grant(&report, 1_000);
+    core.send_request(2);
     assert_eq!(
-        story.next(),
-        Wanted::Start(AttemptId {
+        core.next_call(),
+        TransportCall::Start(AttemptId {
             request: 2,
             attempt: 0
         })
@@ -273,19 +283,19 @@
 }
 
 #[test]
-fn without_an_allocator_the_fallback_part_serves() {
-    // The part fills at the whole rate, and was empty at the start.
-    let story = Story::start(1_000);
+fn fallback_share_serves_requests_without_an_allocator() {
+    // The fallback share is empty at the start and fills at the whole rate of the plan.
+    let core = RunningCore::start(1_000);
     thread::sleep(Duration::from_millis(1_200));
-    story.ask(1);
-    let report = story.report();
+    core.send_request(1);
+    let report = core.next_report();
     assert_eq!(report.sequence, 1);
-    _ = story
-        .queue
+    _ = core
+        .input_sender
         .send(Input::Allocator(AllocatorEvent::Lost { allocator: 0 }));
     assert_eq!(
-        story.next(),
-        Wanted::Start(AttemptId {
+        core.next_call(),
+        TransportCall::Start(AttemptId {
             request: 1,
             attempt: 0
         })
@@ -293,16 +303,16 @@
 }
 
 #[test]
-fn without_an_allocator_and_without_a_fallback_part_a_request_is_refused() {
-    let story = Story::start(0);
-    story.ask(1);
-    story.report();
-    _ = story
-        .queue
+fn request_is_rejected_without_an_allocator_and_without_a_fallback_share() {
+    let core = RunningCore::start(0);
+    core.send_request(1);
+    core.next_report();
+    _ = core
+        .input_sender
         .send(Input::Allocator(AllocatorEvent::Lost { allocator: 0 }));
     assert_eq!(
-        story.next(),
-        Wanted::Answer(
+        core.next_call(),
+        TransportCall::Answer(
             1,
             "Rejected { retry_after: 400ms, timed_out: false }".into()
         )
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -1,4 +1,5 @@
-//! Quota leases at the edges: frames on a connection, configuration, and what the decision module asks for.
+//! Quota leases: frames on a connection, errors of configuration files, and lease requests of the
+//! decision engine.
 
 mod common;
 
@@ -13,33 +14,48 @@
 use std::thread;
 use std::time::Duration;
 
-const DESCRIPTION: &str = include_str!("../deploy/ferry.openapi.json");
-const LIMITER: &str = include_str!("../deploy/leases.json");
-const ALLOCATOR: &str = include_str!("../deploy/allocator.json");
-const PATIENCE: Duration = Duration::from_secs(20);
-const PATIENT: Timeouts = Timeouts {
-    idle: PATIENCE,
-    frame: PATIENCE,
+const OPENAPI_DESCRIPTION: &str = include_str!("../deploy/ferry.openapi.json");
+const LIMITER_CONFIG: &str = include_str!("../deploy/leases.json");
+const ALLOCATOR_CONFIG: &str = include_str!("../deploy/allocator.json");
+/// Timeout that no operation of a passing test reaches.
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
+const LONG_TIMEOUTS: Timeouts = Timeouts {
+    idle: LONG_TIMEOUT,
+    frame: LONG_TIMEOUT,
 };
 
+/// Returns the two ends of a TCP connection on loopback.
 fn pair() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let near =
-        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    (near, listener.accept().expect("a connection").0)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port should be free");
+    let local = TcpStream::connect(
+        listener
+            .local_addr()
+            .expect("the listener should have a local address"),
+    )
+    .expect("connecting to the listener should succeed");
+    (
+        local,
+        listener
+            .accept()
+            .expect("accepting the connection should succeed")
+            .0,
+    )
 }
 
-/// What is read of these bytes, after which the connection ends.
-fn read_of(bytes: &[u8]) -> Result<Vec<u8>, FrameError> {
-    let (mut near, far) = pair();
-    near.write_all(bytes).expect("written");
-    drop(near);
-    frame::read(&far, PATIENT)
+/// Returns the result of reading a frame from a connection on which `bytes` were sent and which was
+/// then closed.
+fn read_frame_of(bytes: &[u8]) -> Result<Vec<u8>, FrameError> {
+    let (mut local, remote) = pair();
+    local
+        .write_all(bytes)
+        .expect("writing to the connection should succeed");
+    drop(local);
+    frame::read(&remote, LONG_TIMEOUTS)
 }
 
 #[test]
 fn frames_arrive_complete_and_in_order() {
-    let (near, far) = pair();
+    let (local, remote) = pair();
     let messages = [
         vec![7],
         vec![1; 300],
@@ -47,41 +63,46 @@
     ];
     let sent = messages.clone();
     let writer = thread::spawn(move || {
-        sent.iter()
-            .for_each(|message| frame::write(&near, message, PATIENCE).expect("written"));
+        sent.iter().for_each(|message| {
+            frame::write(&local, message, LONG_TIMEOUT)
+                .expect("writing to the connection should succeed")
+        });
     });
     for message in &messages {
-        assert!(frame::read(&far, PATIENT).expect("a frame") == *message);
+        assert!(
+            frame::read(&remote, LONG_TIMEOUTS).expect("reading the frame should succeed")
+                == *message
+        );
     }
-    writer.join().expect("an end");
+    writer.join().expect("the writer thread should not panic");
     assert!(matches!(
-        frame::read(&far, PATIENT),
+        frame::read(&remote, LONG_TIMEOUTS),
         Err(FrameError::Closed)
     ));
 }
 
 #[test]
 fn malformed_frames_are_distinguished() {
-    assert!(matches!(read_of(&[]), Err(FrameError::Closed)));
-    assert!(matches!(read_of(&[0, 0]), Err(FrameError::Truncated)));
+    assert!(matches!(read_frame_of(&[]), Err(FrameError::Closed)));
+    assert!(matches!(read_frame_of(&[0, 0]), Err(FrameError::Truncated)));
     assert!(matches!(
-        read_of(&[0, 0, 0, 3, 1, 2]),
+        read_frame_of(&[0, 0, 0, 3, 1, 2]),
         Err(FrameError::Truncated)
     ));
-    assert!(matches!(read_of(&[0; 4]), Err(FrameError::Empty)));
+    assert!(matches!(read_frame_of(&[0; 4]), Err(FrameError::Empty)));
     let too_long = MAX_BYTES as u32 + 1;
-    let read = read_of(&too_long.to_be_bytes());
+    let read = read_frame_of(&too_long.to_be_bytes());
     assert!(
         matches!(read, Err(FrameError::TooLong(length)) if length == MAX_BYTES + 1),
         "{read:?}"
     );
-    let (near, _far) = pair();
+    let (local, _remote) = pair();
     assert!(matches!(
-        frame::write(&near, &[], PATIENCE),
+        frame::write(&local, &[], LONG_TIMEOUT),
         Err(FrameError::Empty)
     ));
     assert!(matches!(
-        frame::write(&near, &vec![0; MAX_BYTES + 1], PATIENCE),
+        frame::write(&local, &vec![0; MAX_BYTES + 1], LONG_TIMEOUT),
         Err(FrameError::TooLong(_))
     ));
 }
@@ -92,28 +113,30 @@
         idle: Duration::from_millis(20),
         frame: Duration::from_millis(20),
     };
-    let (mut near, far) = pair();
+    let (mut local, remote) = pair();
     assert!(matches!(
-        frame::read(&far, timeouts),
+        frame::read(&remote, timeouts),
         Err(FrameError::IdleTimeout)
     ));
-    near.write_all(&[0, 0, 0, 9, 1]).expect("written");
+    local
+        .write_all(&[0, 0, 0, 9, 1])
+        .expect("writing to the connection should succeed");
     assert!(matches!(
-        frame::read(&far, timeouts),
+        frame::read(&remote, timeouts),
         Err(FrameError::FrameTimeout)
     ));
-    // Bytes that trickle in don't prolong the time for a frame.
-    let (mut near, far) = pair();
-    let trickle = thread::spawn(move || {
-        while near.write_all(&[0, 0, 0, 255]).is_ok() {
+    // Bytes that arrive slowly do not extend the timeout of a frame.
+    let (mut local, remote) = pair();
+    let slow_sender = thread::spawn(move || {
+        while local.write_all(&[0, 0, 0, 255]).is_ok() {
             thread::sleep(Duration::from_millis(5));
         }
     });
     let timeouts = Timeouts {
-        idle: PATIENCE,
+        idle: LONG_TIMEOUT,
         frame: Duration::from_millis(60),
     };
-    let read = (0..1_000).find_map(|_| frame::read(&far, timeouts).err());
+    let read = (0..1_000).find_map(|_| frame::read(&remote, timeouts).err());
     assert!(
         matches!(
             read,
@@ -121,34 +144,39 @@
         ),
         "{read:?}"
     );
-    drop(far);
-    trickle.join().expect("an end");
-    // One that reads nothing is not waited for longer than that.
-    let (near, _far) = pair();
+    drop(remote);
+    slow_sender
+        .join()
+        .expect("the thread that sends slowly should not panic");
+    // A write fails after the timeout if the receiver does not read.
+    let (local, _remote) = pair();
     let message = vec![1; MAX_BYTES];
     let timeout = Duration::from_millis(50);
-    let written = (0..1_000).find_map(|_| frame::write(&near, &message, timeout).err());
+    let written = (0..1_000).find_map(|_| frame::write(&local, &message, timeout).err());
     assert!(
         matches!(written, Some(FrameError::FrameTimeout)),
         "{written:?}"
     );
 }
 
-/// What is done to a good file.
+/// Change of a valid configuration file.
 type Change<'a> = &'a dyn Fn(&mut Value);
 
-fn limiter_fault(change: impl Fn(&mut Value)) -> String {
-    let mut file: Value = serde_json::from_str(LIMITER).expect("JSON");
+/// Returns the error of the limiter configuration after `change` has been applied to its `store`;
+/// "accepted" if the configuration is valid.
+fn limiter_config_error(change: impl Fn(&mut Value)) -> String {
+    let mut file: Value =
+        serde_json::from_str(LIMITER_CONFIG).expect("the file in deploy/ should be JSON");
     change(&mut file["store"]);
-    match config::openapi(&file.to_string(), |_| Ok(DESCRIPTION.to_owned())) {
-        Ok(_) => "taken".into(),
-        Err(fault) => fault.to_string(),
+    match config::openapi(&file.to_string(), |_| Ok(OPENAPI_DESCRIPTION.to_owned())) {
+        Ok(_) => "accepted".into(),
+        Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn errors_of_a_limiter_s_file_name_the_key() {
-    assert_eq!(limiter_fault(|_| ()), "taken");
+fn errors_of_a_limiter_configuration_name_the_key() {
+    assert_eq!(limiter_config_error(|_| ()), "accepted");
     let cases: [(&str, Change<'_>); 15] = [
         ("store.lifetime", &|store| store["lifetime"] = json!(1)),
         ("store.lifetime_ms", &|store| {
@@ -185,39 +213,43 @@
         }),
     ];
     for (key, change) in cases {
-        let fault = limiter_fault(change);
-        assert!(fault.contains(&format!("key \"{key}")), "{key}: {fault}");
+        let error = limiter_config_error(change);
+        assert!(error.contains(&format!("key \"{key}")), "{key}: {error}");
     }
-    let unknown = limiter_fault(|store| store["allocators"][0]["weight"] = json!(1));
+    let unknown = limiter_config_error(|store| store["allocators"][0]["weight"] = json!(1));
     assert!(
         unknown.contains("store.allocators[0]") && unknown.contains("weight"),
         "{unknown}"
     );
-    let missing =
-        limiter_fault(|store| _ = store.as_object_mut().map(|keys| keys.remove("allocators")));
+    let missing = limiter_config_error(|store| {
+        _ = store.as_object_mut().map(|keys| keys.remove("allocators"))
+    });
     assert!(
         missing.contains("store") && missing.contains("allocators"),
         "{missing}"
     );
-    let crowd = |store: &mut Value| {
+    let too_many_allocators = |store: &mut Value| {
         let entry = |n: u32| json!({"number": n, "address": format!("127.0.0.1:{}", 7_301 + n)});
         store["allocators"] = (0..65).map(entry).collect();
     };
-    assert!(limiter_fault(crowd).contains("store.allocators"));
+    assert!(limiter_config_error(too_many_allocators).contains("store.allocators"));
 }
 
-fn allocator_fault(change: impl Fn(&mut Value)) -> String {
-    let mut file: Value = serde_json::from_str(ALLOCATOR).expect("JSON");
+/// Returns the error of the allocator configuration after `change` has been applied; "accepted" if the
+/// configuration is valid.
+fn allocator_config_error(change: impl Fn(&mut Value)) -> String {
+    let mut file: Value =
+        serde_json::from_str(ALLOCATOR_CONFIG).expect("the file in deploy/ should be JSON");
     change(&mut file);
     match config::allocator("allocator.json", &file.to_string()) {
-        Ok(_) => "taken".into(),
-        Err(fault) => fault.to_string(),
+        Ok(_) => "accepted".into(),
+        Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn errors_of_an_allocator_s_file_name_the_key() {
-    assert_eq!(allocator_fault(|_| ()), "taken");
+fn errors_of_an_allocator_configuration_name_the_key() {
+    assert_eq!(allocator_config_error(|_| ()), "accepted");
     let cases: [(&str, Value); 13] = [
         ("number", json!(7)),
         ("number", json!(-1)),
@@ -234,46 +266,52 @@
         ("fleet", json!(null)),
     ];
     for (key, value) in cases {
-        let fault = allocator_fault(|file| file[key] = value.clone());
-        let named =
-            fault.starts_with("allocator.json: ") && fault.contains(&format!("key \"{key}\""));
-        assert!(named, "{key}: {fault}");
+        let error = allocator_config_error(|file| file[key] = value.clone());
+        let names_key =
+            error.starts_with("allocator.json: ") && error.contains(&format!("key \"{key}\""));
+        assert!(names_key, "{key}: {error}");
     }
-    let unknown = allocator_fault(|file| file["lifetme_ms"] = json!(1));
+    let unknown = allocator_config_error(|file| file["lifetme_ms"] = json!(1));
     assert!(unknown.contains("lifetme_ms"), "{unknown}");
-    let nested = allocator_fault(|file| file["fleet"]["perod_ms"] = json!(1));
+    let nested = allocator_config_error(|file| file["fleet"]["perod_ms"] = json!(1));
     assert!(nested.contains("fleet.perod_ms"), "{nested}");
     assert!(config::allocator("f", "{").is_err());
     assert!(config::allocator_from_file(std::path::Path::new("/nonexistent")).is_err());
 }
 
-fn leased(open: u32) -> Bench {
+/// Returns a bench with quota leases whose first plan has the given concurrency limit; 0 means none.
+fn lease_bench(max_concurrent: u32) -> Bench {
     let mut settings = Settings {
         quota_leases: true,
         counter: false,
         ..settings()
     };
-    settings.plans[0].max_concurrent = open;
+    settings.plans[0].max_concurrent = max_concurrent;
     Bench::new(settings, 2)
 }
 
-fn leases(actions: &[Action]) -> Vec<(RequestId, f64)> {
-    let pick = |action: &Action| match action {
+/// Returns the requests for which a lease is requested, with their units.
+fn lease_requests(actions: &[Action]) -> Vec<(RequestId, f64)> {
+    let lease_request = |action: &Action| match action {
         Action::RequestLease { id, units, .. } => Some((id.clone(), *units)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(lease_request).collect()
 }
 
 #[test]
 fn request_is_forwarded_once_its_units_are_leased() {
-    let mut bench = leased(0);
-    let asked = bench.ask("a", 0, 0, "c");
-    assert_eq!(leases(&asked), [("a".into(), 1.0)]);
-    assert!(sends(&asked).is_empty() && refused(&asked) == 0);
-    // However long that takes, it is neither sent nor asked for again before.
-    let waits = bench.pass(100_000);
-    assert!(sends(&waits).is_empty() && leases(&waits).is_empty() && counts(&waits) == 0);
+    let mut bench = lease_bench(0);
+    let requested = bench.ask("a", 0, 0, "c");
+    assert_eq!(lease_requests(&requested), [("a".into(), 1.0)]);
+    assert!(sends(&requested).is_empty() && refused(&requested) == 0);
+    // Until the reply arrives, the request is not sent and its units are not requested again.
+    let meanwhile = bench.pass(100_000);
+    assert!(
+        sends(&meanwhile).is_empty()
+            && lease_requests(&meanwhile).is_empty()
+            && counts(&meanwhile) == 0
+    );
     let sent = bench.on(Event::LeaseReply {
         id: "a".into(),
         granted: true,
@@ -284,7 +322,7 @@
 
 #[test]
 fn request_without_units_is_rejected_at_once() {
-    let mut bench = leased(0);
+    let mut bench = lease_bench(0);
     bench.ask("a", 0, 0, "c");
     bench.ask("b", 0, 0, "c");
     let answered = bench.on(Event::LeaseReply {
@@ -297,7 +335,7 @@
         granted: true,
     });
     assert_eq!((refused(&answered), sends(&answered).len()), (0, 1));
-    // Units for a request that has ended meanwhile change nothing.
+    // A reply for a request that has already ended has no effect.
     assert!(bench
         .on(Event::LeaseReply {
             id: "a".into(),
@@ -308,11 +346,11 @@
 
 #[test]
 fn concurrency_limit_holds_beside_leases() {
-    let mut bench = leased(2);
+    let mut bench = lease_bench(2);
     for id in ["a", "b", "c"] {
         bench.ask(id, 0, 0, "c");
     }
-    // Through two gateways, so one of the two places is this one's.
+    // The limit of two is divided between two limiters, so this limiter may send one request.
     let sent: usize = ["a", "b", "c"]
         .map(|id| {
             sends(&bench.on(Event::LeaseReply {
@@ -328,10 +366,11 @@
 
 #[test]
 fn whole_burst_is_requested_regardless_of_earlier_use() {
-    // Where the counter is called, more than a fair part is cut off before it is asked for.
-    let mut bench = leased(0);
-    let asked: usize = (0..40)
-        .map(|n| leases(&bench.ask(&format!("r{n}"), 0, 0, "c")).len())
+    // With the counter, requests above a fair share are rejected before the counter is called. With
+    // leases they are not.
+    let mut bench = lease_bench(0);
+    let requested: usize = (0..40)
+        .map(|n| lease_requests(&bench.ask(&format!("r{n}"), 0, 0, "c")).len())
         .sum();
-    assert_eq!(asked, 40);
+    assert_eq!(requested, 40);
 }
