--- a/tests/quota_lease/holder.rs
+++ b/tests/quota_lease/holder.rs
@@ -77,7 +77,7 @@
 /// Polls the holder and returns the only report that it sends.
 fn sent_report(holder: &mut Holder, now: Micros) -> Report {
     let poll = holder.poll(now);
-    assert_eq!(poll.reports.len(), 1, "{poll:?}");
+    assert_eq!(poll.reports.len(), 1, "expected one report, got {poll:?}");
     poll.reports.into_iter().next().unwrap().1
 }
 
@@ -118,7 +118,11 @@
 }
 
 fn only_entry(report: &Report) -> ReportEntry {
-    assert_eq!(report.accounts.len(), 1, "{report:?}");
+    assert_eq!(
+        report.accounts.len(),
+        1,
+        "expected one entry, got {report:?}"
+    );
     report.entries().next().unwrap()
 }
 
@@ -152,7 +156,7 @@
         outcome: Outcome::Taken(receipt),
     }] = &answers[..]
     else {
-        panic!("{answers:?}")
+        panic!("expected one answer with taken units, got {answers:?}")
     };
     assert_eq!(
         (*ticket, receipt.leased(), receipt.fallback()),
@@ -379,11 +383,11 @@
 fn leases_follow_demand_and_rare_requests_ask_only_for_their_own_units() {
     // Ten requests per second.
     let mut holder = holder();
-    let (mut has_waited, mut requested) = (Vec::new(), Vec::new());
+    let (mut waited, mut requested) = (Vec::new(), Vec::new());
     for step in 0..300u64 {
         let now = START + step * SECOND / 10;
         let waits = !is_taken(&take_unit(&mut holder, now));
-        has_waited.push(waits);
+        waited.push(waits);
         for (_, report) in holder.poll(now).reports {
             let entries: Vec<_> = report
                 .entries()
@@ -393,8 +397,8 @@
             holder.on_grant(now, &answer(&report, &entries)).unwrap();
         }
     }
-    let waits = |from: usize| has_waited[from..].iter().filter(|waits| **waits).count();
-    assert!(waits(0) < 20 && waits(100) == 0, "{has_waited:?}");
+    let wait_count = |from: usize| waited[from..].iter().filter(|waits| **waits).count();
+    assert!(wait_count(0) < 20 && wait_count(100) == 0, "{waited:?}");
     assert!(requested.iter().max() > Some(&(20 * UNIT)), "{requested:?}");
     let figures = holder.figures();
     assert!(figures.returned < figures.granted / 10, "{figures:?}");
@@ -623,7 +627,7 @@
     }
     assert_eq!(answers.len(), 1);
     let Outcome::Taken(receipt) = &answers[0].outcome else {
-        panic!("{answers:?}")
+        panic!("expected one answer with taken units, got {answers:?}")
     };
     assert_eq!(receipt.fallback(), UNIT);
 }
@@ -648,14 +652,14 @@
     assert_eq!(answers.len(), 1);
     assert!(!holder.is_available(first));
     // The other allocators are asked which allocators are reassigned.
-    let requested: Vec<_> = holder
+    let probed: Vec<_> = holder
         .poll(START)
         .reports
         .into_iter()
         .map(|(number, _)| number)
         .collect();
     assert_eq!(
-        requested,
+        probed,
         (0..3).filter(|number| *number != first).collect::<Vec<_>>()
     );
 }
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -295,15 +295,15 @@
             .retain(|(taken_units, _)| taken_units.limiter != number);
     }
 
-    /// Pauses the limiter's process. Requests that wait at it may be answered later by the same time.
+    /// Pauses the limiter's process for `span`, and extends the deadlines of its waiting requests.
     pub fn pause_limiter(&mut self, number: usize, span: Micros) {
         let node = &mut self.limiters[number];
         let end = node.paused_until.max(self.now) + span;
-        let longer = end - node.paused_until.max(self.now);
+        let extension = end - node.paused_until.max(self.now);
         node.paused_until = end;
         node.waiting
             .values_mut()
-            .for_each(|waiting| waiting.answer_deadline += longer);
+            .for_each(|waiting| waiting.answer_deadline += extension);
     }
 
     /// Cuts an allocator off from the fleet of allocators for `span`.
@@ -375,12 +375,12 @@
 
     /// Puts back the units of the latest request at a limiter that is not paused.
     pub fn put_back(&mut self) {
-        let paused =
+        let is_paused =
             |taken_units: &TakenUnits| self.now < self.limiters[taken_units.limiter].paused_until;
         let Some(index) = self
             .receipts
             .iter()
-            .rposition(|(taken_units, _)| !paused(taken_units))
+            .rposition(|(taken_units, _)| !is_paused(taken_units))
         else {
             return;
         };
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -163,20 +163,20 @@
 type Change<'a> = &'a dyn Fn(&mut Value);
 
 /// Returns the error of the limiter configuration after `change` has been applied to its `store`;
-/// "accepted" if the configuration is valid.
+/// "taken" if the configuration is valid.
 fn limiter_config_error(change: impl Fn(&mut Value)) -> String {
     let mut file: Value =
         serde_json::from_str(LIMITER_CONFIG).expect("the file in deploy/ should be JSON");
     change(&mut file["store"]);
     match config::openapi(&file.to_string(), |_| Ok(OPENAPI_DESCRIPTION.to_owned())) {
-        Ok(_) => "accepted".into(),
+        Ok(_) => "taken".into(),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
 fn errors_of_a_limiter_configuration_name_the_key() {
-    assert_eq!(limiter_config_error(|_| ()), "accepted");
+    assert_eq!(limiter_config_error(|_| ()), "taken");
     let cases: [(&str, Change<'_>); 15] = [
         ("store.lifetime", &|store| store["lifetime"] = json!(1)),
         ("store.lifetime_ms", &|store| {
@@ -235,21 +235,21 @@
     assert!(limiter_config_error(too_many_allocators).contains("store.allocators"));
 }
 
-/// Returns the error of the allocator configuration after `change` has been applied; "accepted" if the
+/// Returns the error of the allocator configuration after `change` has been applied; "taken" if the
 /// configuration is valid.
 fn allocator_config_error(change: impl Fn(&mut Value)) -> String {
     let mut file: Value =
         serde_json::from_str(ALLOCATOR_CONFIG).expect("the file in deploy/ should be JSON");
     change(&mut file);
     match config::allocator("allocator.json", &file.to_string()) {
-        Ok(_) => "accepted".into(),
+        Ok(_) => "taken".into(),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
 fn errors_of_an_allocator_configuration_name_the_key() {
-    assert_eq!(allocator_config_error(|_| ()), "accepted");
+    assert_eq!(allocator_config_error(|_| ()), "taken");
     let cases: [(&str, Value); 13] = [
         ("number", json!(7)),
         ("number", json!(-1)),
--- a/tests/quota_lease_processes/cluster.rs
+++ b/tests/quota_lease_processes/cluster.rs
@@ -12,64 +12,77 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Upstream servers' record: when each request came, counted once however often it was sent.
+/// Requests that reached the upstream servers. A request that is sent more than once is counted once.
 #[derive(Default)]
-pub struct Record {
-    pub seen: Mutex<(HashSet<String>, usize)>,
+pub struct ServedRequests {
+    /// First lines of the requests, and their number.
+    pub requests: Mutex<(HashSet<String>, usize)>,
 }
 
-impl Record {
-    pub fn served(&self) -> usize {
-        self.seen.lock().expect("whole").1
+impl ServedRequests {
+    /// Returns the number of requests.
+    pub fn count(&self) -> usize {
+        self.requests
+            .lock()
+            .expect("no thread should panic while it holds the lock")
+            .1
     }
 
-    pub fn note(&self, request: &str) {
-        let mut seen = self.seen.lock().expect("whole");
-        if seen.0.insert(request.to_owned()) {
-            seen.1 += 1;
+    /// Adds a request, identified by its first line.
+    pub fn add(&self, request: &str) {
+        let mut requests = self
+            .requests
+            .lock()
+            .expect("no thread should panic while it holds the lock");
+        if requests.0.insert(request.to_owned()) {
+            requests.1 += 1;
         }
     }
 }
 
-pub fn upstream(record: &Arc<Record>) -> SocketAddr {
-    let record = record.clone();
+/// Starts an upstream server that adds all its requests to `served_requests`, and returns its address.
+pub fn upstream(served_requests: &Arc<ServedRequests>) -> SocketAddr {
+    let served_requests = served_requests.clone();
     http_peer(move |first, _, _| {
-        record.note(first);
+        served_requests.add(first);
         answer("200 OK", "{}")
     })
 }
 
-/// All processes of a test, and the load on them.
+/// All processes of a test, and the requests of its clients.
 pub struct Cluster {
-    pub places: Addresses,
+    pub addresses: Addresses,
+    /// Name in the file names of the processes and in the output of the test.
     pub name: &'static str,
+    /// Allocators by number; `None` for one that was killed.
     pub allocators: Vec<Option<Program>>,
     pub limiters: Vec<Program>,
-    pub record: Arc<Record>,
-    pub began: Instant,
+    pub served_requests: Arc<ServedRequests>,
+    /// Start of the limiters.
+    pub started_at: Instant,
     pub load: Option<Load>,
 }
 
 impl Cluster {
-    /// Starts everything, and waits until all allocators hold their leases.
+    /// Starts all processes. The limiters start once all allocators hold their leases.
     pub fn start(name: &'static str) -> Self {
-        let (places, started) = (Addresses::new(), Instant::now());
+        let (addresses, started) = (Addresses::new(), Instant::now());
         let mut allocators: Vec<_> = (0..ALLOCATORS)
-            .map(|n| places.start_allocator(name, n))
+            .map(|n| addresses.start_allocator(name, n))
             .collect();
         for allocator in &mut allocators {
-            until_logged(allocator, "held: true", |_| true);
+            wait_for_log_line(allocator, "held: true", |_| true);
         }
         println!(
-            "{name}: all hold their leases after {:.1} s",
+            "{name}: all allocators hold their leases after {:.1} s",
             started.elapsed().as_secs_f64()
         );
-        let record = Arc::new(Record::default());
-        let upstreams = [upstream(&record), upstream(&record)];
-        let began = Instant::now();
-        let limiter = |me| {
-            let file = places.limiter_file(me, &upstreams);
-            Program::start_with(&format!("{name}-limiter-{me}"), &file, |file| {
+        let served_requests = Arc::new(ServedRequests::default());
+        let upstreams = [upstream(&served_requests), upstream(&served_requests)];
+        let started_at = Instant::now();
+        let limiter = |number| {
+            let file = addresses.limiter_file(number, &upstreams);
+            Program::start_with(&format!("{name}-limiter-{number}"), &file, |file| {
                 let mut command = Command::new(env!("CARGO_BIN_EXE_mossrill"));
                 command.arg(file);
                 command
@@ -78,56 +91,74 @@
         let limiters = (0..LIMITERS).map(limiter).collect();
         let allocators = allocators.into_iter().map(Some).collect();
         Self {
-            places,
+            addresses,
             name,
             allocators,
             limiters,
-            record,
-            began,
+            served_requests,
+            started_at,
             load: None,
         }
     }
 
-    pub fn load(&mut self) {
+    /// Starts clients at all limiters.
+    pub fn start_load(&mut self) {
         self.load = Some(Load::start(self.limiters.iter().map(|limiter| limiter.at)));
     }
 
-    /// The allocator that owns the account while all serve.
+    /// Returns the number of the allocator that owns the account while all allocators serve.
     pub fn owner(&self) -> u32 {
-        placement::owner(AccountKey::of(ACCOUNT), ALLOCATORS, 0).expect("an owner")
+        placement::owner(AccountKey::of(ACCOUNT), ALLOCATORS, 0)
+            .expect("an account should have an owner while all allocators serve")
     }
 
+    /// Kills the process of an allocator.
     pub fn kill(&mut self, number: u32) {
         self.allocators[number as usize] = None;
     }
 
-    /// Waits until an allocator's figures say so.
-    pub fn until_figure(&mut self, number: u32, key: &str, so: impl Fn(u64) -> bool) -> u64 {
-        let line = self.until_line(number, "figures", |line| so(figure(line, key)));
-        figure(&line, key)
+    /// Waits until an allocator logs metrics in which the value of `key` is as expected, and returns the
+    /// value.
+    pub fn wait_for_metric(
+        &mut self,
+        number: u32,
+        key: &str,
+        is_expected: impl Fn(u64) -> bool,
+    ) -> u64 {
+        let line = self.wait_for_line(number, "figures", |line| {
+            is_expected(metric_value(line, key))
+        });
+        metric_value(&line, key)
     }
 
-    /// Waits until an allocator logs a line with these words that is so.
-    pub fn until_line(&mut self, number: u32, words: &str, so: impl Fn(&str) -> bool) -> String {
-        let allocator = self.allocators[number as usize].as_mut().expect("running");
-        until_logged(allocator, words, so)
+    /// Waits until an allocator logs an expected line that contains `text`, and returns the line.
+    pub fn wait_for_line(
+        &mut self,
+        number: u32,
+        text: &str,
+        is_expected: impl Fn(&str) -> bool,
+    ) -> String {
+        let allocator = self.allocators[number as usize]
+            .as_mut()
+            .expect("the allocator should be running");
+        wait_for_log_line(allocator, text, is_expected)
     }
 
-    /// Units that were served in so long, and how long that was.
-    pub fn served_in(&self, span: Duration) -> (f64, f64) {
-        let (before, began) = (self.record.served(), Instant::now());
+    /// Waits for `span`. Returns the number of units served meanwhile and the measured time in seconds.
+    pub fn units_served_in(&self, span: Duration) -> (f64, f64) {
+        let (before, started_at) = (self.served_requests.count(), Instant::now());
         thread::sleep(span);
         (
-            (self.record.served() - before) as f64,
-            began.elapsed().as_secs_f64(),
+            (self.served_requests.count() - before) as f64,
+            started_at.elapsed().as_secs_f64(),
         )
     }
 
-    /// Nothing was served beyond the bound since the start; `fallback` is the part of the quota that limiters may have used
-    /// besides.
-    pub fn keeps_the_bound(&self, fallback: f64) {
-        let served = self.record.served() as f64;
-        let span = self.began.elapsed().as_secs_f64();
+    /// Asserts that no more units were served since the start than the quota and the leases allow.
+    /// `fallback` is the fraction of the quota that limiters may additionally have used as fallback.
+    pub fn assert_within_bound(&self, fallback: f64) {
+        let served = self.served_requests.count() as f64;
+        let span = self.started_at.elapsed().as_secs_f64();
         let lifetime = LIFETIME_MS as f64 / 1e3;
         let bound = BURST + RATE * (span + lifetime) + fallback * (BURST + RATE * span);
         println!(
@@ -136,17 +167,17 @@
         );
         assert!(
             served <= bound,
-            "{served} units in {span} s, {bound} allowed"
+            "{served} units in {span} s, expected at most {bound}"
         );
     }
 
-    /// Ends the load and all processes, each in order.
-    pub fn ends(mut self) {
-        let asked = self.load.take().map_or(0, Load::end);
+    /// Stops the clients, then the limiters, then the allocators.
+    pub fn stop(mut self) {
+        let request_count = self.load.take().map_or(0, Load::end);
         println!(
-            "{}: {} served of {asked} asked for",
+            "{}: {} of {request_count} requests served",
             self.name,
-            self.record.served()
+            self.served_requests.count()
         );
         self.limiters.into_iter().for_each(Program::ends);
         self.allocators
@@ -156,33 +187,39 @@
     }
 }
 
-/// Waits until a program logs a line with these words that is so.
-pub fn until_logged(program: &mut Program, words: &str, so: impl Fn(&str) -> bool) -> String {
-    let began = Instant::now();
+/// Waits until a program logs an expected line that contains `text`, and returns the line.
+pub fn wait_for_log_line(
+    program: &mut Program,
+    text: &str,
+    is_expected: impl Fn(&str) -> bool,
+) -> String {
+    let started_at = Instant::now();
     loop {
         let line = program.logged("");
-        if line.contains(words) && so(&line) {
+        if line.contains(text) && is_expected(&line) {
             return line;
         }
         assert!(
-            began.elapsed() < RECOVERY_TIMEOUT,
-            "no such {words:?}, but {line}"
+            started_at.elapsed() < RECOVERY_TIMEOUT,
+            "no expected log line with {text:?} within {RECOVERY_TIMEOUT:?}; last line: {line}"
         );
     }
 }
 
-/// The value of a key in a log line.
-pub fn figure(line: &str, key: &str) -> u64 {
+/// Returns the value of a key in a log line.
+pub fn metric_value(line: &str, key: &str) -> u64 {
     let value = line
         .split(&format!(", {key}: "))
         .nth(1)
-        .unwrap_or_else(|| panic!("no {key} in {line}"));
+        .unwrap_or_else(|| panic!("expected a value of {key} in the log line {line}"));
     let end = value
         .find(|c: char| !c.is_ascii_digit())
         .unwrap_or(value.len());
-    value[..end].parse().expect("a number")
+    value[..end]
+        .parse()
+        .expect("the value of a metric should be an integer")
 }
 
-/// Long enough for anything that is to happen at all, as for a dead allocator's accounts to go to others: its lease of 4 s,
-/// as much again for what was heard late, and the time to find it dead.
+/// Timeout for every expected event. The reassignment of a dead allocator's accounts, for example, takes
+/// the allocator's lease of 4 s, another 4 s for late messages, and the time to detect the death.
 pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
--- a/tests/quota_lease_processes/connections.rs
+++ b/tests/quota_lease_processes/connections.rs
@@ -1,6 +1,6 @@
-//! Many and malformed connections at one allocator.
+//! Many connections and malformed messages at one allocator.
 
-use crate::cluster::{figure, until_logged, Cluster, RECOVERY_TIMEOUT};
+use crate::cluster::{metric_value, wait_for_log_line, Cluster, RECOVERY_TIMEOUT};
 use crate::files::{allocator_command, Addresses, LIMITERS};
 use crate::peers::Program;
 use mossrill::quota_lease::frame;
@@ -12,39 +12,43 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Connections of limiters to one allocator, reports on each, and accounts in each report.
+/// Number of limiters, each with one connection to the allocator.
 const MANY_LIMITERS: u32 = 400;
 
+/// Number of reports on each connection.
 const REPORTS_PER_LIMITER: u64 = 5;
 
+/// Number of accounts in each report.
 const ACCOUNTS_PER_REPORT: u32 = 50;
 
-/// Resident memory that an allocator may take with such a crowd, in kB: each connection has a thread.
+/// Maximum resident memory of an allocator with [`MANY_LIMITERS`] connections, in kB. Each connection
+/// has a thread.
 const MEMORY_LIMIT_KB: u64 = 128 * 1_024;
 
 #[test]
 fn one_allocator_answers_many_limiters() {
-    let places = Addresses::new();
-    let mut file = places.allocator_file(0);
-    // Alone it has a majority, and holds its lease at once.
+    let addresses = Addresses::new();
+    let mut file = addresses.allocator_file(0);
+    // A single allocator is a majority of its fleet, so it holds its lease at once.
     file["allocators"] = json!(1);
     file["limiters"] = json!(MANY_LIMITERS);
-    // Whether a busy machine is quick is not asked here.
+    // Long timeouts, so that the test does not fail on a slow or busy machine.
     file["idle_ms"] = json!(RECOVERY_TIMEOUT.as_millis() as u64);
     file["frame_ms"] = json!(RECOVERY_TIMEOUT.as_millis() as u64);
     file["fleet"]["seeds"] = json!([file["fleet"]["seeds"][0]]);
-    let mut allocator = Program::start_with("crowd-allocator-0", &file, allocator_command);
-    until_logged(&mut allocator, "held: true", |_| true);
+    let mut allocator = Program::start_with("many-limiters-allocator-0", &file, allocator_command);
+    wait_for_log_line(&mut allocator, "held: true", |_| true);
     let timeouts = Timeouts {
         idle: RECOVERY_TIMEOUT,
         frame: RECOVERY_TIMEOUT,
     };
-    let connect = |_| TcpStream::connect(allocator.at).expect("a connection");
-    let began = Instant::now();
+    let connect =
+        |_| TcpStream::connect(allocator.at).expect("connecting to the allocator should succeed");
+    let start = Instant::now();
     let limiters: Vec<TcpStream> = (0..MANY_LIMITERS).map(connect).collect();
     println!(
-        "crowd: {MANY_LIMITERS} connections in {:.2} s",
-        began.elapsed().as_secs_f64()
+        "many-limiters: {MANY_LIMITERS} connections in {:.2} s",
+        start.elapsed().as_secs_f64()
     );
     let limits = PlanLimits {
         rate: 1_000_000,
@@ -67,13 +71,18 @@
                     ..ReportEntry::new(account, limits)
                 });
             }
-            frame::write(stream, &report.encode_to_vec(), RECOVERY_TIMEOUT).expect("written");
+            frame::write(stream, &report.encode_to_vec(), RECOVERY_TIMEOUT)
+                .expect("writing to the connection should succeed");
         }
         for stream in &limiters {
             let answer = frame::read(stream, timeouts);
-            let answer =
-                answer.unwrap_or_else(|error| panic!("{error}, and {:?}", allocator.log()));
-            let grant = Grant::read(&answer).expect("an answer");
+            let answer = answer.unwrap_or_else(|error| {
+                panic!(
+                    "reading the answer failed: {error}; log of the allocator: {:?}",
+                    allocator.log()
+                )
+            });
+            let grant = Grant::read(&answer).expect("the answer should decode as a grant");
             assert_eq!(
                 (grant.sequence, grant.entries, grant.serving),
                 (sequence, ACCOUNTS_PER_REPORT, true)
@@ -83,37 +92,43 @@
     let (ticks, memory) = allocator.used();
     let reports = u64::from(MANY_LIMITERS) * REPORTS_PER_LIMITER;
     println!(
-        "crowd: {reports} reports of {ACCOUNTS_PER_REPORT} accounts, {ticks} hundredths of a second, {memory} kB"
+        "many-limiters: {reports} reports of {ACCOUNTS_PER_REPORT} accounts, \
+         {ticks} hundredths of a second of processor time, {memory} kB"
     );
-    assert!(memory < MEMORY_LIMIT_KB, "{memory} kB");
-    let line = until_logged(&mut allocator, "figures", |line| {
-        figure(line, "reports") >= reports
+    assert!(
+        memory < MEMORY_LIMIT_KB,
+        "{memory} kB of memory, expected less than {MEMORY_LIMIT_KB} kB"
+    );
+    let line = wait_for_log_line(&mut allocator, "figures", |line| {
+        metric_value(line, "reports") >= reports
     });
     assert_eq!(
-        figure(&line, "entries"),
+        metric_value(&line, "entries"),
         reports * u64::from(ACCOUNTS_PER_REPORT)
     );
-    assert_eq!(figure(&line, "connections"), u64::from(MANY_LIMITERS));
+    assert_eq!(metric_value(&line, "connections"), u64::from(MANY_LIMITERS));
     drop(limiters);
-    until_logged(&mut allocator, "figures", |line| {
-        figure(line, "connections") == 0
+    wait_for_log_line(&mut allocator, "figures", |line| {
+        metric_value(line, "connections") == 0
     });
     allocator.ends();
 }
 
-/// Sends these bytes and waits for the end of the connection.
-fn is_closed_after(at: SocketAddr, bytes: &[u8]) {
-    let mut stream = TcpStream::connect(at).expect("a connection");
+/// Asserts that the allocator closes a connection on which `bytes` were sent.
+fn assert_closed_after(at: SocketAddr, bytes: &[u8]) {
+    let mut stream = TcpStream::connect(at).expect("connecting to the allocator should succeed");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("a timeout");
-    stream.write_all(bytes).expect("written");
+        .expect("setting the read timeout should succeed");
+    stream
+        .write_all(bytes)
+        .expect("writing to the connection should succeed");
     let mut rest = Vec::new();
-    // A reset is an end too.
-    let end = stream.read_to_end(&mut rest).map_err(|error| error.kind());
+    // The allocator may also reset the connection.
+    let result = stream.read_to_end(&mut rest).map_err(|error| error.kind());
     assert!(
-        matches!(end, Ok(0) | Err(std::io::ErrorKind::ConnectionReset)),
-        "{end:?} {rest:?}"
+        matches!(result, Ok(0) | Err(std::io::ErrorKind::ConnectionReset)),
+        "expected the end of the connection, got {result:?} and {rest:?}"
     );
 }
 
@@ -123,12 +138,12 @@
 
 #[test]
 fn malformed_connections_are_closed_and_counted_without_slowing_others() {
-    let mut story = Cluster::start("garbage");
-    let owner = story.owner();
-    let at = story.places.service[owner as usize];
-    story.load();
-    let good = {
-        // A limiter that is configured and does not run.
+    let mut cluster = Cluster::start("malformed");
+    let owner = cluster.owner();
+    let at = cluster.addresses.service[owner as usize];
+    cluster.start_load();
+    let valid_report = {
+        // From a limiter that is configured but does not run.
         let mut report = Report {
             format: FORMAT,
             limiter: LIMITERS,
@@ -140,40 +155,41 @@
             rate: 1_000,
             burst: 1_000,
         };
-        let account = AccountKey::of("somebody");
+        let account = AccountKey::of("another account");
         report.push(&ReportEntry {
             expected: 1_000,
             ..ReportEntry::new(account, limits)
         });
         report
     };
-    let foreign = Report {
+    let wrong_format = Report {
         format: FORMAT + 1,
-        ..good.clone()
+        ..valid_report.clone()
     };
-    let unknown = Report {
+    let unknown_limiter = Report {
         limiter: LIMITERS + 1,
-        ..good.clone()
+        ..valid_report.clone()
     };
-    let uneven = Report {
+    let uneven_columns = Report {
         expected: vec![1; 2],
-        ..good.clone()
+        ..valid_report.clone()
     };
-    is_closed_after(at, &framed(b"\xff\xff\xff garbage"));
-    is_closed_after(at, &framed(&foreign.encode_to_vec()));
-    is_closed_after(at, &framed(&unknown.encode_to_vec()));
-    is_closed_after(at, &framed(&uneven.encode_to_vec()));
-    is_closed_after(at, &u32::MAX.to_be_bytes());
-    is_closed_after(at, &[0; 4]);
-    // Nothing at all, and half a frame: the rest never comes.
-    is_closed_after(at, &[]);
-    is_closed_after(at, &framed(&good.encode_to_vec())[..9]);
-    let cut = TcpStream::connect(at).expect("a connection");
-    (&cut)
-        .write_all(&framed(&good.encode_to_vec())[..9])
-        .expect("written");
-    drop(cut);
-    for (key, least) in [
+    assert_closed_after(at, &framed(b"\xff\xff\xff garbage"));
+    assert_closed_after(at, &framed(&wrong_format.encode_to_vec()));
+    assert_closed_after(at, &framed(&unknown_limiter.encode_to_vec()));
+    assert_closed_after(at, &framed(&uneven_columns.encode_to_vec()));
+    assert_closed_after(at, &u32::MAX.to_be_bytes());
+    assert_closed_after(at, &[0; 4]);
+    // No bytes at all, and an incomplete frame on a connection that stays open.
+    assert_closed_after(at, &[]);
+    assert_closed_after(at, &framed(&valid_report.encode_to_vec())[..9]);
+    // An incomplete frame on a connection that the sender closes.
+    let incomplete = TcpStream::connect(at).expect("connecting to the allocator should succeed");
+    (&incomplete)
+        .write_all(&framed(&valid_report.encode_to_vec())[..9])
+        .expect("writing to the connection should succeed");
+    drop(incomplete);
+    for (key, min_count) in [
         ("dropped_malformed", 2),
         ("dropped_format", 1),
         ("dropped_unknown_sender", 1),
@@ -183,22 +199,28 @@
         ("closed_slow", 1),
         ("closed_cut", 1),
     ] {
-        story.until_figure(owner, key, |count| count >= least);
+        cluster.wait_for_metric(owner, key, |count| count >= min_count);
     }
-    // A good one is answered as if nothing had been.
-    let stream = TcpStream::connect(at).expect("a connection");
+    // A valid report is answered as usual.
+    let stream = TcpStream::connect(at).expect("connecting to the allocator should succeed");
     let timeouts = Timeouts {
         idle: Duration::from_secs(20),
         frame: Duration::from_secs(20),
     };
-    frame::write(&stream, &good.encode_to_vec(), timeouts.frame).expect("written");
-    let grant = Grant::read(&frame::read(&stream, timeouts).expect("a frame")).expect("an answer");
+    frame::write(&stream, &valid_report.encode_to_vec(), timeouts.frame)
+        .expect("writing to the connection should succeed");
+    let grant =
+        Grant::read(&frame::read(&stream, timeouts).expect("reading the frame should succeed"))
+            .expect("the answer should decode as a grant");
     assert_eq!(
         (grant.allocator, grant.sequence, grant.entries),
         (owner, 1, 1)
     );
-    let (served, _) = story.served_in(Duration::from_secs(1));
-    assert!(served > 0.0, "nobody served beside the garbage");
-    story.keeps_the_bound(0.0);
-    story.ends();
+    let (served, _) = cluster.units_served_in(Duration::from_secs(1));
+    assert!(
+        served > 0.0,
+        "no request was served during the malformed connections"
+    );
+    cluster.assert_within_bound(0.0);
+    cluster.stop();
 }
--- a/tests/quota_lease_processes/files.rs
+++ b/tests/quota_lease_processes/files.rs
@@ -7,37 +7,43 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU8, Ordering};
 
+/// Number of allocators.
 pub const ALLOCATORS: u32 = 3;
 
+/// Number of limiters that run.
 pub const LIMITERS: u32 = 3;
 
+/// Account of all requests of the clients.
 pub const ACCOUNT: &str = "agen-utama";
 
-/// Units a second, and the burst, of the account's plan. A request is one unit.
+/// Rate of the account's plan in units per second. A request costs one unit.
 pub const RATE: f64 = 30.0;
 
+/// Burst of the account's plan in units.
 pub const BURST: f64 = 20.0;
 
+/// Duration of a lease.
 pub const LIFETIME_MS: u64 = 1_000;
 
-/// Share of the quota that limiters may use together while its owner does not answer.
+/// Fraction of the quota that all limiters together may use while its owner does not answer.
 pub const FALLBACK: f64 = 0.5;
 
-/// An allocator closes a connection without a report after this time.
+/// Time without a report after which an allocator closes a connection.
 pub const IDLE_MS: u64 = 3_000;
 
-/// Metrics are logged so often.
-pub const FIGURES_MS: u64 = 200;
+/// Interval at which allocators log metrics.
+pub const LOG_INTERVAL_MS: u64 = 200;
 
-/// Ports at which allocators listen, above which each adds its number.
+/// Port at which allocator 0 listens for limiters. Each allocator adds its number.
 pub const SERVICE_PORT: u16 = 7_300;
 
+/// Port at which allocator 0 listens for its fleet. Each allocator adds its number.
 pub const FLEET_PORT: u16 = 7_946;
 
-/// An address on loopback that no other test has while this process runs.
+/// Returns a loopback address that no other test uses while this process runs.
 ///
-/// Guards against ports that the system gives to somebody else while an allocator is down: connections that others open come
-/// from 127.0.0.1, where no allocator of these tests listens.
+/// On 127.0.0.1, the system could assign an allocator's port to a connection of another process while
+/// the allocator is down. No allocator of these tests listens on that address.
 pub fn unique_host() -> Ipv4Addr {
     static HOSTS: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -49,44 +55,49 @@
     )
 }
 
-/// Addresses of the allocators: for limiters, and for each other.
+/// Addresses of the allocators, by number.
 pub struct Addresses {
+    /// Addresses at which they listen for limiters.
     pub service: Vec<SocketAddr>,
+    /// Addresses at which they listen for each other.
     pub fleet: Vec<SocketAddr>,
 }
 
 impl Addresses {
+    /// Returns addresses on a host that no other test uses.
     pub fn new() -> Self {
         let host = unique_host();
-        let from = |port: u16| {
+        let ports_from = |port: u16| {
             (port..)
                 .take(ALLOCATORS as usize)
                 .map(|port| (host, port).into())
                 .collect()
         };
         Self {
-            service: from(SERVICE_PORT),
-            fleet: from(FLEET_PORT),
+            service: ports_from(SERVICE_PORT),
+            fleet: ports_from(FLEET_PORT),
         }
     }
 
+    /// Returns the configuration of an allocator.
     pub fn allocator_file(&self, number: u32) -> Value {
         let seed = |(number, at): (usize, &SocketAddr)| json!({"limiter": number, "address": at.to_string()});
         let seeds: Vec<Value> = self.fleet.iter().enumerate().map(seed).collect();
         let own = number as usize;
         json!({"number": number, "allocators": ALLOCATORS, "limiters": LIMITERS + 1,
             "listen": self.service[own].to_string(), "lifetime_ms": LIFETIME_MS, "idle_ms": IDLE_MS, "frame_ms": 500,
-            "log_interval_ms": FIGURES_MS,
+            "log_interval_ms": LOG_INTERVAL_MS,
             "fleet": {"name": "allocators", "key": "00112233445566778899aabbccddeeff", "period_ms": 100,
                 "out_per_s": 100, "in_per_s": 100, "listen": self.fleet[own].to_string(), "seeds": seeds}})
     }
 
-    pub fn limiter_file(&self, me: u32, upstreams: &[SocketAddr]) -> Value {
+    /// Returns the configuration of limiter `number`.
+    pub fn limiter_file(&self, number: u32, upstreams: &[SocketAddr]) -> Value {
         let allocator = |(number, at): (usize, &SocketAddr)| json!({"number": number, "address": at.to_string()});
         let allocators: Vec<Value> = self.service.iter().enumerate().map(allocator).collect();
         let server = |(number, at): (usize, &SocketAddr)| json!({"name": format!("node-{number}"), "address": at.to_string()});
         let servers: Vec<Value> = upstreams.iter().enumerate().map(server).collect();
-        json!({"name": format!("limiter-{me}"), "listen": "127.0.0.1:0", "limiters": {"me": me, "all": LIMITERS},
+        json!({"name": format!("limiter-{number}"), "listen": "127.0.0.1:0", "limiters": {"me": number, "all": LIMITERS},
             "description": concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/ferry.openapi.json"),
             "plans": [{"name": "utama", "rate": RATE, "burst": BURST}],
             "accounts": [{"name": ACCOUNT, "plan": "utama"}],
@@ -95,12 +106,14 @@
                 "answer_ms": 2_000, "fallback": FALLBACK}})
     }
 
-    pub fn start_allocator(&self, story: &str, number: u32) -> Program {
-        let name = format!("{story}-allocator-{number}");
+    /// Starts an allocator of the test `test_name`.
+    pub fn start_allocator(&self, test_name: &str, number: u32) -> Program {
+        let name = format!("{test_name}-allocator-{number}");
         Program::start_with(&name, &self.allocator_file(number), allocator_command)
     }
 }
 
+/// Returns the command that starts an allocator with a configuration file.
 pub fn allocator_command(file: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mossrill-allocator"));
     command.arg(file);
--- a/tests/quota_lease_processes/load.rs
+++ b/tests/quota_lease_processes/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send one request after another.
+//! Load on the limiters: clients that send one request after another.
 
 use crate::files::ACCOUNT;
 use crate::peers::http;
@@ -10,31 +10,36 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Clients at each limiter, and how long one waits between two requests: together they ask for several times the quota.
+/// Number of clients at each limiter. All clients together request several times the quota.
 pub const CLIENTS: u32 = 2;
 
+/// Time between two requests of a client.
 pub const CLIENT_PAUSE: Duration = Duration::from_millis(12);
 
-/// Clients that ask one request after another.
+/// Running clients.
 pub struct Load {
+    /// Tells the clients to stop.
     pub stop: Arc<AtomicBool>,
-    pub asked: Arc<AtomicUsize>,
+    /// Number of requests that the clients sent.
+    pub requests_sent: Arc<AtomicUsize>,
+    /// Threads of the clients.
     pub clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
+    /// Starts the clients of the limiters with these addresses.
     pub fn start(limiters: impl Iterator<Item = SocketAddr>) -> Self {
-        let (stop, asked) = (
+        let (stop, requests_sent) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
         let clients = limiters
             .flat_map(|at| (0..CLIENTS).map(move |_| at))
             .map(|at| {
-                let (stop, asked) = (stop.clone(), asked.clone());
+                let (stop, requests_sent) = (stop.clone(), requests_sent.clone());
                 thread::spawn(move || {
                     while !stop.load(Ordering::SeqCst) {
-                        client(at, &stop, &asked);
+                        run_client(at, &stop, &requests_sent);
                         thread::sleep(CLIENT_PAUSE);
                     }
                 })
@@ -42,37 +47,42 @@
         let clients = clients.collect();
         Self {
             stop,
-            asked,
+            requests_sent,
             clients,
         }
     }
 
-    /// Ends it; how many requests there were.
+    /// Stops the clients and returns the number of requests that they sent.
     pub fn end(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
         self.clients
             .into_iter()
-            .for_each(|client| client.join().expect("an end"));
-        self.asked.load(Ordering::SeqCst)
+            .for_each(|client| client.join().expect("a client thread should not panic"));
+        self.requests_sent.load(Ordering::SeqCst)
     }
 }
 
-/// Asks on one connection, with a number of its own in each request, until it is told to stop or the connection ends.
-pub fn client(at: SocketAddr, stop: &AtomicBool, asked: &AtomicUsize) {
+/// Sends requests on one connection until `stop` is set or the connection ends. Each request contains a
+/// different number.
+pub fn run_client(at: SocketAddr, stop: &AtomicBool, requests_sent: &AtomicUsize) {
     let Ok(stream) = TcpStream::connect(at) else {
         return;
     };
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("a timeout");
-    stream.set_nodelay(true).expect("a socket");
-    let mut from = std::io::BufReader::new(stream);
+        .expect("setting the read timeout should succeed");
+    stream
+        .set_nodelay(true)
+        .expect("setting TCP_NODELAY should succeed");
+    let mut connection = std::io::BufReader::new(stream);
     while !stop.load(Ordering::SeqCst) {
-        let number = asked.fetch_add(1, Ordering::SeqCst);
+        let number = requests_sent.fetch_add(1, Ordering::SeqCst);
         let text = format!(
             "GET /v1/sailings/{number}/seats HTTP/1.1\r\nHost: x\r\nX-Agent-Account: {ACCOUNT}\r\n\r\n"
         );
-        if from.get_mut().write_all(text.as_bytes()).is_err() || http(&mut from, false).is_err() {
+        if connection.get_mut().write_all(text.as_bytes()).is_err()
+            || http(&mut connection, false).is_err()
+        {
             return;
         }
         thread::sleep(CLIENT_PAUSE);
--- a/tests/quota_lease_processes/main.rs
+++ b/tests/quota_lease_processes/main.rs
@@ -1,7 +1,7 @@
 //! Quota leases with real processes on loopback.
 //!
-//! Three allocators, three limiters with an OpenAPI front, and scripted upstream servers that record what reached them;
-//! and many limiters at one allocator.
+//! Most tests run three allocators, three limiters with an OpenAPI front, and simulated upstream servers
+//! that count the requests that reach them. One test connects many limiters to one allocator.
 
 #[path = "../peers/mod.rs"]
 mod peers;
