--- a/benches/quotas/fleet.rs
+++ b/benches/quotas/fleet.rs
@@ -1,8 +1,9 @@
-//! Many limiters before the same accounts: the decision module, or a plain rule in its place, driven by hand-made time.
+//! Simulation of many limiters that serve the same accounts, in virtual time. At each limiter the
+//! decision module or a simple rule in its place decides on the requests.
 
 use crate::counter::Counter;
-use crate::tables::{Cause, Tables, Way};
-use crate::world::{Account, Beyond, Kind, MEAN_UNITS, SECOND};
+use crate::tables::{Cause, CounterKnowledge, Results};
+use crate::world::{Account, QuotaCheck, UsageProfile, MEAN_UNITS, SECOND};
 use mossrill::decision::{counter_key, counter_window};
 use mossrill::decision::{
     AccountId, Action, AttemptResult, Endpoint, Event, Idempotency, KeyScope, Limits, Micros,
@@ -16,24 +17,25 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What decides at each limiter.
+/// The rule by which each limiter decides. The report contains the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Rule {
+pub enum DecisionRule {
     /// The decision module.
     Module,
-    /// Each limiter keeps to its own part of every quota and asks nobody.
+    /// Each limiter enforces a fixed, equal share of every quota and makes no counter calls.
     Part,
-    /// All limiters see what is left of a quota at once: the bound that nobody reaches.
+    /// All limiters see the exact state of every quota at once, which no real limiter can do: the
+    /// upper bound.
     Exact,
 }
 
-/// What goes wrong.
+/// The fault or change of load that is simulated. The report contains the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Trouble {
+pub enum Disturbance {
     None,
     /// The counter loses seven tenths of its counts, twice.
     Lost,
-    /// It bears half a call for each try.
+    /// The counter can handle half a call for each first request.
     Half,
     /// Seven in ten limiters are restarted at once.
     Restart,
@@ -43,93 +45,139 @@
     Clocks,
 }
 
+/// Sizes, load and disturbance of one run.
 pub struct Setup {
-    pub gateways: usize,
-    pub tries: f64,
+    pub limiters: usize,
+    /// First requests per second within quotas, over all limiters.
+    pub request_rate: f64,
+    /// Duration in seconds for which clients send first requests.
     pub seconds: f64,
-    pub calls_a_try: f64,
-    pub trouble: Trouble,
+    /// Capacity of the counter, in calls for each first request.
+    pub calls_per_request: f64,
+    pub disturbance: Disturbance,
     pub seed: u64,
 }
 
-struct Try {
+/// A request as it arrives at a limiter: the first one of a client, or a retry.
+struct ClientRequest {
+    /// Index of the account.
     account: usize,
-    gateway: usize,
+    /// Index of the limiter.
+    limiter: usize,
     units: f64,
+    /// Index of the request class.
     class: usize,
-    arrived: Micros,
-    gives_up: Micros,
-    retries: u32,
+    arrived_at: Micros,
+    /// Time at which the client stops waiting and retrying.
+    gives_up_at: Micros,
+    retries_left: u32,
     is_retry: bool,
-    out: Option<(Micros, ServerId)>,
+    /// When the attempt in flight was sent, and to which server.
+    open_attempt: Option<(Micros, ServerId)>,
 }
 
-/// What one limiter knows, in truth, of one account.
+/// What happened at one limiter for one account. Shows why requests were sent beyond the quota.
 #[derive(Clone, Copy, Default)]
-struct Known {
-    answered: Option<Micros>,
-    failed: Option<Micros>,
-    window: u64,
-    /// Units sent on here, and told of these: claims are told ahead.
-    sent: f64,
-    told: f64,
-    /// Units that the others had told by the last answer.
-    others: f64,
-    /// The rule of own parts: its store.
-    store: Option<(f64, f64)>,
-    open: u32,
+struct AccountHistory {
+    /// Time of the last counter call that was answered.
+    answered_at: Option<Micros>,
+    /// Time of the last counter call that failed.
+    failed_at: Option<Micros>,
+    /// Counter window in which the last answer arrived.
+    answered_window: u64,
+    /// Units sent upstream by this limiter.
+    units_sent: f64,
+    /// Units that this limiter added to the counter. Claims are added before their units are sent.
+    units_reported: f64,
+    /// Units that the other limiters had added to the counter by the last answer.
+    units_reported_elsewhere: f64,
+    /// For the rule of fixed shares: the tokens of the limiter's bucket, and the time in seconds of
+    /// its last refill.
+    share_bucket: Option<(f64, f64)>,
+    /// Number of attempts in flight.
+    open_attempts: u32,
 }
 
-enum Happens {
-    Asks(usize),
-    Tries(Try),
-    Timer(usize, u32),
-    Done(usize),
-    Counted(usize, u32, u64, f64, f64, Outcome),
-    Lose,
+enum SimulationEvent {
+    /// The client of this account sends a new request.
+    FirstRequest(usize),
+    /// A client sends a rejected request again.
+    Retry(ClientRequest),
+    /// The timer of a limiter expires, unless the limiter has been restarted since the timer was
+    /// set.
+    Timer { limiter: usize, restarts: u32 },
+    /// The attempt of the request with this index ends.
+    AttemptEnd(usize),
+    /// A counter call ends, as the limiter that made it sees it.
+    CallEnd {
+        limiter: usize,
+        /// Restarts of the limiter before the call; the reply to a call from before the last
+        /// restart is dropped.
+        restarts: u32,
+        key: u64,
+        amount: f64,
+        /// The new total; 0 if the call failed.
+        total: f64,
+        outcome: Outcome,
+    },
+    /// The counter loses part of its counts.
+    CounterLoss,
+    /// Seven in ten limiters restart.
     Restart,
 }
 
+/// All limiters, the clients and the counter.
 pub struct Fleet {
-    rule: Rule,
+    rule: DecisionRule,
     setup: Setup,
+    /// Virtual time.
     now: Micros,
-    order: u64,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: HashMap<u64, Happens>,
-    /// First tries draw from one, all else from the other: what is asked is the same under every rule.
-    clients: StdRng,
+    /// Sequence number of the last event that was scheduled.
+    last_event: u64,
+    /// Times and sequence numbers of pending events; those at the same time happen in the order of
+    /// scheduling.
+    event_queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Pending events by sequence number.
+    events: HashMap<u64, SimulationEvent>,
+    /// Random numbers for first requests. All others come from `rng`, so that every rule receives
+    /// the same first requests.
+    client_rng: StdRng,
     rng: StdRng,
     settings: Settings,
-    gateways: Vec<(Engine, u32, Micros)>,
+    /// For each limiter: the decision module, the number of restarts, and how far its clock is
+    /// ahead.
+    limiters: Vec<(Engine, u32, Micros)>,
     accounts: Vec<Account>,
-    names: HashMap<u64, usize>,
-    known: HashMap<(usize, usize), Known>,
-    tries: Vec<Try>,
+    /// Indexes of accounts by counter key.
+    account_by_key: HashMap<u64, usize>,
+    /// What happened, by index of the limiter and of the account.
+    histories: HashMap<(usize, usize), AccountHistory>,
+    /// All requests that have arrived; the index of a request is its id.
+    requests: Vec<ClientRequest>,
     counter: Counter,
-    pub tables: Tables,
+    pub results: Results,
 }
 
-/// Settings as a large fleet has them.
-fn settings(gateways: usize) -> Settings {
-    let class = |aim, deadline, effect, worth| RequestClass {
-        latency_objective: aim,
+/// Settings of a large fleet.
+fn settings(limiters: usize) -> Settings {
+    let class = |latency_objective, deadline, idempotency, priority_weight| RequestClass {
+        latency_objective,
         deadline,
-        idempotency: effect,
+        idempotency,
         idempotency_window: 7_500_000,
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.0,
     };
-    let plan = |rate, burst, open, price| Plan {
+    let plan = |rate, burst, max_concurrent, weight_factor| Plan {
         rate,
         burst,
-        max_concurrent: open,
-        weight_factor: price,
+        max_concurrent,
+        weight_factor,
         over_quota_cost: 1.0,
         ..Plan::default()
     };
     Settings {
-        limiters: gateways as u32,
+        limiters: limiters as u32,
         tick: 1_000,
         classes: vec![
             class(940_000, 2_950_000, Idempotency::Idempotent, 3.0),
@@ -163,78 +211,81 @@
 }
 
 impl Fleet {
-    pub fn new(rule: Rule, setup: Setup) -> Self {
-        let mut clients = StdRng::seed_from_u64(setup.seed);
-        let settings = settings(setup.gateways);
+    /// Creates the fleet, and draws accounts of each plan until together they reach the plan's
+    /// share of the request rate.
+    pub fn new(rule: DecisionRule, setup: Setup) -> Self {
+        let mut client_rng = StdRng::seed_from_u64(setup.seed);
+        let settings = settings(setup.limiters);
         let mut accounts = Vec::new();
-        for (plan, part) in [0.24, 0.31, 0.45].into_iter().enumerate() {
-            let mut wanted = part * setup.tries * MEAN_UNITS;
-            while wanted > 0.0 {
+        for (plan, share) in [0.24, 0.31, 0.45].into_iter().enumerate() {
+            let mut missing_rate = share * setup.request_rate * MEAN_UNITS;
+            while missing_rate > 0.0 {
                 let account = Account::draw(
-                    &mut clients,
+                    &mut client_rng,
                     plan,
                     &settings.plans,
-                    setup.gateways,
+                    setup.limiters,
                     setup.seconds,
                 );
-                let seen = if account.kind == Kind::Once {
+                let active_fraction = if account.profile == UsageProfile::Once {
                     4.0 / setup.seconds
                 } else {
                     1.0
                 };
-                wanted -= account.mean_use() * settings.plans[plan].rate * seen;
+                missing_rate -= account.mean_usage() * settings.plans[plan].rate * active_fraction;
                 accounts.push(account);
             }
         }
-        let per_try = if setup.trouble == Trouble::Half {
+        let calls_per_request = if setup.disturbance == Disturbance::Half {
             0.5
         } else {
-            setup.calls_a_try
+            setup.calls_per_request
         };
         let mut fleet = Self {
             rule,
             now: 1_700_000_000_000_000,
-            order: 0,
-            events: BinaryHeap::new(),
-            what: HashMap::new(),
+            last_event: 0,
+            event_queue: BinaryHeap::new(),
+            events: HashMap::new(),
             rng: StdRng::seed_from_u64(setup.seed + 1),
-            clients,
-            gateways: Vec::new(),
+            client_rng,
+            limiters: Vec::new(),
             accounts,
-            names: HashMap::new(),
-            known: HashMap::new(),
-            tries: Vec::new(),
-            counter: Counter::new(setup.tries * per_try),
-            tables: Tables::default(),
+            account_by_key: HashMap::new(),
+            histories: HashMap::new(),
+            requests: Vec::new(),
+            counter: Counter::new(setup.request_rate * calls_per_request),
+            results: Results::default(),
             settings,
             setup,
         };
-        for me in 0..fleet.setup.gateways {
-            let gateway = fleet.gateway(me, 0);
-            let skew = if fleet.setup.trouble == Trouble::Clocks {
+        for limiter in 0..fleet.setup.limiters {
+            let engine = fleet.engine(limiter, 0);
+            let skew = if fleet.setup.disturbance == Disturbance::Clocks {
                 fleet.rng.random_range(0..100_000)
             } else {
                 0
             };
-            fleet.gateways.push((gateway, 0, skew));
-            fleet.start(me);
+            fleet.limiters.push((engine, 0, skew));
+            fleet.start(limiter);
         }
         fleet
     }
 
-    fn gateway(&self, me: usize, life: u32) -> Engine {
+    /// Returns the decision module of a limiter that has been restarted so many times.
+    fn engine(&self, limiter: usize, restarts: u32) -> Engine {
         Engine::new(
             Settings {
-                limiter: me as u32,
+                limiter: limiter as u32,
                 ..self.settings.clone()
             },
-            (me as u64) << 8 | u64::from(life),
+            (limiter as u64) << 8 | u64::from(restarts),
         )
     }
 
-    /// Tells a limiter of its ticket nodes, all of them warm.
-    fn start(&mut self, me: usize) {
-        let member = |number| Endpoint {
+    /// Gives a limiter its endpoint list; no server is in slow start.
+    fn start(&mut self, limiter: usize) {
+        let endpoint = |number| Endpoint {
             id: ServerId::from(&*format!("s{number}")),
             zone: String::new(),
             cell: number as u64 / 4,
@@ -242,116 +293,137 @@
             weight: 1.0,
             started_at: 0,
         };
-        let members = (0..(self.setup.gateways * 2 / 3).max(8))
-            .map(member)
+        let endpoints = (0..(self.setup.limiters * 2 / 3).max(8))
+            .map(endpoint)
             .collect();
-        self.give(
-            me,
+        self.handle(
+            limiter,
             Event::EndpointUpdate {
                 scope: UpdateScope::Snapshot,
-                endpoints: members,
+                endpoints,
             },
         );
     }
 
-    fn at(&mut self, after: f64, happens: Happens) {
-        self.order += 1;
-        self.events
-            .push(Reverse((self.now + after.max(0.0) as Micros, self.order)));
-        self.what.insert(self.order, happens);
+    /// Schedules an event after this time in µs.
+    fn schedule(&mut self, after: f64, event: SimulationEvent) {
+        self.last_event += 1;
+        self.event_queue.push(Reverse((
+            self.now + after.max(0.0) as Micros,
+            self.last_event,
+        )));
+        self.events.insert(self.last_event, event);
     }
 
-    /// Plays until nobody asks any more.
-    pub fn play(&mut self) {
-        let began = self.now;
-        let passed = |now: Micros| (now - began) as f64 / SECOND;
+    /// Runs the simulation until 3 s after the clients stop sending first requests.
+    pub fn run(&mut self) {
+        let started_at = self.now;
+        let elapsed = |now: Micros| (now - started_at) as f64 / SECOND;
         for number in 0..self.accounts.len() {
-            let starts = match self.accounts[number].kind {
-                Kind::Once => self.accounts[number].ends - 0.5,
+            let starts = match self.accounts[number].profile {
+                UsageProfile::Once => self.accounts[number].ends - 0.5,
                 _ => 0.0,
             };
             let account = &mut self.accounts[number];
-            _ = account.left(self.now, &self.settings.plans[account.plan]);
-            let gap = account.next(
+            _ = account.refill(self.now, &self.settings.plans[account.plan]);
+            let gap = account.next_gap(
                 starts,
-                &mut self.clients,
+                &mut self.client_rng,
                 &self.settings.plans[account.plan],
             );
-            self.at((starts + gap) * SECOND, Happens::Asks(number));
+            self.schedule(
+                (starts + gap) * SECOND,
+                SimulationEvent::FirstRequest(number),
+            );
         }
-        match self.setup.trouble {
-            Trouble::Lost => [0.4, 0.7]
-                .iter()
-                .for_each(|at| self.at(at * self.setup.seconds * SECOND, Happens::Lose)),
-            Trouble::Restart => self.at(0.4 * self.setup.seconds * SECOND, Happens::Restart),
+        match self.setup.disturbance {
+            Disturbance::Lost => [0.4, 0.7].iter().for_each(|at| {
+                self.schedule(
+                    at * self.setup.seconds * SECOND,
+                    SimulationEvent::CounterLoss,
+                )
+            }),
+            Disturbance::Restart => {
+                self.schedule(0.4 * self.setup.seconds * SECOND, SimulationEvent::Restart)
+            }
             _ => {}
         }
-        while let Some(Reverse((now, order))) = self.events.pop() {
+        while let Some(Reverse((now, number))) = self.event_queue.pop() {
             self.now = now;
-            if passed(now) > self.setup.seconds + 3.0 {
+            if elapsed(now) > self.setup.seconds + 3.0 {
                 break;
             }
-            match self.what.remove(&order) {
-                Some(Happens::Asks(number)) => self.asks(number, passed(now)),
-                Some(Happens::Tries(again)) => self.tries(again),
-                Some(Happens::Timer(me, life)) if self.gateways[me].1 == life => {
-                    self.give(me, Event::TimerExpired { token: 0 })
+            match self.events.remove(&number) {
+                Some(SimulationEvent::FirstRequest(number)) => {
+                    self.first_request(number, elapsed(now))
                 }
-                Some(Happens::Done(number)) => self.done(number),
-                Some(Happens::Counted(me, life, name, by, total, outcome)) => {
-                    self.counted(me, life, name, by, total, outcome);
+                Some(SimulationEvent::Retry(retry)) => self.arrive(retry),
+                Some(SimulationEvent::Timer { limiter, restarts })
+                    if self.limiters[limiter].1 == restarts =>
+                {
+                    self.handle(limiter, Event::TimerExpired { token: 0 })
                 }
-                Some(Happens::Lose) => self.counter.lose(0.7),
-                Some(Happens::Restart) => self.restart(),
+                Some(SimulationEvent::AttemptEnd(number)) => self.end_attempt(number),
+                Some(SimulationEvent::CallEnd {
+                    limiter,
+                    restarts,
+                    key,
+                    amount,
+                    total,
+                    outcome,
+                }) => self.end_call(limiter, restarts, key, amount, total, outcome),
+                Some(SimulationEvent::CounterLoss) => self.counter.lose(0.7),
+                Some(SimulationEvent::Restart) => self.restart(),
                 _ => {}
             }
         }
     }
 
-    /// An account's client asks for the first time.
-    fn asks(&mut self, number: usize, passed: f64) {
+    /// Sends a new request of an account, and schedules the next one.
+    fn first_request(&mut self, number: usize, elapsed: f64) {
         let (account, plans) = (&mut self.accounts[number], &self.settings.plans);
-        if passed > self.setup.seconds.min(account.ends) {
+        if elapsed > self.setup.seconds.min(account.ends) {
             return;
         }
-        let gap = account.next(passed, &mut self.clients, &plans[account.plan]);
-        let class = [0, 0, 0, 0, 1, 1, 1, 2, 2, 2][self.clients.random_range(0..10)];
-        let units = Account::units(&mut self.clients);
-        let waits = self.settings.classes[class].deadline as f64 * [0.77, 1.0, 1.0][class];
-        let retries = self.clients.random_range(2..=3);
-        let (gives_up, arrived) = (self.now + waits as Micros, self.now);
-        self.tables.asked(account, units);
-        self.at(gap * SECOND, Happens::Asks(number));
-        let (gateway, is_retry, out) = (0, false, None);
-        self.tries(Try {
+        let gap = account.next_gap(elapsed, &mut self.client_rng, &plans[account.plan]);
+        let class = [0, 0, 0, 0, 1, 1, 1, 2, 2, 2][self.client_rng.random_range(0..10)];
+        let units = Account::draw_units(&mut self.client_rng);
+        let patience = self.settings.classes[class].deadline as f64 * [0.77, 1.0, 1.0][class];
+        let retries_left = self.client_rng.random_range(2..=3);
+        let (gives_up_at, arrived_at) = (self.now + patience as Micros, self.now);
+        self.results.record_request(account, units);
+        self.schedule(gap * SECOND, SimulationEvent::FirstRequest(number));
+        let (limiter, is_retry, open_attempt) = (0, false, None);
+        self.arrive(ClientRequest {
             account: number,
-            gateway,
+            limiter,
             units,
             class,
-            arrived,
-            gives_up,
-            retries,
+            arrived_at,
+            gives_up_at,
+            retries_left,
             is_retry,
-            out,
+            open_attempt,
         });
     }
 
-    fn tries(&mut self, mut new: Try) {
-        let shift = if self.setup.trouble == Trouble::Shift {
+    /// Chooses the limiter of a request or retry, and gives the request to it.
+    fn arrive(&mut self, mut new: ClientRequest) {
+        let shift = if self.setup.disturbance == Disturbance::Shift {
             (5.0, 5.1)
         } else {
             (5.4, 21.0)
         };
         let now = self.now as f64 / SECOND;
         let account = &mut self.accounts[new.account];
-        // A client that comes again mostly does so where it was.
+        // 55% of the retries go to the limiter that rejected the request; the others choose anew.
         if !(new.is_retry && self.rng.random_bool(0.55)) {
-            new.gateway = account.limiter(now, &mut self.rng, self.setup.gateways, shift);
+            new.limiter = account.choose_limiter(now, &mut self.rng, self.setup.limiters, shift);
         }
-        new.arrived = self.now;
-        let (me, id, name) = (
-            new.gateway,
-            self.tries.len(),
+        new.arrived_at = self.now;
+        let (limiter, id, name) = (
+            new.limiter,
+            self.requests.len(),
             format!("{:016x}", new.account),
         );
         let request = Request {
@@ -359,33 +431,34 @@
             class: new.class,
             plan: account.plan,
             account: AccountId::from(&*name),
-            timeout: new.gives_up - self.now,
+            timeout: new.gives_up_at - self.now,
             units: new.units,
-            limiter_count: account.spread as u32,
-            first_limiter: account.first as u32,
+            limiter_count: account.limiter_count as u32,
+            first_limiter: account.first_limiter as u32,
         };
-        self.tables.tries += 1;
-        self.tries.push(new);
-        self.give(me, Event::Request(request));
+        self.results.requests += 1;
+        self.requests.push(new);
+        self.handle(limiter, Event::Request(request));
     }
 
-    /// Gives one event to what decides at a limiter, and carries out what it says.
-    fn give(&mut self, me: usize, event: Event) {
-        let mut acts = Vec::new();
+    /// Gives an event to the decision module of a limiter, or to the rule in its place, and carries
+    /// out its actions.
+    fn handle(&mut self, limiter: usize, event: Event) {
+        let mut actions = Vec::new();
         match (self.rule, event) {
-            (Rule::Module, event) => {
-                let (gateway, _, skew) = &mut self.gateways[me];
-                gateway.on_event(self.now + *skew, event, &mut acts);
+            (DecisionRule::Module, event) => {
+                let (engine, _, skew) = &mut self.limiters[limiter];
+                engine.on_event(self.now + *skew, event, &mut actions);
             }
             (rule, Event::Request(request)) => {
                 let number: usize = request.id.0.parse().unwrap_or(0);
-                let sends = if rule == Rule::Part {
-                    self.own_part(number)
+                let sends = if rule == DecisionRule::Part {
+                    self.admit_by_share(number)
                 } else {
-                    self.exact(number)
+                    self.admit_exactly(number)
                 };
                 let (id, server, timeout, by) = (request.id, ServerId::from("s0"), 0, Micros::MAX);
-                acts.push(match sends {
+                actions.push(match sends {
                     true => Action::Send {
                         id,
                         server,
@@ -400,278 +473,319 @@
             }
             _ => {}
         }
-        let life = self.gateways[me].1;
-        for act in acts {
-            match act {
-                Action::SetTimer { delay: after, .. } => {
-                    self.at(after as f64, Happens::Timer(me, life))
+        let restarts = self.limiters[limiter].1;
+        for action in actions {
+            match action {
+                Action::SetTimer { delay, .. } => {
+                    self.schedule(delay as f64, SimulationEvent::Timer { limiter, restarts })
+                }
+                Action::Send { id, server, .. } => self.send(id.0.parse().unwrap_or(0), server),
+                Action::Reject { id, retry_after } => {
+                    self.reject(id.0.parse().unwrap_or(0), retry_after)
+                }
+                Action::AddToCounter { key, amount, .. } => {
+                    self.call_counter(limiter, restarts, key, amount)
                 }
-                Action::Send { id, server, .. } => self.sent(id.0.parse().unwrap_or(0), server),
-                Action::Reject {
-                    id,
-                    retry_after: after,
-                } => self.refused(id.0.parse().unwrap_or(0), after),
-                Action::AddToCounter {
-                    key: name,
-                    amount: by,
-                    ..
-                } => self.count(me, life, name, by),
                 _ => {}
             }
         }
     }
 
-    fn exact(&mut self, number: usize) -> bool {
+    /// Whether the exact state of the quota allows the request.
+    fn admit_exactly(&mut self, number: usize) -> bool {
         let (account, units) = (
-            &mut self.accounts[self.tries[number].account],
-            self.tries[number].units,
+            &mut self.accounts[self.requests[number].account],
+            self.requests[number].units,
         );
         let plan = &self.settings.plans[account.plan];
-        account.left(self.now, plan) >= units
-            && (plan.max_concurrent == 0 || account.open < plan.max_concurrent)
+        account.refill(self.now, plan) >= units
+            && (plan.max_concurrent == 0 || account.open_attempts < plan.max_concurrent)
     }
 
-    fn own_part(&mut self, number: usize) -> bool {
-        let Try {
+    /// Whether the limiter's fixed share of the quota allows the request. Takes its units from the
+    /// share's bucket.
+    fn admit_by_share(&mut self, number: usize) -> bool {
+        let ClientRequest {
             account,
-            gateway,
+            limiter,
             units,
             ..
-        } = self.tries[number];
-        let (known, account) = (
-            self.known.entry((gateway, account)).or_default(),
+        } = self.requests[number];
+        let (history, account) = (
+            self.histories.entry((limiter, account)).or_default(),
             &self.accounts[account],
         );
         let plan = &self.settings.plans[account.plan];
-        let (now, part) = (self.now as f64 / SECOND, 1.0 / account.spread as f64);
-        let (level, filled) = known.store.unwrap_or((plan.burst * part, now));
-        let level =
-            (level + plan.rate * part * (now - filled)).min((plan.burst * part).max(f64::from(6)));
-        let sends = level >= units
+        let (now, share) = (self.now as f64 / SECOND, 1.0 / account.limiter_count as f64);
+        let (tokens, refilled_at) = history.share_bucket.unwrap_or((plan.burst * share, now));
+        let tokens = (tokens + plan.rate * share * (now - refilled_at))
+            .min((plan.burst * share).max(f64::from(6)));
+        let sends = tokens >= units
             && (plan.max_concurrent == 0
-                || known.open < (plan.max_concurrent / account.spread as u32).max(1));
-        known.store = Some((level - if sends { units } else { 0.0 }, now));
+                || history.open_attempts
+                    < (plan.max_concurrent / account.limiter_count as u32).max(1));
+        history.share_bucket = Some((tokens - if sends { units } else { 0.0 }, now));
         sends
     }
 
-    fn sent(&mut self, number: usize, server: ServerId) {
+    /// Sends a request upstream, and records whether and why it was beyond the quota.
+    fn send(&mut self, number: usize, server: ServerId) {
         let now = self.now;
-        let Try {
+        let ClientRequest {
             account,
-            gateway,
+            limiter,
             units,
-            arrived,
+            arrived_at,
             is_retry,
             ..
-        } = self.tries[number];
+        } = self.requests[number];
         let plan = &self.settings.plans[self.accounts[account].plan];
-        let lacks = units - self.accounts[account].left(now, plan).max(0.0);
-        let beyond = self.accounts[account].send(now, units, plan);
-        let cause = match beyond {
-            Beyond::No => None,
-            Beyond::Cap => Some(Cause::Cap),
-            Beyond::Rate => Some(self.cause(number, lacks)),
+        let lacking = units - self.accounts[account].refill(now, plan).max(0.0);
+        let check = self.accounts[account].record_send(now, units, plan);
+        let cause = match check {
+            QuotaCheck::Within => None,
+            QuotaCheck::OverConcurrency => Some(Cause::ConcurrencyCap),
+            QuotaCheck::OverRate => Some(self.cause(number, lacking)),
         };
-        self.tables.sent(
+        self.results.record_send(
             &self.accounts[account],
             units,
-            now - arrived,
+            now - arrived_at,
             cause,
             is_retry,
         );
-        let known = self.known.entry((gateway, account)).or_default();
-        let way = match (known.answered, known.failed) {
-            (Some(at), _) if at >= arrived => Way::Asked,
-            (_, Some(at)) if at >= arrived => Way::Failed,
-            (Some(_), _) => Way::Known,
-            (None, _) => Way::Unknown,
+        let history = self.histories.entry((limiter, account)).or_default();
+        let knowledge = match (history.answered_at, history.failed_at) {
+            (Some(at), _) if at >= arrived_at => CounterKnowledge::Asked,
+            (_, Some(at)) if at >= arrived_at => CounterKnowledge::Failed,
+            (Some(_), _) => CounterKnowledge::Known,
+            (None, _) => CounterKnowledge::Unknown,
         };
-        self.tables.knew(way, units, beyond != Beyond::No);
-        (known.sent, known.open) = (known.sent + units, known.open + 1);
-        self.tries[number].out = Some((now, server));
-        let takes = Exp::new(1.0 / 150_000.0).map_or(150_000.0, |e| e.sample(&mut self.rng));
-        self.at(takes, Happens::Done(number));
+        self.results
+            .record_knowledge(knowledge, units, check != QuotaCheck::Within);
+        (history.units_sent, history.open_attempts) =
+            (history.units_sent + units, history.open_attempts + 1);
+        self.requests[number].open_attempt = Some((now, server));
+        let latency = Exp::new(1.0 / 150_000.0).map_or(150_000.0, |e| e.sample(&mut self.rng));
+        self.schedule(latency, SimulationEvent::AttemptEnd(number));
     }
 
-    /// Why a try went beyond its quota, in truth.
-    fn cause(&self, number: usize, lacks: f64) -> Cause {
-        let Try {
+    /// Returns why a request was sent beyond the rate of its quota, when the bucket lacked this
+    /// many units.
+    fn cause(&self, number: usize, lacking: f64) -> Cause {
+        let ClientRequest {
             account,
-            gateway,
-            arrived,
+            limiter,
+            arrived_at,
             ..
-        } = self.tries[number];
+        } = self.requests[number];
         let own = self
-            .known
-            .get(&(gateway, account))
+            .histories
+            .get(&(limiter, account))
             .copied()
             .unwrap_or_default();
-        let (mut untold, mut told) = (0.0, -own.others);
-        for place in 0..self.accounts[account].spread {
-            let other = (self.accounts[account].first + place) % self.setup.gateways;
-            if let Some(known) = self
-                .known
+        let (mut unreported, mut reported) = (0.0, -own.units_reported_elsewhere);
+        for place in 0..self.accounts[account].limiter_count {
+            let other = (self.accounts[account].first_limiter + place) % self.setup.limiters;
+            if let Some(history) = self
+                .histories
                 .get(&(other, account))
-                .filter(|_| other != gateway)
+                .filter(|_| other != limiter)
             {
-                untold += (known.sent - known.told).max(0.0);
-                told += known.told;
+                unreported += (history.units_sent - history.units_reported).max(0.0);
+                reported += history.units_reported;
             }
         }
         let plan = &self.settings.plans[self.accounts[account].plan];
-        match own.answered {
-            _ if own.failed.is_some_and(|at| at >= arrived) => Cause::Unanswered,
-            None => Cause::Fresh,
-            Some(_) if own.window != self.now / counter_window(plan) => Cause::Edge,
-            Some(at) if at < arrived && told >= lacks.min(1.0) => Cause::Unasked,
-            _ if untold >= lacks.min(1.0) => Cause::Untold,
-            _ => Cause::Overcount,
+        match own.answered_at {
+            _ if own.failed_at.is_some_and(|at| at >= arrived_at) => Cause::CallFailed,
+            None => Cause::NoTotal,
+            Some(_) if own.answered_window != self.now / counter_window(plan) => {
+                Cause::EarlierWindow
+            }
+            Some(at) if at < arrived_at && reported >= lacking.min(1.0) => Cause::NotAsked,
+            _ if unreported >= lacking.min(1.0) => Cause::ReportedLate,
+            _ => Cause::BucketTooFull,
         }
     }
 
-    fn refused(&mut self, number: usize, after: Micros) {
-        let Try {
+    /// Rejects a request, which its client may retry.
+    fn reject(&mut self, number: usize, retry_after: Micros) {
+        let ClientRequest {
             account,
-            gateway,
+            limiter,
             units,
             class,
-            gives_up,
-            retries,
+            gives_up_at,
+            retries_left,
             ..
-        } = self.tries[number];
+        } = self.requests[number];
         let held = &mut self.accounts[account];
         let plan = &self.settings.plans[held.plan];
-        let room = held.left(self.now, plan) >= units
-            && (plan.max_concurrent == 0 || held.open < plan.max_concurrent);
-        let half = held.left(self.now, plan) >= plan.burst / 2.0;
-        // Some clients heed when they are to come back; the others come at once or after a short wait.
+        let has_room = held.refill(self.now, plan) >= units
+            && (plan.max_concurrent == 0 || held.open_attempts < plan.max_concurrent);
+        let is_half_full = held.refill(self.now, plan) >= plan.burst / 2.0;
+        // Half of the clients honour `retry_after`; the others retry at once or after a short wait.
         let wait = match self.rng.random_range(0..10) {
-            0..=4 => after as f64,
+            0..=4 => retry_after as f64,
             5..=6 => 0.0,
             _ => self.rng.random_range(40_000.0..320_000.0),
         };
-        let again = retries > 0 && self.now + (wait as Micros) < gives_up;
-        self.tables.refused(held, units, room, half, again);
-        if again {
-            let (arrived, is_retry, out) = (self.now, true, None);
-            let next = Try {
+        let is_retried = retries_left > 0 && self.now + (wait as Micros) < gives_up_at;
+        self.results
+            .record_refusal(held, units, has_room, is_half_full, is_retried);
+        if is_retried {
+            let (arrived_at, is_retry, open_attempt) = (self.now, true, None);
+            let retry = ClientRequest {
                 account,
-                gateway,
+                limiter,
                 units,
                 class,
-                arrived,
-                gives_up,
-                retries: retries - 1,
+                arrived_at,
+                gives_up_at,
+                retries_left: retries_left - 1,
                 is_retry,
-                out,
+                open_attempt,
             };
-            self.at(wait, Happens::Tries(next));
+            self.schedule(wait, SimulationEvent::Retry(retry));
         }
     }
 
-    fn done(&mut self, number: usize) {
-        let Try {
-            account, gateway, ..
-        } = self.tries[number];
-        let Some((sent, server)) = self.tries[number].out.take() else {
+    /// Ends the attempt of a request, unless a restart has cut it off.
+    fn end_attempt(&mut self, number: usize) {
+        let ClientRequest {
+            account, limiter, ..
+        } = self.requests[number];
+        let Some((sent_at, server)) = self.requests[number].open_attempt.take() else {
             return;
         };
-        self.accounts[account].open -= 1;
-        if let Some(known) = self.known.get_mut(&(gateway, account)) {
-            known.open = known.open.saturating_sub(1);
+        self.accounts[account].open_attempts -= 1;
+        if let Some(history) = self.histories.get_mut(&(limiter, account)) {
+            history.open_attempts = history.open_attempts.saturating_sub(1);
         }
         let id = RequestId::from(&*number.to_string());
-        let (took, load) = (self.now - sent, Vec::new());
-        let ended = AttemptResult {
+        let (latency, load) = (self.now - sent_at, Vec::new());
+        let result = AttemptResult {
             id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            latency: took,
+            latency,
             is_final: true,
             load,
             settled_units: None,
         };
-        self.give(gateway, Event::AttemptEnded(ended));
+        self.handle(limiter, Event::AttemptEnded(result));
     }
 
-    /// Carries a call to the counter and its answer back, half a millisecond each way.
-    fn count(&mut self, me: usize, life: u32, name: u64, by: f64) {
-        self.tables.calls += 1;
-        let (leaves, total) = self.counter.call(self.now + 500, name, by);
-        let late = leaves + 500.0 - self.now as f64;
+    /// Makes a counter call and schedules its end. Each direction takes half a millisecond.
+    fn call_counter(&mut self, limiter: usize, restarts: u32, key: u64, amount: f64) {
+        self.results.counter_calls += 1;
+        let (reply_leaves_at, total) = self.counter.call(self.now + 500, key, amount);
+        let duration = reply_leaves_at + 500.0 - self.now as f64;
         let (after, total, outcome) = match total {
             None => (1_000.0, 0.0, Outcome::Rejected),
-            Some(_) if late > 50_000.0 => (50_000.0, 0.0, Outcome::Timeout),
-            Some(total) => (late, total, Outcome::Ok),
+            Some(_) if duration > 50_000.0 => (50_000.0, 0.0, Outcome::Timeout),
+            Some(total) => (duration, total, Outcome::Ok),
+        };
+        self.results.record_call(after, outcome);
+        let end = SimulationEvent::CallEnd {
+            limiter,
+            restarts,
+            key,
+            amount,
+            total,
+            outcome,
         };
-        self.tables.called(after, outcome);
-        self.at(after, Happens::Counted(me, life, name, by, total, outcome));
+        self.schedule(after, end);
     }
 
-    fn counted(&mut self, me: usize, life: u32, name: u64, by: f64, total: f64, outcome: Outcome) {
-        if self.gateways[me].1 != life {
+    /// Records the end of a counter call, and gives its reply to the limiter.
+    fn end_call(
+        &mut self,
+        limiter: usize,
+        restarts: u32,
+        key: u64,
+        amount: f64,
+        total: f64,
+        outcome: Outcome,
+    ) {
+        if self.limiters[limiter].1 != restarts {
             return;
         }
-        if let Some(number) = self.account(me, name) {
-            let spread = self.accounts[number].spread;
-            let first = self.accounts[number].first;
-            let others = (0..spread)
-                .map(|place| (first + place) % self.setup.gateways)
-                .filter(|at| *at != me);
-            let told = others
-                .filter_map(|at| self.known.get(&(at, number)))
-                .map(|known| known.told)
+        if let Some(number) = self.account_of_key(limiter, key) {
+            let count = self.accounts[number].limiter_count;
+            let first = self.accounts[number].first_limiter;
+            let others = (0..count)
+                .map(|place| (first + place) % self.setup.limiters)
+                .filter(|other| *other != limiter);
+            let reported_elsewhere = others
+                .filter_map(|other| self.histories.get(&(other, number)))
+                .map(|history| history.units_reported)
                 .sum();
             let window =
                 self.now / counter_window(&self.settings.plans[self.accounts[number].plan]);
-            let known = self.known.entry((me, number)).or_default();
+            let history = self.histories.entry((limiter, number)).or_default();
             match outcome {
                 Outcome::Ok => {
-                    (known.answered, known.window, known.others) = (Some(self.now), window, told);
-                    known.told += by;
+                    (
+                        history.answered_at,
+                        history.answered_window,
+                        history.units_reported_elsewhere,
+                    ) = (Some(self.now), window, reported_elsewhere);
+                    history.units_reported += amount;
                 }
-                _ => known.failed = Some(self.now),
+                _ => history.failed_at = Some(self.now),
             }
         }
-        self.give(
-            me,
+        self.handle(
+            limiter,
             Event::CounterReply {
-                key: name,
+                key,
                 total,
                 outcome,
             },
         );
     }
 
-    /// The account behind a name on the counter.
-    fn account(&mut self, me: usize, name: u64) -> Option<usize> {
-        if !self.names.contains_key(&name) {
-            let now = self.now + self.gateways[me].2;
+    /// Returns the index of the account that is counted under a key. On an unknown key, first adds
+    /// the keys of all accounts for the windows before, at and after the limiter's time.
+    fn account_of_key(&mut self, limiter: usize, key: u64) -> Option<usize> {
+        if !self.account_by_key.contains_key(&key) {
+            let now = self.now + self.limiters[limiter].2;
             for (number, account) in self.accounts.iter().enumerate() {
-                let customer = AccountId::from(&*format!("{number:016x}"));
-                let turn = now / counter_window(&self.settings.plans[account.plan]);
-                self.names.extend(
-                    [turn - 1, turn, turn + 1].map(|turn| (counter_key(&customer, turn), number)),
+                let id = AccountId::from(&*format!("{number:016x}"));
+                let window = now / counter_window(&self.settings.plans[account.plan]);
+                self.account_by_key.extend(
+                    [window - 1, window, window + 1]
+                        .map(|window| (counter_key(&id, window), number)),
                 );
             }
         }
-        self.names.get(&name).copied()
+        self.account_by_key.get(&key).copied()
     }
 
+    /// Restarts seven in ten limiters. They lose what they know and their attempts in flight.
     fn restart(&mut self) {
-        for me in 0..self.setup.gateways * 7 / 10 {
-            let life = self.gateways[me].1 + 1;
-            (self.gateways[me].0, self.gateways[me].1) = (self.gateway(me, life), life);
-            for (_, known) in self.known.iter_mut().filter(|((at, _), _)| *at == me) {
-                (known.answered, known.told) = (None, known.sent);
+        for limiter in 0..self.setup.limiters * 7 / 10 {
+            let restarts = self.limiters[limiter].1 + 1;
+            (self.limiters[limiter].0, self.limiters[limiter].1) =
+                (self.engine(limiter, restarts), restarts);
+            for (_, history) in self
+                .histories
+                .iter_mut()
+                .filter(|((at, _), _)| *at == limiter)
+            {
+                (history.answered_at, history.units_reported) = (None, history.units_sent);
             }
-            for number in 0..self.tries.len() {
-                if self.tries[number].gateway == me && self.tries[number].out.take().is_some() {
-                    self.accounts[self.tries[number].account].open -= 1;
+            for number in 0..self.requests.len() {
+                if self.requests[number].limiter == limiter
+                    && self.requests[number].open_attempt.take().is_some()
+                {
+                    self.accounts[self.requests[number].account].open_attempts -= 1;
                 }
             }
-            self.start(me);
+            self.start(limiter);
         }
     }
 }
--- a/benches/quotas/tables.rs
+++ b/benches/quotas/tables.rs
@@ -1,114 +1,137 @@
-//! What an experiment counts, as a table and as JSON lines.
+//! Results of one simulation run, as a table and as a line of JSON.
 
-use crate::world::{Account, KINDS};
+use crate::world::{Account, USAGE_PROFILES};
 use hdrhistogram::Histogram;
 use mossrill::decision::{Micros, Outcome};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Why a try went beyond its quota.
+/// Why a request was sent upstream beyond the quota of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// More attempts out at once than the plan has.
-    Cap,
-    /// The limiter had no total of the account yet.
-    Fresh,
-    /// Its last total was of the window before.
-    Edge,
-    /// A call that the try waited for came to nothing.
-    Unanswered,
-    /// It did not ask, and what the others had told would have shown it.
-    Unasked,
-    /// The others had not told it yet.
-    Untold,
-    /// It held the store for fuller than the totals allow.
-    Overcount,
+    /// As many attempts as the plan allows at once were in flight already.
+    ConcurrencyCap,
+    /// The limiter had not received any total of the account yet.
+    NoTotal,
+    /// The last total that the limiter received was of an earlier counter window.
+    EarlierWindow,
+    /// A counter call failed while the request waited.
+    CallFailed,
+    /// The limiter did not ask the counter, whose total would have shown that the quota was used
+    /// up.
+    NotAsked,
+    /// The other limiters had not reported their units to the counter yet.
+    ReportedLate,
+    /// The limiter's copy of the bucket held more units than the totals allow.
+    BucketTooFull,
 }
 
+/// Causes with their names in the report.
 pub const CAUSES: [(Cause, &str); 7] = [
-    (Cause::Cap, "cap on attempts out"),
-    (Cause::Fresh, "fresh store"),
-    (Cause::Edge, "window edge"),
-    (Cause::Unanswered, "call unanswered"),
-    (Cause::Unasked, "sent without asking"),
-    (Cause::Untold, "others told late"),
-    (Cause::Overcount, "store counted too full"),
+    (Cause::ConcurrencyCap, "cap on attempts out"),
+    (Cause::NoTotal, "fresh store"),
+    (Cause::EarlierWindow, "window edge"),
+    (Cause::CallFailed, "call unanswered"),
+    (Cause::NotAsked, "sent without asking"),
+    (Cause::ReportedLate, "others told late"),
+    (Cause::BucketTooFull, "store counted too full"),
 ];
 
-/// What a limiter knew when it sent a try on.
+/// What a limiter knew of the account's total on the counter when it sent a request upstream. The
+/// report contains the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
-    /// A total that came while the try waited.
+pub enum CounterKnowledge {
+    /// A total that arrived while the request waited.
     Asked,
-    /// An older one.
+    /// A total that had arrived before the request.
     Known,
-    /// None yet.
+    /// No total yet.
     Unknown,
-    /// None: a call for it had failed.
+    /// No total, as the counter call that the request waited for failed.
     Failed,
 }
 
-/// Figures of one plan's accounts of one kind, in units.
+/// Results for the accounts of one plan with one usage profile, in units.
 #[derive(Clone, Copy, Default)]
 pub struct Row {
-    pub asked: f64,
+    /// Units of first requests, retries not included.
+    pub requested: f64,
+    /// Units sent upstream.
     pub sent: f64,
-    pub beyond: f64,
+    /// Units sent upstream beyond the quota.
+    pub over_quota: f64,
+    /// Units rejected without a further retry.
     pub refused: f64,
-    /// Refused though the quota had room, for good; half of it or more.
-    pub room: f64,
-    pub half: f64,
+    /// The part of `refused` for which the quota had room.
+    pub refused_with_room: f64,
+    /// The part of `refused_with_room` whose bucket was at least half full.
+    pub refused_half_full: f64,
 }
 
-pub struct Tables {
+/// Results of one run over all accounts.
+pub struct Results {
+    /// Results by index of the plan and index in [`USAGE_PROFILES`].
     pub rows: BTreeMap<(usize, usize), Row>,
+    /// Units sent beyond quotas by cause.
     pub causes: BTreeMap<Cause, f64>,
-    /// Units sent on, and beyond quotas, by what was known.
-    pub ways: BTreeMap<Way, (f64, f64)>,
-    pub retried: f64,
-    pub tries: u64,
-    pub calls: u64,
-    pub away: u64,
-    pub late: u64,
-    /// Times of calls that were answered, and from a try's arrival to its first attempt, in µs.
-    pub answered: Histogram<u64>,
-    pub waited: Histogram<u64>,
+    /// Units sent upstream, and those of them beyond quotas, by what the limiter knew.
+    pub knowledge: BTreeMap<CounterKnowledge, (f64, f64)>,
+    /// Units of retries that were sent beyond quotas.
+    pub over_quota_retries: f64,
+    /// Number of requests that arrived, retries included.
+    pub requests: u64,
+    /// Number of counter calls.
+    pub counter_calls: u64,
+    /// Number of counter calls that the counter rejected.
+    pub rejected_calls: u64,
+    /// Number of counter calls that timed out.
+    pub late_calls: u64,
+    /// Durations in µs of answered counter calls.
+    pub call_micros: Histogram<u64>,
+    /// Times in µs from the arrival of a request to its attempt.
+    pub wait_micros: Histogram<u64>,
 }
 
-impl Default for Tables {
+impl Default for Results {
     fn default() -> Self {
-        let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
-        let (answered, waited) = (histogram(), histogram());
-        let (rows, causes, ways) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let histogram = || {
+            Histogram::new_with_bounds(1, 60_000_000, 3)
+                .expect("1 and 60,000,000 are valid histogram bounds")
+        };
+        let (call_micros, wait_micros) = (histogram(), histogram());
+        let (rows, causes, knowledge) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
             rows,
             causes,
-            ways,
-            retried: 0.0,
-            tries: 0,
-            calls: 0,
-            away: 0,
-            late: 0,
-            answered,
-            waited,
+            knowledge,
+            over_quota_retries: 0.0,
+            requests: 0,
+            counter_calls: 0,
+            rejected_calls: 0,
+            late_calls: 0,
+            call_micros,
+            wait_micros,
         }
     }
 }
 
-impl Tables {
+impl Results {
     fn row(&mut self, account: &Account) -> &mut Row {
-        let kind = KINDS
+        let profile = USAGE_PROFILES
             .iter()
-            .position(|(kind, _)| *kind == account.kind)
+            .position(|(profile, _)| *profile == account.profile)
             .unwrap_or(0);
-        self.rows.entry((account.plan, kind)).or_default()
+        self.rows.entry((account.plan, profile)).or_default()
     }
 
-    pub fn asked(&mut self, account: &Account, units: f64) {
-        self.row(account).asked += units;
+    /// Records the first request of an operation, not a retry.
+    pub fn record_request(&mut self, account: &Account, units: f64) {
+        self.row(account).requested += units;
     }
 
-    pub fn sent(
+    /// Records a request that was sent upstream after `waited` µs; `cause` tells why it was beyond
+    /// the quota, if it was.
+    pub fn record_send(
         &mut self,
         account: &Account,
         units: f64,
@@ -118,99 +141,121 @@
     ) {
         let row = self.row(account);
         row.sent += units;
-        row.beyond += if cause.is_some() { units } else { 0.0 };
-        self.waited.saturating_record(waited.max(1));
+        row.over_quota += if cause.is_some() { units } else { 0.0 };
+        self.wait_micros.saturating_record(waited.max(1));
         if let Some(cause) = cause {
             *self.causes.entry(cause).or_default() += units;
-            self.retried += if is_retry { units } else { 0.0 };
+            self.over_quota_retries += if is_retry { units } else { 0.0 };
         }
     }
 
-    /// A try was sent on, knowing so much.
-    pub fn knew(&mut self, way: Way, units: f64, beyond: bool) {
-        let (sent, lost) = self.ways.entry(way).or_default();
-        (*sent, *lost) = (*sent + units, *lost + if beyond { units } else { 0.0 });
+    /// Records what the limiter knew when it sent a request upstream.
+    pub fn record_knowledge(
+        &mut self,
+        knowledge: CounterKnowledge,
+        units: f64,
+        is_over_quota: bool,
+    ) {
+        let (sent, over_quota) = self.knowledge.entry(knowledge).or_default();
+        let added = if is_over_quota { units } else { 0.0 };
+        (*sent, *over_quota) = (*sent + units, *over_quota + added);
     }
 
-    pub fn refused(&mut self, account: &Account, units: f64, room: bool, half: bool, again: bool) {
+    /// Records a rejected request. One that the client retries does not count.
+    pub fn record_refusal(
+        &mut self,
+        account: &Account,
+        units: f64,
+        has_room: bool,
+        is_half_full: bool,
+        is_retried: bool,
+    ) {
         let row = self.row(account);
-        if !again {
+        if !is_retried {
             row.refused += units;
-            row.room += if room { units } else { 0.0 };
-            row.half += if room && half { units } else { 0.0 };
+            row.refused_with_room += if has_room { units } else { 0.0 };
+            row.refused_half_full += if has_room && is_half_full { units } else { 0.0 };
         }
     }
 
-    pub fn called(&mut self, took: f64, outcome: Outcome) {
+    /// Records a counter call that ended after `duration` µs.
+    pub fn record_call(&mut self, duration: f64, outcome: Outcome) {
         match outcome {
-            Outcome::Ok => self.answered.saturating_record(took as u64),
-            Outcome::Rejected => self.away += 1,
-            _ => self.late += 1,
+            Outcome::Ok => self.call_micros.saturating_record(duration as u64),
+            Outcome::Rejected => self.rejected_calls += 1,
+            _ => self.late_calls += 1,
         }
     }
 
-    fn all(&self) -> Row {
-        self.rows.values().fold(Row::default(), |all, row| Row {
-            asked: all.asked + row.asked,
-            sent: all.sent + row.sent,
-            beyond: all.beyond + row.beyond,
-            refused: all.refused + row.refused,
-            room: all.room + row.room,
-            half: all.half + row.half,
+    fn sum(&self) -> Row {
+        self.rows.values().fold(Row::default(), |sum, row| Row {
+            requested: sum.requested + row.requested,
+            sent: sum.sent + row.sent,
+            over_quota: sum.over_quota + row.over_quota,
+            refused: sum.refused + row.refused,
+            refused_with_room: sum.refused_with_room + row.refused_with_room,
+            refused_half_full: sum.refused_half_full + row.refused_half_full,
         })
     }
 
-    /// One line for the whole: shares of the units sent on, calls a try.
-    pub fn line(&self) -> Value {
-        let all = self.all();
+    /// Returns the results over all accounts as JSON, most of them as fractions.
+    pub fn to_json(&self) -> Value {
+        let sum = self.sum();
         json!({
-            "asked": all.asked.round(), "within": (all.sent - all.beyond).round(), "beyond": all.beyond.round(),
-            "beyond_share": share(all.beyond, all.sent), "room_share": share(all.room, all.asked),
-            "half_share": share(all.half, all.asked),
-            "beyond_retried": share(self.retried, all.beyond),
-            "calls_a_try": share(self.calls as f64, self.tries as f64),
-            "calls_away": share(self.away as f64, self.calls as f64),
-            "calls_late": share(self.late as f64, self.calls as f64),
-            "call_ms_p50": self.answered.value_at_quantile(0.5) as f64 / 1e3,
-            "call_ms_p99": self.answered.value_at_quantile(0.99) as f64 / 1e3,
-            "wait_ms_p50": self.waited.value_at_quantile(0.5) as f64 / 1e3,
-            "wait_ms_p99": self.waited.value_at_quantile(0.99) as f64 / 1e3,
-            "ways": self.ways.iter().map(|(way, (sent, lost))| {
-                (format!("{way:?}").to_lowercase(), json!([share(*sent, all.sent), share(*lost, *sent)]))
+            "asked": sum.requested.round(), "within": (sum.sent - sum.over_quota).round(),
+            "beyond": sum.over_quota.round(),
+            "beyond_share": share(sum.over_quota, sum.sent), "room_share": share(sum.refused_with_room, sum.requested),
+            "half_share": share(sum.refused_half_full, sum.requested),
+            "beyond_retried": share(self.over_quota_retries, sum.over_quota),
+            "calls_a_try": share(self.counter_calls as f64, self.requests as f64),
+            "calls_away": share(self.rejected_calls as f64, self.counter_calls as f64),
+            "calls_late": share(self.late_calls as f64, self.counter_calls as f64),
+            "call_ms_p50": self.call_micros.value_at_quantile(0.5) as f64 / 1e3,
+            "call_ms_p99": self.call_micros.value_at_quantile(0.99) as f64 / 1e3,
+            "wait_ms_p50": self.wait_micros.value_at_quantile(0.5) as f64 / 1e3,
+            "wait_ms_p99": self.wait_micros.value_at_quantile(0.99) as f64 / 1e3,
+            "ways": self.knowledge.iter().map(|(knowledge, (sent, over_quota))| {
+                (
+                    format!("{knowledge:?}").to_lowercase(),
+                    json!([share(*sent, sum.sent), share(*over_quota, *sent)]),
+                )
             }).collect::<serde_json::Map<_, _>>(),
             "causes": CAUSES.iter().map(|(cause, name)| {
                 let units = self.causes.get(cause).copied().unwrap_or(0.0);
-                ((*name).to_owned(), json!(share(units, all.beyond)))
+                ((*name).to_owned(), json!(share(units, sum.over_quota)))
             }).collect::<serde_json::Map<_, _>>(),
         })
     }
 
-    /// A line for each plan and kind of account.
-    pub fn table(&self) -> String {
+    /// Returns a table with a line for each plan and usage profile, and one for all accounts.
+    pub fn to_table(&self) -> String {
         let plans = ["dasar", "menengah", "utama"];
         let mut text = format!(
             "{:<22}{:>9}{:>9}{:>9}{:>8}{:>9}{:>8}\n",
             "plan, kind", "asked", "within", "beyond", "%", "room", "%"
         );
-        let rows = self
-            .rows
-            .iter()
-            .map(|((plan, kind), row)| (format!("{}, {}", plans[*plan], KINDS[*kind].1), *row));
-        for (name, row) in rows.chain([("all".into(), self.all())]) {
+        let rows = self.rows.iter().map(|((plan, profile), row)| {
+            (
+                format!("{}, {}", plans[*plan], USAGE_PROFILES[*profile].1),
+                *row,
+            )
+        });
+        for (name, row) in rows.chain([("all".into(), self.sum())]) {
             text += &format!(
                 "{name:<22}{:>9.0}{:>9.0}{:>9.0}{:>8.1}{:>9.0}{:>8.1}\n",
-                row.asked,
-                row.sent - row.beyond,
-                row.beyond,
-                100.0 * share(row.beyond, row.sent),
-                row.room,
-                100.0 * share(row.room, row.asked)
+                row.requested,
+                row.sent - row.over_quota,
+                row.over_quota,
+                100.0 * share(row.over_quota, row.sent),
+                row.refused_with_room,
+                100.0 * share(row.refused_with_room, row.requested)
             );
         }
         text
     }
 }
 
+/// Returns the fraction `part / whole` rounded to four decimal places, or 0 if there is no whole.
 fn share(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         (1e4 * part / whole).round() / 1e4
--- a/benches/quotas/world.rs
+++ b/benches/quotas/world.rs
@@ -1,198 +1,218 @@
-//! Agent accounts, what they ask for, and their quotas as they really are.
+//! Simulated accounts: their request rates, and the exact state of their quotas over all limiters.
 
 use mossrill::decision::{Micros, Plan};
 use rand::rngs::StdRng;
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 
+/// Microseconds of a second.
 pub const SECOND: f64 = 1e6;
-/// Of a hundred requests so many have 1, 2 … 6 units.
-const SIZES: [u32; 6] = [45, 25, 14, 8, 5, 3];
-/// Units of a request on average.
+/// Out of 100 requests, the number of those with 1, 2 … 6 units.
+const UNIT_FREQUENCIES: [u32; 6] = [45, 25, 14, 8, 5, 3];
+/// Mean number of units of a request.
 pub const MEAN_UNITS: f64 = 2.12;
 
-/// How an account uses its quota.
+/// How an account uses its quota over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Well under it.
+pub enum UsageProfile {
+    /// Uses well under half of its rate.
     Calm,
-    /// Nearly all of it.
-    Full,
-    /// Some times as much, for long spells.
-    Over,
-    /// Calm, but for bursts of some seconds.
+    /// Uses nearly all of its rate.
+    NearlyFull,
+    /// Requests several times its rate for 8 to 20 s at a time, with calm periods between.
+    FarOver,
+    /// Requests several times its rate for a few seconds at a time, with calm periods between.
     Bursts,
-    /// Asks a few times, and never again.
+    /// Sends a few requests within half a second, and none before or after that.
     Once,
 }
 
-pub const KINDS: [(Kind, &str); 5] = [
-    (Kind::Calm, "calm"),
-    (Kind::Full, "nearly full"),
-    (Kind::Over, "far over"),
-    (Kind::Bursts, "bursts"),
-    (Kind::Once, "once"),
+/// Usage profiles with their names in the tables.
+pub const USAGE_PROFILES: [(UsageProfile, &str); 5] = [
+    (UsageProfile::Calm, "calm"),
+    (UsageProfile::NearlyFull, "nearly full"),
+    (UsageProfile::FarOver, "far over"),
+    (UsageProfile::Bursts, "bursts"),
+    (UsageProfile::Once, "once"),
 ];
 
-/// An account: where its requests come in, how many, and what is left of its quota.
+/// An account: the limiters that its requests arrive at, their rate, and the exact state of its
+/// quota.
 pub struct Account {
     pub plan: usize,
-    pub kind: Kind,
-    /// Its limiters are the first so many in a row from here on.
-    pub first: usize,
-    pub spread: usize,
-    /// Parts of its requests that come in through each of them, fewer behind the busiest, and until when.
-    parts: Vec<f64>,
-    parts_until: f64,
-    skew: f64,
-    /// Use of the quota at present, and until when.
+    pub profile: UsageProfile,
+    /// Index of the first limiter that its requests arrive at; the others follow it, and after the
+    /// last comes index 0.
+    pub first_limiter: usize,
+    /// Number of limiters that its requests arrive at.
+    pub limiter_count: usize,
+    /// Relative weight of each of these limiters in the choice of one for a request.
+    limiter_weights: Vec<f64>,
+    /// Time in seconds at which the weights are drawn anew.
+    limiter_weights_until: f64,
+    /// Exponent of the power law by which the weight falls with the rank of a limiter.
+    limiter_weight_skew: f64,
+    /// Present rate of requested units, as a multiple of the plan's rate.
     usage: f64,
+    /// Time in seconds at which the usage changes.
     usage_until: f64,
-    /// The store that all limiters together draw from.
-    level: f64,
-    filled: f64,
-    /// Attempts out at once.
-    pub open: u32,
-    /// The last time that it asks.
+    /// Units in the exact token bucket, which all limiters together take from.
+    tokens: f64,
+    /// Time in seconds up to which the bucket has been refilled.
+    refilled_at: f64,
+    /// Number of attempts in flight over all limiters.
+    pub open_attempts: u32,
+    /// Time in seconds after which no new request is sent.
     pub ends: f64,
 }
 
 impl Account {
-    /// An account drawn as the brief has them.
+    /// Draws an account from the assumed distribution of usage profiles and numbers of limiters.
+    /// `limiters` is the size of the fleet, `length` the duration of the experiment in seconds.
     pub fn draw(
         rng: &mut StdRng,
         plan: usize,
         plans: &[Plan],
-        gateways: usize,
+        limiters: usize,
         length: f64,
     ) -> Self {
-        let kind = match rng.random::<f64>() {
-            x if x < 0.16 => Kind::Full,
-            x if x < 0.245 => Kind::Over,
-            x if x < 0.405 => Kind::Bursts,
-            x if x < 0.45 => Kind::Once,
-            _ => Kind::Calm,
+        let profile = match rng.random::<f64>() {
+            x if x < 0.16 => UsageProfile::NearlyFull,
+            x if x < 0.245 => UsageProfile::FarOver,
+            x if x < 0.405 => UsageProfile::Bursts,
+            x if x < 0.45 => UsageProfile::Once,
+            _ => UsageProfile::Calm,
         };
-        let spread = rng.random_range(gateways.div_ceil(2)..=gateways);
-        let ends = if kind == Kind::Once {
+        let limiter_count = rng.random_range(limiters.div_ceil(2)..=limiters);
+        let ends = if profile == UsageProfile::Once {
             rng.random_range(0.5..length)
         } else {
             length
         };
         Self {
             plan,
-            kind,
-            first: rng.random_range(0..gateways),
-            spread,
-            parts: Vec::new(),
-            parts_until: 0.0,
-            skew: rng.random_range(0.35..1.1),
+            profile,
+            first_limiter: rng.random_range(0..limiters),
+            limiter_count,
+            limiter_weights: Vec::new(),
+            limiter_weights_until: 0.0,
+            limiter_weight_skew: rng.random_range(0.35..1.1),
             usage: 0.0,
             usage_until: 0.0,
-            level: plans[plan].burst,
-            filled: 0.0,
-            open: 0,
+            tokens: plans[plan].burst,
+            refilled_at: 0.0,
+            open_attempts: 0,
             ends,
         }
     }
 
-    /// Use of the quota over a long time, in parts of its rate.
-    pub fn mean_use(&self) -> f64 {
-        match self.kind {
-            Kind::Calm | Kind::Once => 0.29,
-            Kind::Full => 0.95,
-            Kind::Over => 1.0,
-            Kind::Bursts => 0.5,
+    /// Returns the mean rate of units sent within the quota, as a fraction of the plan's rate.
+    pub fn mean_usage(&self) -> f64 {
+        match self.profile {
+            UsageProfile::Calm | UsageProfile::Once => 0.29,
+            UsageProfile::NearlyFull => 0.95,
+            UsageProfile::FarOver => 1.0,
+            UsageProfile::Bursts => 0.5,
         }
     }
 
-    /// Time in seconds until the next request, from `now` on.
-    pub fn next(&mut self, now: f64, rng: &mut StdRng, plan: &Plan) -> f64 {
+    /// Draws the time in seconds from `now` until the next request.
+    pub fn next_gap(&mut self, now: f64, rng: &mut StdRng, plan: &Plan) -> f64 {
         if now >= self.usage_until {
             let calm = rng.random_range(0.15..0.43);
             let high = self.usage > 1.0;
-            (self.usage, self.usage_until) = match self.kind {
-                Kind::Calm | Kind::Once => (calm, f64::MAX),
-                Kind::Full => (rng.random_range(0.9..1.0), f64::MAX),
-                Kind::Over if high => (calm, now + rng.random_range(3.0..8.0)),
-                Kind::Over => (
+            (self.usage, self.usage_until) = match self.profile {
+                UsageProfile::Calm | UsageProfile::Once => (calm, f64::MAX),
+                UsageProfile::NearlyFull => (rng.random_range(0.9..1.0), f64::MAX),
+                UsageProfile::FarOver if high => (calm, now + rng.random_range(3.0..8.0)),
+                UsageProfile::FarOver => (
                     rng.random_range(2.5..4.8),
                     now + rng.random_range(8.0..20.0),
                 ),
-                Kind::Bursts if high || now == 0.0 => (calm, now + rng.random_range(5.0..25.0)),
-                Kind::Bursts => (rng.random_range(2.5..5.6), now + rng.random_range(1.3..4.1)),
+                UsageProfile::Bursts if high || now == 0.0 => {
+                    (calm, now + rng.random_range(5.0..25.0))
+                }
+                UsageProfile::Bursts => {
+                    (rng.random_range(2.5..5.6), now + rng.random_range(1.3..4.1))
+                }
             };
         }
         let gap = Exp::new(plan.rate * self.usage / MEAN_UNITS).map_or(f64::MAX, |e| e.sample(rng));
-        // A change of use is felt when it comes.
+        // The gap was drawn for the present usage: past the next change, draw again for the new
+        // usage.
         if now + gap > self.usage_until {
             let until = self.usage_until;
-            return until - now + self.next(until, rng, plan);
+            return until - now + self.next_gap(until, rng, plan);
         }
         gap
     }
 
-    /// Units of a request: small ones are the most.
-    pub fn units(rng: &mut StdRng) -> f64 {
-        let mut at = rng.random_range(0..100);
-        let size = SIZES.iter().position(|part| {
-            let found = at < *part;
-            at = at.saturating_sub(*part);
+    /// Draws the units of a request, mostly 1 or 2.
+    pub fn draw_units(rng: &mut StdRng) -> f64 {
+        let mut point = rng.random_range(0..100);
+        let size = UNIT_FREQUENCIES.iter().position(|frequency| {
+            let found = point < *frequency;
+            point = point.saturating_sub(*frequency);
             found
         });
         (size.unwrap_or(0) + 1) as f64
     }
 
-    /// The limiter through which a try comes in. The busiest one changes from time to time, every `shift` seconds.
-    pub fn limiter(
+    /// Chooses the limiter that a request arrives at. Another limiter becomes the busiest one after
+    /// a time drawn from `shift`, a range in seconds.
+    pub fn choose_limiter(
         &mut self,
         now: f64,
         rng: &mut StdRng,
-        gateways: usize,
+        limiters: usize,
         shift: (f64, f64),
     ) -> usize {
-        if now >= self.parts_until {
-            self.parts = (1..=self.spread)
-                .map(|rank| (rank as f64).powf(-self.skew))
+        if now >= self.limiter_weights_until {
+            self.limiter_weights = (1..=self.limiter_count)
+                .map(|rank| (rank as f64).powf(-self.limiter_weight_skew))
                 .collect();
-            self.parts.rotate_right(rng.random_range(0..self.spread));
-            self.parts_until = now + rng.random_range(shift.0..shift.1);
+            self.limiter_weights
+                .rotate_right(rng.random_range(0..self.limiter_count));
+            self.limiter_weights_until = now + rng.random_range(shift.0..shift.1);
         }
-        let mut at = rng.random::<f64>() * self.parts.iter().sum::<f64>();
-        let place = self.parts.iter().position(|part| {
-            at -= part;
-            at <= 0.0
+        let mut point = rng.random::<f64>() * self.limiter_weights.iter().sum::<f64>();
+        let place = self.limiter_weights.iter().position(|weight| {
+            point -= weight;
+            point <= 0.0
         });
-        (self.first + place.unwrap_or(0)) % gateways
+        (self.first_limiter + place.unwrap_or(0)) % limiters
     }
 
-    /// What the store holds now.
-    pub fn left(&mut self, now: Micros, plan: &Plan) -> f64 {
+    /// Refills the exact bucket up to `now` and returns the units in it.
+    pub fn refill(&mut self, now: Micros, plan: &Plan) -> f64 {
         let now = now as f64 / SECOND;
-        self.level = (self.level + plan.rate * (now - self.filled)).min(plan.burst);
-        self.filled = now;
-        self.level
+        self.tokens = (self.tokens + plan.rate * (now - self.refilled_at)).min(plan.burst);
+        self.refilled_at = now;
+        self.tokens
     }
 
-    /// Sends a try on: units beyond the rate, or beyond the cap on attempts out at once. These take nothing from the store.
-    pub fn send(&mut self, now: Micros, units: f64, plan: &Plan) -> Beyond {
-        let open = self.open;
-        self.open += 1;
-        if self.left(now, plan) < units {
-            return Beyond::Rate;
+    /// Records that a request was sent upstream, and returns whether the quota allowed it. A
+    /// request that exceeded the quota takes nothing from the bucket.
+    pub fn record_send(&mut self, now: Micros, units: f64, plan: &Plan) -> QuotaCheck {
+        let open = self.open_attempts;
+        self.open_attempts += 1;
+        if self.refill(now, plan) < units {
+            return QuotaCheck::OverRate;
         }
         if plan.max_concurrent > 0 && open >= plan.max_concurrent {
-            return Beyond::Cap;
+            return QuotaCheck::OverConcurrency;
         }
-        self.level -= units;
-        Beyond::No
+        self.tokens -= units;
+        QuotaCheck::Within
     }
 }
 
-/// What of its quota a try went beyond.
+/// Whether a request that was sent upstream was within the exact quota of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beyond {
-    No,
-    Rate,
-    Cap,
+pub enum QuotaCheck {
+    Within,
+    /// The bucket held fewer units than the request needed.
+    OverRate,
+    /// As many attempts as the plan allows at once were in flight already.
+    OverConcurrency,
 }
