--- a/benches/capacity/configuration.rs
+++ b/benches/capacity/configuration.rs
@@ -1,7 +1,8 @@
-//! Loading a configuration file with many routes and accounts, and finding a route for a request.
+//! Loading of configuration files with many routes and accounts, and the lookup of a request's
+//! route.
 
 use super::arguments::Plan;
-use super::measure::{held_bytes, Cost, Costs};
+use super::measure::{measure_held_bytes, Cost, Costs};
 use super::report::{Axis, Experiment, Figure, Quantity, Row};
 use super::world::{configuration_text, description_text, route_path, SERVICES};
 use mossrill::config;
@@ -10,25 +11,25 @@
 use rand::{Rng, SeedableRng};
 use std::hint::black_box;
 
-/// Loads of one file, of which the first tells what is held.
+/// How often a file is loaded. The memory held is measured on the first load.
 const LOADS: u64 = 3;
-/// Larger descriptions are loaded once, as reading them takes many seconds.
-const LARGE: u64 = 5_000;
-/// Routes of the description that goes with a file of accounts.
-const FEW_ROUTES: u64 = 1;
-/// Limiters that the file names.
+/// Number of routes above which a description is loaded only once, as that takes many seconds.
+const MANY_ROUTES: u64 = 5_000;
+/// Number of routes in the description that a configuration file of accounts refers to.
+const ROUTES_WITH_ACCOUNTS: u64 = 1;
+/// Number of limiters in the configuration file.
 const LIMITERS: u64 = 2_000;
 
-/// Reading a description with so many routes, and what was read.
+/// Measures the parsing of a description with this number of routes. Returns the description too.
 fn read_routes(routes: u64) -> (Description, Vec<Figure>) {
     let text = description_text(routes);
-    let load = || Description::read(&text).expect("the description has no fault");
+    let load = || Description::read(&text).expect("the generated OpenAPI description is valid");
     let mut costs = Costs::default();
     let mut first = Cost::default();
-    let (description, held) = held_bytes(|| first.time(load));
+    let (description, held) = measure_held_bytes(|| first.measure(load));
     costs.add(first);
-    for _ in 1..if routes > LARGE { 1 } else { LOADS } {
-        black_box(costs.time(load));
+    for _ in 1..if routes > MANY_ROUTES { 1 } else { LOADS } {
+        black_box(costs.measure(load));
     }
     let mut figures = costs.figures();
     figures.push(held);
@@ -36,29 +37,35 @@
     (description, figures)
 }
 
-/// Finding the routes of requests.
+/// Measures the lookup of the routes of requests.
 fn find_route(description: &Description, routes: u64, samples: u64, seed: u64) -> Vec<Figure> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut costs = Costs::default();
     for _ in 0..samples {
         let path = route_path(rng.random_range(0..routes)).replace("{item}", "17");
-        let found = costs.time(|| description.find("GET", &path));
-        assert!(matches!(found, Found::Operation(_)), "{path} is a route");
+        let found = costs.measure(|| description.find("GET", &path));
+        assert!(
+            matches!(found, Found::Operation(_)),
+            "{path}: GET matches no operation"
+        );
     }
     costs.figures()
 }
 
-/// Loading a file with so many accounts.
+/// Measures the loading of a configuration file with this number of accounts.
 fn load_accounts(accounts: u64) -> Vec<Figure> {
     let text = configuration_text(accounts, LIMITERS);
-    let routes = description_text(FEW_ROUTES);
-    let load = || config::openapi(&text, |_| Ok(routes.clone())).expect("the file has no fault");
+    let routes = description_text(ROUTES_WITH_ACCOUNTS);
+    let load = || {
+        config::openapi(&text, |_| Ok(routes.clone()))
+            .expect("the generated configuration file is valid")
+    };
     let mut costs = Costs::default();
     let mut first = Cost::default();
-    let (_configuration, held) = held_bytes(|| first.time(load));
+    let (_configuration, held) = measure_held_bytes(|| first.measure(load));
     costs.add(first);
     for _ in 1..LOADS {
-        black_box(costs.time(load));
+        black_box(costs.measure(load));
     }
     let mut figures = costs.figures();
     figures.push(held);
@@ -66,14 +73,14 @@
     figures
 }
 
-/// Files against routes and accounts.
+/// Loading and lookup by number of routes, and loading by number of accounts.
 pub fn experiments(plan: &Plan) -> Vec<Experiment> {
     let about = format!("reading an OpenAPI description, an operation each, {SERVICES} services");
     let mut reading = Experiment::empty("routes-read", about, Axis::Routes);
     let mut finding =
         Experiment::empty("route-find", "finding the route of a request", Axis::Routes);
     for size in &plan.routes {
-        // No random number is in a description: it is read for the first seed alone.
+        // Descriptions contain nothing random, so that one seed is enough.
         let (description, figures) = read_routes(*size);
         reading.rows.push(Row {
             size: *size,
@@ -90,7 +97,7 @@
         }
     }
     let mut experiments = vec![reading, finding];
-    experiments.push(Experiment::along(
+    experiments.push(Experiment::run(
         "accounts-load",
         "loading a configuration file with accounts",
         Axis::Accounts,
--- a/benches/capacity/decisions.rs
+++ b/benches/capacity/decisions.rs
@@ -1,4 +1,5 @@
-//! One request through the decision module: arrival, answers of the counter, end of its attempt.
+//! Cost of one request in the decision module: its arrival, the replies of the counter, and the end
+//! of its attempt.
 
 use super::arguments::Plan;
 use super::limiter::Limiter;
@@ -13,17 +14,20 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
-/// Sizes that are held while another one varies: small enough to leave the one that varies to be seen.
-const SERVERS_HELD: u64 = 24;
-const TENANTS_HELD: u64 = 1_000;
-const LIMITERS_HELD: u64 = 300;
-/// Time between two requests of one limiter.
-const GAP: Micros = (SECOND as f64 / REQUESTS_PER_LIMITER) as Micros;
-/// Time between two requests while tenants are made known: all of them well within the minute of remembering.
-const WARM_UP_GAP: Micros = 50;
+/// Sizes that stay fixed while another one varies. They are small, so that the effect of the
+/// varying size shows.
+const FIXED_SERVERS: u64 = 24;
+const FIXED_TENANTS: u64 = 1_000;
+const FIXED_LIMITERS: u64 = 300;
+/// Time between two requests at one limiter.
+const REQUEST_INTERVAL: Micros = (SECOND as f64 / REQUESTS_PER_LIMITER) as Micros;
+/// Time between two requests in the warm-up. It is short because a limiter forgets a tenant after a
+/// minute, and all tenants have to be known at the end of the warm-up.
+const WARM_UP_INTERVAL: Micros = 50;
 
-/// The parts of a request's cost that are told apart.
-const PARTS: [(&str, &str); 4] = [
+/// The parts of a request's cost that are measured separately: prefixes of the experiments' names,
+/// and descriptions.
+const COST_PARTS: [(&str, &str); 4] = [
     ("decision", "all events of one request"),
     ("arrival", "the arrival of a request alone"),
     (
@@ -42,7 +46,7 @@
 }
 
 impl Fleet {
-    /// Measures requests at one limiter; figures of each of [`PARTS`].
+    /// Measures requests at one limiter. Returns the figures of each of [`COST_PARTS`].
     fn measure(self, samples: u64, seed: u64) -> [Vec<Figure>; 4] {
         let Fleet {
             servers,
@@ -68,41 +72,50 @@
         };
         let mut costs: [Costs; 4] = Default::default();
         for _ in 0..samples {
-            limiter.now += GAP;
-            limiter.give(Event::TimerExpired { token: 0 });
-            let cost = limiter.carry(&traffic, choice.sample(&mut rng), &mut counter);
-            costs[0].add(cost.whole);
+            limiter.now += REQUEST_INTERVAL;
+            limiter.handle(Event::TimerExpired { token: 0 });
+            let cost = limiter.run_request(&traffic, choice.sample(&mut rng), &mut counter);
+            costs[0].add(cost.total);
             costs[1].add(cost.arrival);
-            cost.counted.into_iter().for_each(|part| costs[2].add(part));
-            cost.outcome.into_iter().for_each(|part| costs[3].add(part));
+            cost.counter_replies
+                .into_iter()
+                .for_each(|part| costs[2].add(part));
+            cost.attempt_end
+                .into_iter()
+                .for_each(|part| costs[3].add(part));
         }
         costs.each_ref().map(Costs::figures)
     }
 }
 
-/// One request of each tenant, so that the limiter knows all of them.
+/// Sends one request of each tenant, so that the limiter knows all of them.
 pub fn warm_up(limiter: &mut Limiter, traffic: &Traffic, counter: &mut SharedCounter) {
     for tenant in 0..traffic.tenants.len() {
-        let began = limiter.now;
-        limiter.carry(traffic, tenant, counter);
-        // However long the request took, the next one comes soon: time goes on between events alone.
-        limiter.now = began + WARM_UP_GAP;
+        let started_at = limiter.now;
+        limiter.run_request(traffic, tenant, counter);
+        // Set back the clock, which the request has advanced, so that the next request follows
+        // soon.
+        limiter.now = started_at + WARM_UP_INTERVAL;
     }
 }
 
-/// Measures along one size, an experiment for each of [`PARTS`].
-fn along(
+/// Measures all values of one size, with an experiment for each of [`COST_PARTS`].
+fn experiments_along(
     plan: &Plan,
     axis: Axis,
     sizes: &[u64],
-    held: &str,
+    fixed: &str,
     fleet: impl Fn(u64) -> Fleet,
 ) -> Vec<Experiment> {
-    let (by, _) = axis.target();
+    let (axis_name, _) = axis.target();
     let experiment = |(part, about): &(&str, &str)| {
-        Experiment::empty(format!("{part}-by-{by}"), format!("{about}; {held}"), axis)
+        Experiment::empty(
+            format!("{part}-by-{axis_name}"),
+            format!("{about}; {fixed}"),
+            axis,
+        )
     };
-    let mut experiments: Vec<Experiment> = PARTS.iter().map(experiment).collect();
+    let mut experiments: Vec<Experiment> = COST_PARTS.iter().map(experiment).collect();
     for size in sizes {
         for seed in &plan.seeds {
             let parts = fleet(*size).measure(plan.samples, *seed);
@@ -118,33 +131,35 @@
     experiments
 }
 
-/// Decisions against servers, tenants and limiters.
+/// Cost of decisions by servers, by tenants and by limiters.
 pub fn experiments(plan: &Plan) -> Vec<Experiment> {
-    let (servers, tenants, limiters) = (SERVERS_HELD, TENANTS_HELD, LIMITERS_HELD);
-    let held = format!("{tenants} tenants known, {limiters} limiters, one pool of servers");
-    let mut all = along(plan, Axis::Servers, &plan.servers, &held, |servers| Fleet {
-        servers,
-        tenants,
-        limiters,
+    let (servers, tenants, limiters) = (FIXED_SERVERS, FIXED_TENANTS, FIXED_LIMITERS);
+    let fixed = format!("{tenants} tenants known, {limiters} limiters, one pool of servers");
+    let mut all = experiments_along(plan, Axis::Servers, &plan.servers, &fixed, |servers| {
+        Fleet {
+            servers,
+            tenants,
+            limiters,
+        }
     });
-    let held = format!("{servers} servers, {limiters} limiters, all tenants known");
-    all.extend(along(
+    let fixed = format!("{servers} servers, {limiters} limiters, all tenants known");
+    all.extend(experiments_along(
         plan,
         Axis::Tenants,
         &plan.tenants,
-        &held,
+        &fixed,
         |tenants| Fleet {
             servers,
             tenants,
             limiters,
         },
     ));
-    let held = format!("{servers} servers, {tenants} tenants known, each through all limiters");
-    all.extend(along(
+    let fixed = format!("{servers} servers, {tenants} tenants known, each through all limiters");
+    all.extend(experiments_along(
         plan,
         Axis::Limiters,
         &plan.limiters,
-        &held,
+        &fixed,
         |limiters| Fleet {
             servers,
             tenants,
--- a/benches/capacity/fit.rs
+++ b/benches/capacity/fit.rs
@@ -5,17 +5,17 @@
 /// Why no power law can be fitted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FitError {
-    /// Fewer than three different sizes: a line through two points has no error to tell.
+    /// Fewer than three different sizes: a line through two points gives no standard error.
     TooFewSizes(usize),
-    /// A size or value that has no logarithm.
+    /// A size or value without a logarithm: not positive, or not finite.
     NotPositive(f64),
 }
 
 impl fmt::Display for FitError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooFewSizes(sizes) => write!(to, "{sizes} different sizes, 3 are needed"),
-            Self::NotPositive(value) => write!(to, "{value} has no logarithm"),
+            Self::TooFewSizes(sizes) => write!(formatter, "{sizes} different sizes, 3 are needed"),
+            Self::NotPositive(value) => write!(formatter, "{value} has no logarithm"),
         }
     }
 }
@@ -27,14 +27,16 @@
 pub struct Fit {
     /// The value at size 1.
     pub constant: f64,
-    /// Standard error of the constant as a factor: the constant times or over this.
+    /// Standard error of the constant as a factor: the range is from the constant divided by it
+    /// formatter the constant times it.
     pub constant_error: f64,
-    /// How fast the value grows: 1 is in proportion to the size.
+    /// Exponent of the size; at 1 the value is proportional formatter the size.
     pub exponent: f64,
     /// Standard error of the exponent.
     pub exponent_error: f64,
-    /// Standard deviation of the logarithms round the line.
+    /// Standard deviation of the logarithms of the values from the fitted line.
     residual: f64,
+    /// Number of points.
     points: f64,
     mean_log_size: f64,
     /// Sum of squared distances of the logarithms of the sizes from their mean.
@@ -42,19 +44,20 @@
     largest_size: f64,
 }
 
-/// A value of a fitted law at some size.
+/// The value of a fitted power law at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The value.
     pub value: f64,
-    /// Its standard error as a factor: the value times or over this.
+    /// Its standard error as a factor: the range is from the value divided by it formatter the
+    /// value times it.
     pub error: f64,
-    /// The size over the largest one that was measured; 1 or less where nothing is extrapolated.
+    /// Ratio of the size formatter the largest measured one; 1 or less if nothing is extrapolated.
     pub extrapolation: f64,
 }
 
 impl Fit {
-    /// Fits a power law to points of size and value.
+    /// Fits a power law formatter points of a size and a value.
     pub fn new(points: &[(f64, f64)]) -> Result<Self, FitError> {
         let mut logs = Vec::with_capacity(points.len());
         for (size, value) in points {
@@ -98,7 +101,7 @@
         })
     }
 
-    /// The law's value at a size.
+    /// Returns the value of the power law at a size.
     pub fn at(&self, size: f64) -> Estimate {
         let distance = size.ln() - self.mean_log_size;
         let error =
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,11 +1,13 @@
-//! What decisions, events and messages cost as the fleet grows, and what that comes to at the size of `docs/CAPACITY.md`.
+//! Measures how the cost of decisions, events and messages grows with the fleet, and extrapolates
+//! it to the size in `docs/CAPACITY.md`.
 //!
 //!     cargo bench --bench capacity                      # every experiment, a table
 //!     cargo bench --bench capacity -- --json            # the same run as one JSON document
-//!     cargo bench --bench capacity -- --page docs/capacity/slopes.json    # the tables of docs/CAPACITY.md from such a run
+//!     # the tables of docs/CAPACITY.md from such a document
+//!     cargo bench --bench capacity -- --page docs/capacity/slopes.json
 //!     cargo bench --bench capacity -- --only decisions --servers 24,240,2400 --seeds 5
 //!
-//! Durations are only ever compared within one run: nothing here asserts an absolute time.
+//! Durations are only compared within one run: no absolute time is asserted.
 
 #[path = "mod.rs"]
 mod capacity;
@@ -47,7 +49,7 @@
     ExitCode::SUCCESS
 }
 
-/// Prints the tables of the page, or what is wrong with the file.
+/// Prints the tables of the page, or an error if the file cannot be read.
 fn print_page(file: &Path) -> ExitCode {
     let text = fs::read_to_string(file).map_err(|error| error.to_string());
     let tables = text.and_then(|text| {
--- a/benches/capacity/measure.rs
+++ b/benches/capacity/measure.rs
@@ -1,7 +1,8 @@
-//! Processor time and allocations of pieces of work.
+//! Measures the processor time and allocations of operations.
 //!
-//! Time is that of the thread on its processor, so that other work on the machine, which takes the processor away for
-//! milliseconds at a time, does not count. Reading this clock is a system call, and part of each duration.
+//! The time is the CPU time of the thread, so that preemption by other work on the machine, which
+//! lasts for milliseconds at a time, does not count. Each duration includes the system call that
+//! reads this clock.
 
 use super::report::{Figure, Quantity};
 use hdrhistogram::Histogram;
@@ -10,17 +11,17 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// Digits that the histograms of durations keep.
+/// Significant digits of the histograms of durations.
 const DIGITS: u8 = 3;
 
-/// Time for which this thread has had a processor.
-fn processor_time() -> Duration {
+/// Returns the CPU time of this thread.
+fn cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     Duration::from_secs(seconds) + Duration::from_nanos(u64::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// What one piece of work took, which may consist of several parts.
+/// Cost of one operation, which may consist of several parts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     duration: Duration,
@@ -29,12 +30,12 @@
 }
 
 impl Cost {
-    /// Does a part of the work and adds what it took.
-    pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> T {
+    /// Runs a part of the operation and adds its cost.
+    pub fn measure<T>(&mut self, operation: impl FnOnce() -> T) -> T {
         let region = Region::new(&INSTRUMENTED_SYSTEM);
-        let started = processor_time();
-        let result = work();
-        self.duration += processor_time().saturating_sub(started);
+        let started_at = cpu_time();
+        let result = operation();
+        self.duration += cpu_time().saturating_sub(started_at);
         let change = region.change();
         self.allocations += change.allocations + change.reallocations;
         self.allocated_bytes += change.bytes_allocated;
@@ -50,7 +51,7 @@
     }
 }
 
-/// Costs of the same work done many times.
+/// Costs of many runs of the same operation.
 pub struct Costs {
     nanoseconds: Histogram<u64>,
     allocations: usize,
@@ -59,7 +60,8 @@
 
 impl Default for Costs {
     fn default() -> Self {
-        let nanoseconds = Histogram::new(DIGITS).expect("a histogram can have three digits");
+        let nanoseconds =
+            Histogram::new(DIGITS).expect("3 is a valid number of significant digits");
         Self {
             nanoseconds,
             allocations: 0,
@@ -69,32 +71,32 @@
 }
 
 impl Costs {
-    /// Takes the cost of one time.
+    /// Adds the cost of one run.
     pub fn add(&mut self, cost: Cost) {
         let nanoseconds = u64::try_from(cost.duration.as_nanos()).unwrap_or(u64::MAX);
         self.nanoseconds
             .record(nanoseconds.max(1))
-            .expect("the histogram grows with what it is given");
+            .expect("an auto-resizing histogram records every value");
         self.allocations += cost.allocations;
         self.allocated_bytes += cost.allocated_bytes;
     }
 
-    /// Does the work once and takes its cost.
-    pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> T {
+    /// Runs the operation once and adds its cost.
+    pub fn measure<T>(&mut self, operation: impl FnOnce() -> T) -> T {
         let mut cost = Cost::default();
-        let result = cost.time(work);
+        let result = cost.measure(operation);
         self.add(cost);
         result
     }
 
-    /// Durations and allocations of all times together; nothing where there was none.
+    /// Returns the durations and mean allocations of all runs; empty if there was no run.
     pub fn figures(&self) -> Vec<Figure> {
-        let times = self.nanoseconds.len();
-        if times == 0 {
+        let runs = self.nanoseconds.len();
+        if runs == 0 {
             return Vec::new();
         }
         let microseconds = |nanoseconds: u64| nanoseconds as f64 / 1e3;
-        let each = |sum: usize| sum as f64 / times as f64;
+        let mean = |sum: usize| sum as f64 / runs as f64;
         vec![
             Figure::new(
                 Quantity::Median,
@@ -105,25 +107,25 @@
                 microseconds(self.nanoseconds.value_at_quantile(0.99)),
             ),
             Figure::new(Quantity::Worst, microseconds(self.nanoseconds.max())),
-            Figure::new(Quantity::Allocations, each(self.allocations)),
-            Figure::new(Quantity::AllocatedBytes, each(self.allocated_bytes)),
+            Figure::new(Quantity::Allocations, mean(self.allocations)),
+            Figure::new(Quantity::AllocatedBytes, mean(self.allocated_bytes)),
         ]
     }
 }
 
-/// Makes something, and tells how many bytes of the heap it holds.
-pub fn held_bytes<T>(make: impl FnOnce() -> T) -> (T, Figure) {
+/// Creates a value and measures how many bytes of the heap it holds.
+pub fn measure_held_bytes<T>(create: impl FnOnce() -> T) -> (T, Figure) {
     let region = Region::new(&INSTRUMENTED_SYSTEM);
-    let made = make();
+    let value = create();
     let change = region.change();
     let held = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
-    (made, Figure::new(Quantity::HeldBytes, held))
+    (value, Figure::new(Quantity::HeldBytes, held))
 }
 
-/// Drops something, and tells how many bytes of the heap it held.
-pub fn freed_bytes<T>(made: T) -> Figure {
+/// Drops a value and measures how many bytes of the heap it held.
+pub fn measure_freed_bytes<T>(value: T) -> Figure {
     let region = Region::new(&INSTRUMENTED_SYSTEM);
-    drop(made);
+    drop(value);
     let change = region.change();
     let freed = change.bytes_deallocated as f64 - change.bytes_allocated as f64;
     Figure::new(Quantity::HeldBytes, freed.max(0.0))
--- a/benches/capacity/mod.rs
+++ b/benches/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! The capacity benchmark: experiments over the sizes of a fleet, power laws fitted to them, and a report.
+//! The capacity benchmark: experiments that vary the sizes of a fleet, power laws fitted to the
+//! results, and a report.
 
 pub mod arguments;
 pub mod configuration;
@@ -20,7 +21,8 @@
 use arguments::{Group, Plan};
 use report::Experiment;
 
-/// Runs the experiments of a plan in order; `done` is shown each one as soon as it is finished.
+/// Runs the experiments of a plan in order, and calls `done` with each experiment of a group when
+/// the whole group is finished.
 pub fn run(plan: &Plan, done: &mut dyn FnMut(&Experiment)) -> Vec<Experiment> {
     let mut experiments = Vec::new();
     for group in &plan.groups {
--- a/benches/capacity/page/events.rs
+++ b/benches/capacity/page/events.rs
@@ -1,24 +1,30 @@
-//! What single events cost. Bytes are given as the time that they take at the bytes a second that control may use.
+//! Cost of single events. Bytes are shown as the time that their transfer takes at the rate allowed
+//! for control traffic.
 
 use super::run::{PageError, Reading, Run};
 use super::target::{
-    server_restarts, Unit, ADDED, CONTROL_BYTES, CONTROL_MEMORY, CUT_SECONDS, DAY,
-    ENTRIES_OF_A_RESTART, IN_FORCE, RACK_SERVERS, ROUTES, SERVERS, TENANTS, TURN, ZONE_LIMITERS,
-    ZONE_SERVERS,
+    server_restarts, Unit, ADDED_LATENCY_MICROS, CHANGE_IN_FORCE_MICROS, CONTROL_BYTES_PER_SECOND,
+    CONTROL_MEMORY_BYTES, DAY_SECONDS, DISCOVERY_POLL_MICROS, ENTRIES_PER_RESTART, RACK_SERVERS,
+    REGION_CUT_SECONDS, ROUTES, SERVERS, TENANTS, ZONE_LIMITERS, ZONE_SERVERS,
 };
 use super::{Amount, Line};
 
-const MICROS: f64 = 1e6;
-/// Limiters of half a zone, entries of half a zone's servers restarted, entries changed while a region is cut off.
+/// Microseconds of a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Number of limiters in half a zone.
 const HALF_ZONE_LIMITERS: f64 = ZONE_LIMITERS / 2.0;
-const HALF_ZONE_ENTRIES: f64 = ZONE_SERVERS / 2.0 * ENTRIES_OF_A_RESTART;
+/// Number of changed entries when half a zone's servers restart.
+const HALF_ZONE_ENTRIES: f64 = ZONE_SERVERS / 2.0 * ENTRIES_PER_RESTART;
 
-/// Time in which so many bytes go through what control may use.
-fn at_control_rate(bytes: f64) -> Amount {
-    Amount(bytes / CONTROL_BYTES * MICROS, Unit::Microseconds)
+/// Returns the transfer time of these bytes at the rate allowed for control traffic.
+fn control_transfer_time(bytes: f64) -> Amount {
+    Amount(
+        bytes / CONTROL_BYTES_PER_SECOND * MICROS_PER_SECOND,
+        Unit::Microseconds,
+    )
 }
 
-/// Bytes and durations of a change of the server list.
+/// Adds lines for the bytes and the duration of a change of the endpoint list.
 fn list_change(
     run: &Run,
     event: &str,
@@ -34,11 +40,11 @@
                 "{event}: {} of news",
                 Amount(bytes.value, Unit::Bytes).text()
             ),
-            at_control_rate(bytes.value),
+            control_transfer_time(bytes.value),
             &[&bytes],
         )
-        .within(IN_FORCE)
-        .by("the watch of the list; over 1, missing where 4 KB/s holds for each second"),
+        .within(CHANGE_IN_FORCE_MICROS)
+        .carried_by("the watch of the list; over 1, missing where 4 KB/s holds for each second"),
     );
     lines.push(
         Line::new(
@@ -47,23 +53,24 @@
             Amount(apply.value, Unit::Microseconds),
             &[&apply],
         )
-        .within(ADDED),
+        .within(ADDED_LATENCY_MICROS),
     );
     Ok(())
 }
 
-/// The largest amount that may be held at once while something is read: all that was allocated meanwhile.
-fn loading_memory(what: &'static str, reading: &Reading) -> Line {
+/// Returns a line for an upper bound of the memory held while something is read: all bytes
+/// allocated meanwhile.
+fn loading_memory(item: &'static str, reading: &Reading) -> Line {
     Line::new(
         "limiter",
-        what,
+        item,
         Amount(reading.value, Unit::Bytes),
         &[reading],
     )
-    .within(CONTROL_MEMORY)
+    .within(CONTROL_MEMORY_BYTES)
 }
 
-/// A limiter's start and many of them at once.
+/// Lines of the start of one limiter, and of many at once.
 fn start(run: &Run) -> Result<Vec<Line>, PageError> {
     let list = run.at("list-read", "text_bytes", SERVERS)?;
     let list_read = run.at("list-read", "median_us", SERVERS)?;
@@ -81,44 +88,49 @@
             Amount(routes.value + accounts.value, Unit::Microseconds),
             &[&routes, &accounts],
         )
-        .within(IN_FORCE)
-        .by("as it is, a whole file each time"),
+        .within(CHANGE_IN_FORCE_MICROS)
+        .carried_by("as it is, a whole file each time"),
         Line::new(
             "service discovery",
             format!(
                 "start: {} of the whole list",
                 Amount(list.value, Unit::Bytes).text()
             ),
-            at_control_rate(list.value),
+            control_transfer_time(list.value),
             &[&list],
         )
-        .within(IN_FORCE)
-        .by("missing where 4 KB/s holds for each second: a subset of services would carry it"),
+        .within(CHANGE_IN_FORCE_MICROS)
+        .carried_by(
+            "missing where 4 KB/s holds for each second: a subset of services would carry it",
+        ),
         Line::new(
             "service discovery",
             "start: reading and taking the whole list",
             Amount(list_read.value + list_apply.value, Unit::Microseconds),
             &[&list_read, &list_apply],
         )
-        .within(IN_FORCE),
+        .within(CHANGE_IN_FORCE_MICROS),
         Line::new(
             "limiter",
             "a whole list to one that serves: decisions stand still while it is taken",
             Amount(list_apply.value, Unit::Microseconds),
             &[&list_apply],
         )
-        .within(ADDED)
-        .by("missing: rare, as the watch goes on from its last version"),
+        .within(ADDED_LATENCY_MICROS)
+        .carried_by("missing: rare, as the watch goes on from its last version"),
         Line::new(
             "service discovery",
             format!(
                 "half a zone's limiters start: turns of 20 ms (stand-in), {fleet_bytes} in all"
             ),
-            Amount(TURN * HALF_ZONE_LIMITERS, Unit::Microseconds),
+            Amount(
+                DISCOVERY_POLL_MICROS * HALF_ZONE_LIMITERS,
+                Unit::Microseconds,
+            ),
             &[&list],
         )
-        .within(IN_FORCE)
-        .by("random waits (`src/discovery/poll_wait.rs`)"),
+        .within(CHANGE_IN_FORCE_MICROS)
+        .carried_by("random waits (`src/discovery/poll_wait.rs`)"),
         loading_memory(
             "start: all that is allocated while the list is read",
             &list_memory,
@@ -134,7 +146,7 @@
     ])
 }
 
-/// All lines.
+/// Returns the lines of all events.
 pub fn lines(run: &Run) -> Result<Vec<Line>, PageError> {
     let mut lines = start(run)?;
     let routes = run.at("routes-read", "text_bytes", ROUTES)?;
@@ -144,16 +156,23 @@
         Line::new(
             "configuration",
             format!("one change: {} of files", Amount(file, Unit::Bytes).text()),
-            at_control_rate(file),
+            control_transfer_time(file),
             &[&routes, &accounts],
         )
-        .within(IN_FORCE)
-        .by("missing: no way to send a change alone, nothing tells when all have it"),
+        .within(CHANGE_IN_FORCE_MICROS)
+        .carried_by("missing: no way to send a change alone, nothing tells when all have it"),
     );
-    let cut = (server_restarts() * ENTRIES_OF_A_RESTART / DAY * CUT_SECONDS).round();
+    // Entries that change while a region is cut off.
+    let cut_entries =
+        (server_restarts() * ENTRIES_PER_RESTART / DAY_SECONDS * REGION_CUT_SECONDS).round();
     list_change(run, "a server joins or drains", 1.0, &mut lines)?;
     list_change(run, "a rack of 40 servers", RACK_SERVERS, &mut lines)?;
-    list_change(run, "a region back after 5 minutes", cut, &mut lines)?;
+    list_change(
+        run,
+        "a region back after 5 minutes",
+        cut_entries,
+        &mut lines,
+    )?;
     list_change(run, "a zone of 1,600 servers", ZONE_SERVERS, &mut lines)?;
     list_change(
         run,
--- a/benches/capacity/page/mod.rs
+++ b/benches/capacity/page/mod.rs
@@ -1,4 +1,4 @@
-//! The tables of `docs/CAPACITY.md`, reckoned from one run of the benchmark (`--page FILE`).
+//! The tables of `docs/CAPACITY.md`, computed from one run of the benchmark (`--page FILE`).
 
 pub mod alternatives;
 pub mod events;
@@ -10,41 +10,41 @@
 use std::fmt::Write;
 use target::Unit;
 
-/// An amount, and what it is an amount of.
+/// An amount and its unit.
 #[derive(Clone, Copy, Debug)]
 pub struct Amount(pub f64, pub Unit);
 
-/// One line of a table: what something comes to at the target, beside its bound.
+/// One line of a table: the amount that something reaches at the target size, and its bound.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// The role that spends it.
+    /// The role that needs the resource.
     pub role: &'static str,
-    /// What it is.
-    pub what: String,
-    /// What it comes to.
+    /// What the amount is of.
+    pub item: String,
+    /// The amount at the target size.
     pub amount: Amount,
-    /// What it may come to; none where nobody has said.
+    /// The largest allowed amount, if one is stated.
     pub bound: Option<Amount>,
-    /// Where the slopes are from: experiment and exponent.
+    /// The power laws that the amount was computed from: experiments, quantities and exponents.
     pub slopes: String,
-    /// The largest factor by which a slope was extrapolated.
+    /// The largest ratio of a target size to the largest measured size.
     pub extrapolation: f64,
-    /// What carries it.
+    /// The mechanism that keeps the amount within the bound, or a note on its absence.
     pub mechanism: &'static str,
 }
 
 impl Line {
-    /// A line reckoned from these readings.
+    /// Creates a line with an amount that was computed from these readings.
     pub fn new(
         role: &'static str,
-        what: impl Into<String>,
+        item: impl Into<String>,
         amount: Amount,
         readings: &[&Reading],
     ) -> Self {
         let slope = |reading: &&Reading| reading.slope();
         Self {
             role,
-            what: what.into(),
+            item: item.into(),
             amount,
             bound: None,
             slopes: readings.iter().map(slope).collect::<Vec<_>>().join("; "),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What it may come to, in the same unit.
+    /// Sets the bound, in the unit of the amount.
     pub fn within(self, bound: f64) -> Self {
         Self {
             bound: Some(Amount(bound, self.amount.1)),
@@ -64,16 +64,17 @@
         }
     }
 
-    /// What carries it.
-    pub fn by(self, mechanism: &'static str) -> Self {
+    /// Sets the mechanism.
+    pub fn carried_by(self, mechanism: &'static str) -> Self {
         Self { mechanism, ..self }
     }
 
-    /// The amount over its bound.
+    /// Returns the ratio of the amount to its bound.
     pub fn ratio(&self) -> Option<f64> {
         self.bound.map(|bound| self.amount.0 / bound.0)
     }
 
+    /// Formats the line as a row of a Markdown table.
     fn row(&self) -> String {
         let bound = self.bound.map_or("not stated".into(), |bound| bound.text());
         let ratio = self.ratio().map_or("-".into(), two_digits);
@@ -90,14 +91,14 @@
         format!(
             "| {ratio} | {} | {} | {} | {bound} | {slopes} | {extrapolation} | {} |",
             self.role,
-            self.what,
+            self.item,
             self.amount.text(),
             self.mechanism
         )
     }
 }
 
-/// A table with the largest ratio first; lines without a bound come last.
+/// Returns a table with the largest ratio first, and lines without a bound last.
 pub fn table(mut lines: Vec<Line>) -> String {
     let ratio = |line: &Line| line.ratio().unwrap_or(-1.0);
     lines.sort_by(|a, b| ratio(b).total_cmp(&ratio(a)));
@@ -111,7 +112,7 @@
     text
 }
 
-/// All tables of the page, each between the marks that the page has round it.
+/// Returns the names and the texts of all tables of the page.
 pub fn tables(run: &Run) -> Result<Vec<(&'static str, String)>, PageError> {
     Ok(vec![
         ("steady", table(steady::lines(run)?)),
@@ -121,12 +122,12 @@
     ])
 }
 
-/// A table as it stands in the page.
+/// Returns a table between the comments that mark it in the page.
 pub fn marked(name: &str, table: &str) -> String {
     format!("<!-- table {name} -->\n{table}<!-- end of table {name} -->\n")
 }
 
-/// Two digits that count, without powers of ten.
+/// Formats a value with about two significant digits and without an exponent.
 pub fn two_digits(value: f64) -> String {
     match value.abs() {
         size if size >= 10.0 => format!("{value:.0}"),
--- a/benches/capacity/page/run.rs
+++ b/benches/capacity/page/run.rs
@@ -1,48 +1,48 @@
-//! One run of the benchmark, as its `--json` wrote it.
+//! One run of the benchmark, read from the output of `--json`.
 
 use serde_json::Value;
 use std::fmt;
 
-/// Why the page can't be made from a file.
+/// Why the tables cannot be computed from a file.
 #[derive(Debug)]
 pub enum PageError {
-    /// It is not JSON.
+    /// The file is not JSON.
     NotJson(serde_json::Error),
-    /// The run lacks this experiment, quantity or key.
+    /// The run has no value for this quantity, experiment and size.
     Missing(String),
 }
 
 impl fmt::Display for PageError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotJson(error) => write!(to, "not JSON: {error}"),
-            Self::Missing(what) => write!(to, "the run has no {what}"),
+            Self::NotJson(error) => write!(formatter, "not JSON: {error}"),
+            Self::Missing(what) => write!(formatter, "the run has no {what}"),
         }
     }
 }
 
 impl std::error::Error for PageError {}
 
-/// A run.
+/// The results of a run.
 pub struct Run {
     document: Value,
 }
 
-/// A value read from a slope.
+/// A value of a quantity at some size.
 #[derive(Clone, Debug)]
 pub struct Reading {
     experiment: String,
     quantity: String,
     /// The value.
     pub value: f64,
-    /// Exponent and its standard error.
+    /// Exponent of the fitted power law and its standard error.
     exponent: Option<(f64, f64)>,
-    /// The size over the largest one that was measured.
+    /// Ratio of the size formatter the largest measured one.
     pub extrapolation: f64,
 }
 
 impl Reading {
-    /// Where it is from, in words.
+    /// Returns the experiment, the quantity and the exponent as text.
     pub fn slope(&self) -> String {
         let Self {
             experiment,
@@ -59,14 +59,15 @@
 }
 
 impl Run {
-    /// Reads what `--json` wrote.
+    /// Parses the output of `--json`.
     pub fn read(text: &str) -> Result<Self, PageError> {
         Ok(Self {
             document: serde_json::from_str(text).map_err(PageError::NotJson)?,
         })
     }
 
-    /// A quantity at some size: as measured where that size was measured, else by the fitted law.
+    /// Returns a quantity at some size: the measured value if that size was measured, otherwise the
+    /// value of the fitted power law.
     pub fn at(&self, experiment: &str, quantity: &str, size: f64) -> Result<Reading, PageError> {
         let missing = || PageError::Missing(format!("{quantity} of {experiment} at {size}"));
         let all = self.document["experiments"]
@@ -82,11 +83,11 @@
             .iter()
             .filter_map(Value::as_f64)
             .collect();
-        let of = &found["quantities"][quantity];
-        let fit = &of["fit"];
+        let results = &found["quantities"][quantity];
+        let fit = &results["fit"];
         let exponent = fit["exponent"].as_f64().zip(fit["exponent_error"].as_f64());
         let measured = sizes.iter().position(|at| *at == size);
-        let value = match measured.and_then(|at| of["middle_of_seeds"][at].as_f64()) {
+        let value = match measured.and_then(|at| results["middle_of_seeds"][at].as_f64()) {
             Some(value) => value,
             None => {
                 let constant = fit["constant"].as_f64().ok_or_else(missing)?;
--- a/benches/capacity/page/steady.rs
+++ b/benches/capacity/page/steady.rs
@@ -1,17 +1,19 @@
-//! What each role spends all day.
+//! Resources that each role needs in steady operation.
 
 use super::run::{PageError, Run};
 use super::target::{
-    limiter_restarts, server_restarts, Unit, ADDED, CONFIGURATION_CHANGES_A_DAY, CONTROL_BYTES,
-    CONTROL_CORE, CONTROL_MACHINES, CONTROL_MEMORY, DAY, ENTRIES_OF_A_RESTART, IDLE_SECONDS,
-    LIMITERS, LONGEST_NEWS, REQUESTS, ROUTES, SCRAPE_SECONDS, SERVERS, SERVICES, TENANTS,
+    limiter_restarts, server_restarts, Unit, ADDED_LATENCY_MICROS, CONFIGURATION_CHANGES_PER_DAY,
+    CONTROL_BYTES_PER_SECOND, CONTROL_CORES, CONTROL_MACHINES, CONTROL_MEMORY_BYTES, DAY_SECONDS,
+    ENTRIES_PER_RESTART, IDLE_CONNECTION_SECONDS, LIMITERS, MAX_UPDATE_BYTES, REQUESTS_PER_SECOND,
+    ROUTES, SCRAPE_SECONDS, SERVERS, SERVICES, TENANTS,
 };
 use super::{Amount, Line};
 use mossrill::membership::datagram::MAX_LIMITERS;
 
-/// Timer events a second: 64 in the shortest aim of half a second.
-const TIMERS: f64 = 128.0;
-const MICROS: f64 = 1e6;
+/// Timer events per second: 64 in the shortest latency objective of half a second.
+const TIMERS_PER_SECOND: f64 = 128.0;
+/// Microseconds of a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Lines of the limiter's own work.
 fn limiter(run: &Run) -> Result<Vec<Line>, PageError> {
@@ -34,53 +36,67 @@
             Amount(decision.value, Unit::Microseconds),
             &[&decision],
         )
-        .within(ADDED)
-        .by("missing: the choice looks at every server, and there is one pool"),
+        .within(ADDED_LATENCY_MICROS)
+        .carried_by("missing: the choice looks at every server, and there is one pool"),
         Line::new(
             "limiter",
             "decisions, of the one thread that makes them",
-            Amount(median.value * REQUESTS / MICROS, Unit::Cores),
+            Amount(
+                median.value * REQUESTS_PER_SECOND / MICROS_PER_SECOND,
+                Unit::Cores,
+            ),
             &[&median],
         )
         .within(1.0)
-        .by("missing, as above"),
+        .carried_by("missing, as above"),
         Line::new(
             "limiter",
             "finding a route, 99 in 100",
             Amount(find.value, Unit::Microseconds),
             &[&find],
         )
-        .within(ADDED)
-        .by("missing: a scan of all routes"),
+        .within(ADDED_LATENCY_MICROS)
+        .carried_by("missing: a scan of all routes"),
         Line::new(
             "limiter",
             "work of each second, servers and the tenants of a minute",
-            Amount((second.value + second_tenants.value) / MICROS, Unit::Cores),
+            Amount(
+                (second.value + second_tenants.value) / MICROS_PER_SECOND,
+                Unit::Cores,
+            ),
             &[&second, &second_tenants],
         )
-        .within(CONTROL_CORE),
+        .within(CONTROL_CORES),
         Line::new(
             "limiter",
             "the other timer events",
-            Amount(timer.value * TIMERS / MICROS, Unit::Cores),
+            Amount(
+                timer.value * TIMERS_PER_SECOND / MICROS_PER_SECOND,
+                Unit::Cores,
+            ),
             &[&timer],
         )
-        .within(CONTROL_CORE),
+        .within(CONTROL_CORES),
         Line::new(
             "limiter",
             "memory: servers, tenants of a minute, routes, accounts",
             Amount(held, Unit::Bytes),
             &[&servers_held, &tenants_held, &routes_held, &accounts_held],
         )
-        .within(CONTROL_MEMORY),
+        .within(CONTROL_MEMORY_BYTES),
         Line::new(
             "limiter",
             "time between two requests to one server, which its idle connection has to last",
-            Amount(SERVERS / REQUESTS * MICROS, Unit::Microseconds),
+            Amount(
+                SERVERS / REQUESTS_PER_SECOND * MICROS_PER_SECOND,
+                Unit::Microseconds,
+            ),
             &[],
         )
-        .within(IDLE_SECONDS * MICROS)
-        .by("missing: nearly every request opens a connection; a subset of servers would carry it"),
+        .within(IDLE_CONNECTION_SECONDS * MICROS_PER_SECOND)
+        .carried_by(
+            "missing: nearly every request opens a connection; a subset of servers would carry it",
+        ),
     ])
 }
 
@@ -89,7 +105,7 @@
     let http = run.at("counter-by-limiters-zipf-1", "http_bytes_per_s", LIMITERS)?;
     let redis = run.at("counter-by-limiters-zipf-1", "redis_bytes_per_s", LIMITERS)?;
     let calls = run.at("counter-by-limiters-zipf-1", "calls_per_request", LIMITERS)?;
-    let each = calls.value * REQUESTS * LIMITERS / CONTROL_MACHINES;
+    let calls_per_machine = calls.value * REQUESTS_PER_SECOND * LIMITERS / CONTROL_MACHINES;
     Ok(vec![
         Line::new(
             "quota counter",
@@ -97,23 +113,23 @@
             Amount(http.value, Unit::BytesPerSecond),
             &[&http],
         )
-        .within(CONTROL_BYTES)
-        .by("quota leases where configured, measured below; the calls themselves: missing"),
+        .within(CONTROL_BYTES_PER_SECOND)
+        .carried_by("quota leases where configured, measured below; the calls themselves: missing"),
         Line::new(
             "quota counter",
             "the same as Redis commands",
             Amount(redis.value, Unit::BytesPerSecond),
             &[&redis],
         )
-        .within(CONTROL_BYTES)
-        .by("quota leases where configured, measured below; the calls themselves: missing"),
+        .within(CONTROL_BYTES_PER_SECOND)
+        .carried_by("quota leases where configured, measured below; the calls themselves: missing"),
         Line::new(
             "quota counter",
             "calls at each of 7 machines, if they were shared out evenly",
-            Amount(each, Unit::CallsPerSecond),
+            Amount(calls_per_machine, Unit::CallsPerSecond),
             &[&calls],
         )
-        .by("quota leases where configured, measured below; the calls themselves: missing"),
+        .carried_by("quota leases where configured, measured below; the calls themselves: missing"),
     ])
 }
 
@@ -123,30 +139,30 @@
     let accounts = run.at("accounts-load", "text_bytes", TENANTS)?;
     let routes_time = run.at("routes-read", "median_us", ROUTES)?;
     let accounts_time = run.at("accounts-load", "median_us", TENANTS)?;
-    let each_second = CONFIGURATION_CHANGES_A_DAY / DAY;
+    let changes_per_second = CONFIGURATION_CHANGES_PER_DAY / DAY_SECONDS;
     Ok(vec![
         Line::new(
             "configuration",
             "a whole file for each change",
             Amount(
-                (routes.value + accounts.value) * each_second,
+                (routes.value + accounts.value) * changes_per_second,
                 Unit::BytesPerSecond,
             ),
             &[&routes, &accounts],
         )
-        .within(CONTROL_BYTES)
-        .by("missing: files come by hand, and SIGHUP takes neither routes nor accounts"),
+        .within(CONTROL_BYTES_PER_SECOND)
+        .carried_by("missing: files come by hand, and SIGHUP takes neither routes nor accounts"),
         Line::new(
             "configuration",
             "reading a whole file for each change",
             Amount(
-                (routes_time.value + accounts_time.value) * each_second / MICROS,
+                (routes_time.value + accounts_time.value) * changes_per_second / MICROS_PER_SECOND,
                 Unit::Cores,
             ),
             &[&routes_time, &accounts_time],
         )
-        .within(CONTROL_CORE)
-        .by("as it is, a whole file each time"),
+        .within(CONTROL_CORES)
+        .carried_by("as it is, a whole file each time"),
     ])
 }
 
@@ -156,8 +172,8 @@
     let change = run.at("change-read", "text_bytes", 1.0)?;
     let read = run.at("change-read", "median_us", 1.0)?;
     let apply = run.at("change-apply", "median_us", 1.0)?;
-    let changes = server_restarts() * ENTRIES_OF_A_RESTART / DAY;
-    let loads = limiter_restarts() / LIMITERS / DAY;
+    let entries_per_second = server_restarts() * ENTRIES_PER_RESTART / DAY_SECONDS;
+    let full_lists_per_second = limiter_restarts() / LIMITERS / DAY_SECONDS;
     Ok(vec![
         Line::new(
             "service discovery",
@@ -165,37 +181,40 @@
             Amount(list.value, Unit::Bytes),
             &[&list],
         )
-        .within(LONGEST_NEWS)
-        .by("a limit in the program (`src/discovery/watcher.rs`)"),
+        .within(MAX_UPDATE_BYTES)
+        .carried_by("a limit in the program (`src/discovery/watcher.rs`)"),
         Line::new(
             "service discovery",
             "changes by restarts of servers, one entry each",
-            Amount(change.value * changes, Unit::BytesPerSecond),
+            Amount(change.value * entries_per_second, Unit::BytesPerSecond),
             &[&change],
         )
-        .within(CONTROL_BYTES)
-        .by("the watch of the list"),
+        .within(CONTROL_BYTES_PER_SECOND)
+        .carried_by("the watch of the list"),
         Line::new(
             "service discovery",
             "reading and taking these changes",
-            Amount((read.value + apply.value) * changes / MICROS, Unit::Cores),
+            Amount(
+                (read.value + apply.value) * entries_per_second / MICROS_PER_SECOND,
+                Unit::Cores,
+            ),
             &[&read, &apply],
         )
-        .within(CONTROL_CORE)
-        .by("the watch of the list"),
+        .within(CONTROL_CORES)
+        .carried_by("the watch of the list"),
         Line::new(
             "service discovery",
             "whole lists at restarts of limiters, over the day",
-            Amount(list.value * loads, Unit::BytesPerSecond),
+            Amount(list.value * full_lists_per_second, Unit::BytesPerSecond),
             &[&list],
         )
-        .within(CONTROL_BYTES)
-        .by("the watch of the list"),
+        .within(CONTROL_BYTES_PER_SECOND)
+        .carried_by("the watch of the list"),
     ])
 }
 
-/// Lines of membership and operators.
-fn others(run: &Run) -> Result<Vec<Line>, PageError> {
+/// Lines of fleet membership and of operators' tools.
+fn membership_and_operators(run: &Run) -> Result<Vec<Line>, PageError> {
     let stat = run.at("statistics-by-services", "text_bytes", SERVICES)?;
     Ok(vec![
         Line::new(
@@ -205,26 +224,26 @@
             &[],
         )
         .within(f64::from(MAX_LIMITERS))
-        .by("the fleet's view; a larger fleet is refused at the start (`MAX_LIMITERS`)"),
+        .carried_by("the fleet's view; a larger fleet is refused at the start (`MAX_LIMITERS`)"),
         Line::new(
             "operators' tools, figures",
             "`show-stat` every 10 s, a class for each service",
             Amount(stat.value / SCRAPE_SECONDS, Unit::BytesPerSecond),
             &[&stat],
         )
-        .within(CONTROL_BYTES)
-        .by("missing: no figure of the fleet as a whole, all text each time"),
+        .within(CONTROL_BYTES_PER_SECOND)
+        .carried_by("missing: no figure of the fleet as a whole, all text each time"),
     ])
 }
 
-/// All lines.
+/// Returns the lines of all roles.
 pub fn lines(run: &Run) -> Result<Vec<Line>, PageError> {
     let parts = [
         limiter(run)?,
         counter(run)?,
         configuration(run)?,
         discovery(run)?,
-        others(run)?,
+        membership_and_operators(run)?,
     ];
     Ok(parts.into_iter().flatten().collect())
 }
--- a/benches/capacity/pools.rs
+++ b/benches/capacity/pools.rs
@@ -1,20 +1,22 @@
-//! A trial of what the program does not have: a decision module for each service, with that service's servers alone.
+//! Cost of a design that is not implemented: a decision module for each service, with only that
+//! service's servers.
 
 use super::arguments::Plan;
 use super::limiter::Limiter;
-use super::measure::{held_bytes, Costs};
+use super::measure::{measure_held_bytes, Costs};
 use super::report::{Axis, Experiment, Figure};
 use super::traffic::{Shape, Traffic, HEADROOM};
 use super::world::SECOND;
 use mossrill::decision::Event;
 
-/// Servers of one service: 21,000 over 860.
+/// Number of servers of one service: 21,000 servers over 860 services.
 const SERVERS: u64 = 24;
-/// Seconds played.
+/// Largest number of simulated seconds.
 const SECONDS: u64 = 20;
 
-/// So many modules; a round of timer events, each with the work of a second.
-fn measure(services: u64, times: u64, seed: u64) -> Vec<Figure> {
+/// Measures rounds of timer events, one for each decision module, that do the work of a second.
+/// Also measures the memory that all modules hold.
+fn measure(services: u64, rounds: u64, seed: u64) -> Vec<Figure> {
     let shape = Shape {
         tenants: 1,
         limiters: 2_000,
@@ -23,18 +25,18 @@
         headroom: HEADROOM,
     };
     let traffic = Traffic::new(shape, seed);
-    let make = || -> Vec<Limiter> {
+    let create = || -> Vec<Limiter> {
         (0..services)
             .map(|service| Limiter::new(&traffic, 0, SERVERS, seed + service))
             .collect()
     };
-    let (mut modules, held) = held_bytes(make);
+    let (mut modules, held) = measure_held_bytes(create);
     let mut costs = Costs::default();
-    for _ in 0..times {
-        costs.time(|| {
+    for _ in 0..rounds {
+        costs.measure(|| {
             for module in &mut modules {
                 module.now += SECOND;
-                module.give(Event::TimerExpired { token: 0 });
+                module.handle(Event::TimerExpired { token: 0 });
             }
         });
     }
@@ -43,12 +45,12 @@
     figures
 }
 
-/// Modules against services.
+/// Cost of all decision modules by the number of services.
 pub fn experiments(plan: &Plan) -> Vec<Experiment> {
     let about = format!(
         "trial, not in the program: a module for each service, {SERVERS} servers each; work of a second"
     );
-    vec![Experiment::along(
+    vec![Experiment::run(
         "pools-by-services",
         about,
         Axis::Services,
--- a/benches/capacity/report.rs
+++ b/benches/capacity/report.rs
@@ -1,4 +1,4 @@
-//! Results of experiments: tables for people, one document for programs.
+//! Results of experiments: text tables, and one JSON document.
 
 use super::arguments::Plan;
 use super::fit::Fit;
@@ -14,40 +14,41 @@
     P99,
     /// Longest duration in microseconds.
     Worst,
-    /// Allocations each time.
+    /// Mean number of allocations of one run.
     Allocations,
-    /// Bytes allocated each time.
+    /// Mean number of bytes allocated in one run.
     AllocatedBytes,
     /// Bytes of the heap held.
     HeldBytes,
     /// Length of the message or file in bytes.
     TextBytes,
-    /// Calls of the counter for each request.
+    /// Counter calls per request.
     CallsPerRequest,
-    /// Bytes of one call over HTTP.
+    /// Mean bytes of one counter call as an HTTP request.
     HttpBytesPerCall,
-    /// Bytes of one call of a Redis server.
+    /// Mean bytes of one counter call as Redis commands.
     RedisBytesPerCall,
-    /// Bytes a second that a limiter sends to the counter over HTTP.
+    /// Bytes per second that a limiter sends to an HTTP counter.
     HttpBytesPerSecond,
-    /// Bytes a second that a limiter sends to a Redis server.
+    /// Bytes per second that a limiter sends to a Redis counter.
     RedisBytesPerSecond,
-    /// Share of the requests that were not sent on.
+    /// Fraction of the requests that were not sent to a server.
     NotSent,
-    /// Different tenants that a limiter sees in a second.
+    /// Number of different tenants whose requests a limiter receives in a second.
     TenantsInOneSecond,
-    /// In 5 seconds.
+    /// The same in 5 seconds.
     TenantsInFiveSeconds,
-    /// In a minute, which is how long a limiter remembers a tenant.
+    /// The same in a minute, after which a limiter forgets a tenant.
     TenantsInOneMinute,
-    /// Part of the requests that the largest tenant sends.
+    /// Fraction of the requests that the largest tenant sends.
     LargestTenant,
-    /// Part of the requests whose tenant has under one unit of its burst at each limiter.
-    ThinTraffic,
+    /// Fraction of the requests whose tenant is sparse: its burst has less than one unit for each
+    /// of its limiters.
+    SparseTraffic,
 }
 
 impl Quantity {
-    /// Its name in tables and documents.
+    /// Returns the name in tables and JSON documents.
     pub fn name(self) -> &'static str {
         match self {
             Self::Median => "median_us",
@@ -67,11 +68,11 @@
             Self::TenantsInFiveSeconds => "tenants_in_5s",
             Self::TenantsInOneMinute => "tenants_in_60s",
             Self::LargestTenant => "largest_tenant",
-            Self::ThinTraffic => "thin_traffic",
+            Self::SparseTraffic => "thin_traffic",
         }
     }
 
-    /// The longest of few times follows no law.
+    /// Whether a power law is fitted. The longest of a few durations does not follow one.
     fn is_fitted(self) -> bool {
         !matches!(self, Self::Worst | Self::NotSent)
     }
@@ -93,29 +94,29 @@
     }
 }
 
-/// What varies in an experiment.
+/// The size that varies in an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Axis {
-    /// Upstream servers.
+    /// Number of upstream servers.
     Servers,
-    /// Tenants.
+    /// Number of tenants.
     Tenants,
-    /// Limiters.
+    /// Number of limiters.
     Limiters,
-    /// Limiters of one tenant.
+    /// Number of limiters that the requests of one tenant arrive at.
     Spread,
-    /// Entries of a change.
+    /// Number of entries in a change of the endpoint list.
     Changes,
-    /// Routes.
+    /// Number of routes.
     Routes,
-    /// Accounts of the configuration file.
+    /// Number of accounts in the configuration file.
     Accounts,
-    /// Services.
+    /// Number of services.
     Services,
 }
 
 impl Axis {
-    /// Its name and the size to be carried in two years.
+    /// Returns the name, and the size that the system has to support in two years.
     pub fn target(self) -> (&'static str, f64) {
         match self {
             Self::Servers => ("servers", 21_000.0),
@@ -130,7 +131,7 @@
     }
 }
 
-/// What one size with one seed showed.
+/// Results for one size and one seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// The size.
@@ -141,21 +142,21 @@
     pub figures: Vec<Figure>,
 }
 
-/// A series of measurements along one size.
+/// Measurements for several values of one size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// What was done, and what was held fixed.
+    /// What was measured, and which sizes were fixed.
     pub about: String,
-    /// What varies.
+    /// The size that varies.
     pub axis: Axis,
-    /// What was seen.
+    /// Results for each size and seed.
     pub rows: Vec<Row>,
 }
 
 impl Experiment {
-    /// An experiment without rows.
+    /// Creates an experiment without rows.
     pub fn empty(name: impl Into<String>, about: impl Into<String>, axis: Axis) -> Self {
         Self {
             name: name.into(),
@@ -166,7 +167,7 @@
     }
 
     /// Measures each size with each seed.
-    pub fn along(
+    pub fn run(
         name: impl Into<String>,
         about: impl Into<String>,
         axis: Axis,
@@ -186,7 +187,7 @@
         experiment
     }
 
-    /// Sizes in order.
+    /// Returns the different sizes in ascending order.
     fn sizes(&self) -> Vec<u64> {
         let mut sizes: Vec<u64> = self.rows.iter().map(|row| row.size).collect();
         sizes.sort_unstable();
@@ -194,7 +195,7 @@
         sizes
     }
 
-    /// Quantities in order.
+    /// Returns the different quantities in the order of their declaration.
     fn quantities(&self) -> Vec<Quantity> {
         let all = self.rows.iter().flat_map(|row| &row.figures);
         let mut quantities: Vec<Quantity> = all.map(|figure| figure.quantity).collect();
@@ -203,7 +204,7 @@
         quantities
     }
 
-    /// Size and value of a quantity, a point for each row.
+    /// Returns the size and the value of a quantity for each row that has it.
     fn points(&self, quantity: Quantity) -> Vec<(f64, f64)> {
         let point = |row: &Row| {
             let figure = row
@@ -215,8 +216,8 @@
         self.rows.iter().filter_map(point).collect()
     }
 
-    /// Values of a quantity by size: the middle one of the seeds.
-    fn middle(&self, quantity: Quantity, size: u64) -> Option<f64> {
+    /// Returns the median of a quantity over the seeds, for one size.
+    fn median_of_seeds(&self, quantity: Quantity, size: u64) -> Option<f64> {
         let of_size = self
             .points(quantity)
             .into_iter()
@@ -226,7 +227,7 @@
         values.get(values.len() / 2).copied()
     }
 
-    /// The table of this experiment, with the fitted laws below.
+    /// Returns the table of this experiment, followed by the fitted power laws.
     pub fn table(&self) -> String {
         let (axis, target) = self.axis.target();
         let mut text = format!("{}: {}\n{axis:>22}", self.name, self.about);
@@ -237,7 +238,9 @@
         for quantity in self.quantities() {
             _ = write!(text, "{:>22}", quantity.name());
             for size in self.sizes() {
-                let value = self.middle(quantity, size).map_or("-".into(), rounded);
+                let value = self
+                    .median_of_seeds(quantity, size)
+                    .map_or("-".into(), rounded);
                 _ = write!(text, " {value:>12}");
             }
             text.push('\n');
@@ -247,29 +250,29 @@
             .into_iter()
             .filter(|quantity| quantity.is_fitted())
         {
-            let law = match Fit::new(&self.points(quantity)) {
-                Ok(fit) => law(&fit, axis, target),
+            let fitted = match Fit::new(&self.points(quantity)) {
+                Ok(fit) => fit_text(&fit, axis, target),
                 Err(error) => format!("not fitted: {error}"),
             };
-            _ = writeln!(text, "  {} {law}", quantity.name());
+            _ = writeln!(text, "  {} {fitted}", quantity.name());
         }
         text
     }
 
-    /// This experiment for programs.
-    pub fn value(&self) -> Value {
+    /// Returns this experiment as JSON.
+    pub fn to_json(&self) -> Value {
         let (axis, target) = self.axis.target();
         let mut quantities = serde_json::Map::new();
         for quantity in self.quantities() {
             let by_size: Vec<_> = self
                 .sizes()
                 .into_iter()
-                .map(|size| self.middle(quantity, size))
+                .map(|size| self.median_of_seeds(quantity, size))
                 .collect();
             let mut value = json!({"middle_of_seeds": by_size});
             if quantity.is_fitted() {
                 value["fit"] = match Fit::new(&self.points(quantity)) {
-                    Ok(fit) => fit_value(&fit, target),
+                    Ok(fit) => fit_json(&fit, target),
                     Err(error) => json!({"none": error.to_string()}),
                 };
             }
@@ -286,8 +289,8 @@
     }
 }
 
-/// A law in words.
-fn law(fit: &Fit, axis: &str, target: f64) -> String {
+/// Formats a power law as text, with its value at the target size.
+fn fit_text(fit: &Fit, axis: &str, target: f64) -> String {
     let at = fit.at(target);
     format!(
         "= {} (x/ {:.2}) * {axis}^({:.3} +- {:.3}); at {target}: {} (x/ {:.2}), {:.2} times the largest size",
@@ -301,8 +304,8 @@
     )
 }
 
-/// A law for programs.
-fn fit_value(fit: &Fit, target: f64) -> Value {
+/// Returns a power law as JSON, with its value at the target size.
+fn fit_json(fit: &Fit, target: f64) -> Value {
     let at = fit.at(target);
     json!({
         "constant": fit.constant,
@@ -315,7 +318,7 @@
     })
 }
 
-/// Three or four digits of a value.
+/// Formats a value with fewer decimal places the larger it is.
 fn rounded(value: f64) -> String {
     match value.abs() {
         size if size >= 1_000.0 => format!("{value:.0}"),
@@ -325,7 +328,7 @@
     }
 }
 
-/// One run for programs.
+/// Returns one run as a JSON document.
 pub fn document(plan: &Plan, experiments: &[Experiment]) -> Value {
     json!({
         "seeds": plan.seeds,
@@ -333,6 +336,6 @@
         "seconds": plan.seconds,
         "sampled_limiters": plan.sampled,
         "headroom": plan.headroom,
-        "experiments": experiments.iter().map(Experiment::value).collect::<Vec<_>>(),
+        "experiments": experiments.iter().map(Experiment::to_json).collect::<Vec<_>>(),
     })
 }
--- a/benches/capacity/server_list.rs
+++ b/benches/capacity/server_list.rs
@@ -1,19 +1,20 @@
-//! Whole server lists and changes of them: reading the text, and giving the entries to the decision module.
+//! Cost of full endpoint lists and of changes to them: parsing the JSON, and applying the entries
+//! in the decision module.
 
 use super::arguments::Plan;
 use super::limiter::Limiter;
-use super::measure::{held_bytes, Costs};
+use super::measure::{measure_held_bytes, Costs};
 use super::report::{Axis, Experiment, Figure, Quantity};
 use super::traffic::{Shape, Traffic, HEADROOM};
-use super::world::{list_text, member, members};
+use super::world::{endpoint, endpoint_update_text, endpoints};
 use mossrill::config::{read_endpoint_update, EndpointUpdate};
 use mossrill::decision::{Event, Readiness, UpdateScope};
 use serde_json::Value;
 use std::hint::black_box;
 
-/// Repeats of what takes milliseconds, as a part of the samples asked for.
-const FEWER: u64 = 20;
-/// Limiters and tenants of the fleet, which the list does not depend on.
+/// Divisor of the requested number of samples, as these operations take milliseconds.
+const SAMPLES_DIVISOR: u64 = 20;
+/// Traffic of the fleet; the cost of the list does not depend on it.
 const SHAPE: Shape = Shape {
     tenants: 1,
     limiters: 300,
@@ -22,41 +23,42 @@
     headroom: HEADROOM,
 };
 
+/// Returns how often each operation is measured.
 fn repeats(plan: &Plan) -> u64 {
-    (plan.samples / FEWER).max(3)
+    (plan.samples / SAMPLES_DIVISOR).max(3)
 }
 
-/// Reads a text as the limiter does.
-fn read(text: &str) -> EndpointUpdate {
-    let value: Value = serde_json::from_str(text).expect("the text was written as JSON");
-    read_endpoint_update(&value).expect("the text has every key")
+/// Parses an endpoint update as the limiter does.
+fn parse(text: &str) -> EndpointUpdate {
+    let value: Value = serde_json::from_str(text).expect("the generated endpoint update is JSON");
+    read_endpoint_update(&value).expect("the generated endpoint update has every key")
 }
 
-/// Reading the text of so many entries.
-fn reading(entries: u64, whole: bool, repeats: u64) -> Vec<Figure> {
-    let text = list_text(entries, whole);
+/// Measures the parsing of a full list, or of a change, with this number of entries.
+fn measure_parsing(entries: u64, is_full: bool, repeats: u64) -> Vec<Figure> {
+    let text = endpoint_update_text(entries, is_full);
     let mut costs = Costs::default();
     for _ in 0..repeats {
-        black_box(costs.time(|| read(&text)));
+        black_box(costs.measure(|| parse(&text)));
     }
-    let (_news, held) = held_bytes(|| read(&text));
+    let (_update, held) = measure_held_bytes(|| parse(&text));
     let mut figures = costs.figures();
     figures.push(held);
     figures.push(Figure::new(Quantity::TextBytes, text.len() as f64));
     figures
 }
 
-/// Giving a whole list to a limiter that knows its servers already.
-fn applying_whole(servers: u64, seed: u64, repeats: u64) -> Vec<Figure> {
+/// Measures applying a full list in a limiter that knows the same servers already.
+fn measure_full_list(servers: u64, seed: u64, repeats: u64) -> Vec<Figure> {
     let traffic = Traffic::new(SHAPE, seed);
-    let (mut limiter, held) = held_bytes(|| Limiter::new(&traffic, 0, servers, seed));
+    let (mut limiter, held) = measure_held_bytes(|| Limiter::new(&traffic, 0, servers, seed));
     let mut costs = Costs::default();
     for _ in 0..repeats {
-        let members = members(servers);
-        costs.time(|| {
-            limiter.give(Event::EndpointUpdate {
+        let endpoints = endpoints(servers);
+        costs.measure(|| {
+            limiter.handle(Event::EndpointUpdate {
                 scope: UpdateScope::Snapshot,
-                endpoints: members,
+                endpoints,
             })
         });
     }
@@ -65,8 +67,9 @@
     figures
 }
 
-/// Giving changed entries to a limiter that knows so many servers: drained ones first, then the same as ready.
-fn applying_changes(servers: u64, changes: u64, seed: u64, repeats: u64) -> Vec<Figure> {
+/// Measures applying changes in a limiter that knows this number of servers. The changed servers
+/// are draining in every other change, and ready again in the next one.
+fn measure_changes(servers: u64, changes: u64, seed: u64, repeats: u64) -> Vec<Figure> {
     let traffic = Traffic::new(SHAPE, seed);
     let mut limiter = Limiter::new(&traffic, 0, servers, seed);
     let mut costs = Costs::default();
@@ -76,50 +79,50 @@
         } else {
             Readiness::Ready
         };
-        let members = (0..changes.min(servers))
-            .map(|number| member(number, readiness))
+        let endpoints = (0..changes.min(servers))
+            .map(|number| endpoint(number, readiness))
             .collect();
-        costs.time(|| {
-            limiter.give(Event::EndpointUpdate {
+        costs.measure(|| {
+            limiter.handle(Event::EndpointUpdate {
                 scope: UpdateScope::Delta,
-                endpoints: members,
+                endpoints,
             })
         });
     }
     costs.figures()
 }
 
-/// Lists against servers, changes against their entries.
+/// Cost of full lists by the number of servers, and of changes by the number of entries.
 pub fn experiments(plan: &Plan) -> Vec<Experiment> {
-    let (repeats, most) = (repeats(plan), plan.most_servers());
+    let (repeats, max_servers) = (repeats(plan), plan.max_servers());
     vec![
-        Experiment::along(
+        Experiment::run(
             "list-read",
             "reading the JSON of a whole server list",
             Axis::Servers,
             (&plan.servers, &plan.seeds),
-            |servers, _| reading(servers, true, repeats),
+            |servers, _| measure_parsing(servers, true, repeats),
         ),
-        Experiment::along(
+        Experiment::run(
             "list-apply",
             "giving a whole server list to the decision module; held by the module with its servers",
             Axis::Servers,
             (&plan.servers, &plan.seeds),
-            |servers, seed| applying_whole(servers, seed, repeats),
+            |servers, seed| measure_full_list(servers, seed, repeats),
         ),
-        Experiment::along(
+        Experiment::run(
             "change-read",
             "reading the JSON of changed entries",
             Axis::Changes,
             (&plan.changes, &plan.seeds),
-            |changes, _| reading(changes, false, repeats),
+            |changes, _| measure_parsing(changes, false, repeats),
         ),
-        Experiment::along(
+        Experiment::run(
             "change-apply",
-            format!("giving changed entries to the decision module, which knows {most} servers"),
+            format!("giving changed entries to the decision module, which knows {max_servers} servers"),
             Axis::Changes,
             (&plan.changes, &plan.seeds),
-            |changes, seed| applying_changes(most, changes, seed, repeats),
+            |changes, seed| measure_changes(max_servers, changes, seed, repeats),
         ),
     ]
 }
--- a/benches/capacity/shared_counter.rs
+++ b/benches/capacity/shared_counter.rs
@@ -1,8 +1,9 @@
-//! A stand-in for the quota counter, which answers for the limiters that are not simulated too.
+//! Simulated quota counter, which also counts the units of the limiters that are not simulated.
 //!
-//! What those add to a tenant's count is a model. Of a tenant with less than one unit of its burst at each limiter every
-//! request claims its unit, at random times, and a count that shows more than two bursts left is put right as
-//! `Customer::claim` does it. Of any other tenant the units come in evenly.
+//! A model adds the units of those limiters to the totals. For a sparse account, whose burst has
+//! less than one unit for each of its limiters, every request claims one unit at a random time, and
+//! a total that implies more than two bursts left is corrected as in `Account::correct_counter` of
+//! the decision module. For any other account the units are added evenly over time.
 
 use super::traffic::Traffic;
 use super::world::SECOND;
@@ -13,77 +14,79 @@
 use rand_distr::{Distribution, Exp};
 use std::collections::HashMap;
 
-/// The count of one tenant in one window.
+/// The total of one tenant in one counter window.
 struct Count {
     tenant: usize,
     window_start: Micros,
     total: f64,
-    /// What the others added is in the total up to this time.
-    up_to: Micros,
+    /// Time up to which the total includes the units of the limiters that are not simulated.
+    modelled_until: Micros,
 }
 
-/// The counter.
+/// The simulated counter.
 pub struct SharedCounter<'a> {
     traffic: &'a Traffic,
-    /// Requests a second of each tenant that come through limiters which are not simulated.
-    others: Vec<f64>,
+    /// Requests per second of each tenant at the limiters that are not simulated.
+    other_rates: Vec<f64>,
+    /// Totals by counter key.
     counts: HashMap<u64, Count>,
     rng: StdRng,
 }
 
 impl<'a> SharedCounter<'a> {
-    /// A counter for these simulated limiters and all the others.
+    /// Creates the counter of a fleet in which these limiters are simulated.
     pub fn new(traffic: &'a Traffic, simulated: &[u32], seed: u64) -> Self {
-        let others = traffic.tenants.iter().map(|tenant| {
-            let own = simulated
+        let other_rates = traffic.tenants.iter().map(|tenant| {
+            let simulated_count = simulated
                 .iter()
-                .filter(|limiter| traffic.comes_through(tenant, **limiter))
+                .filter(|limiter| traffic.uses_limiter(tenant, **limiter))
                 .count();
-            tenant.rate * (1.0 - own as f64 / f64::from(tenant.spread))
+            tenant.rate * (1.0 - simulated_count as f64 / f64::from(tenant.spread))
         });
         let rng = StdRng::seed_from_u64(seed);
         Self {
             traffic,
-            others: others.collect(),
+            other_rates: other_rates.collect(),
             counts: HashMap::new(),
             rng,
         }
     }
 
-    /// Makes the names known under which a tenant may be counted now and soon.
-    pub fn expect(&mut self, now: Micros, tenant: usize) {
-        let length = counter_window(&self.traffic.plans[self.traffic.tenants[tenant].plan]);
-        for number in [now / length, now / length + 1] {
-            let name = counter_key(&self.traffic.tenants[tenant].customer, number);
-            let window_start = number * length;
+    /// Creates the totals of a tenant for the current and the next counter window, if they don't
+    /// exist.
+    pub fn register_keys(&mut self, now: Micros, tenant: usize) {
+        let window_length = counter_window(&self.traffic.plans[self.traffic.tenants[tenant].plan]);
+        for window in [now / window_length, now / window_length + 1] {
+            let key = counter_key(&self.traffic.tenants[tenant].account, window);
+            let window_start = window * window_length;
             let fresh = Count {
                 tenant,
                 window_start,
                 total: 0.0,
-                up_to: window_start,
+                modelled_until: window_start,
             };
-            self.counts.entry(name).or_insert(fresh);
+            self.counts.entry(key).or_insert(fresh);
         }
     }
 
-    /// Adds to a count and tells its total; none for a name that nobody expects.
-    pub fn add(&mut self, now: Micros, name: u64, by: f64) -> Option<f64> {
-        let count = self.counts.get_mut(&name)?;
+    /// Adds units to a total and returns it; `None` for a key that is not registered.
+    pub fn add(&mut self, now: Micros, key: u64, amount: f64) -> Option<f64> {
+        let count = self.counts.get_mut(&key)?;
         let tenant = &self.traffic.tenants[count.tenant];
-        let rate = self.others[count.tenant];
-        if self.traffic.is_thin(tenant) {
+        let rate = self.other_rates[count.tenant];
+        if self.traffic.is_sparse(tenant) {
             let plan = &self.traffic.plans[tenant.plan];
             add_claims(count, now, rate, (plan.rate, plan.burst), &mut self.rng);
         } else {
-            count.total += rate * now.saturating_sub(count.up_to) as f64 / SECOND as f64;
+            count.total += rate * now.saturating_sub(count.modelled_until) as f64 / SECOND as f64;
         }
-        count.up_to = now.max(count.up_to);
-        count.total += by;
+        count.modelled_until = now.max(count.modelled_until);
+        count.total += amount;
         Some(count.total)
     }
 }
 
-/// Adds the claims of other limiters up to now, one unit each.
+/// Adds the claims of the limiters that are not simulated, one unit each, up to `now`.
 fn add_claims(
     count: &mut Count,
     now: Micros,
@@ -96,7 +99,7 @@
         return;
     }
     let seconds = |time: Micros| time.saturating_sub(count.window_start) as f64 / SECOND as f64;
-    let (end, mut at) = (seconds(now), seconds(count.up_to));
+    let (end, mut at) = (seconds(now), seconds(count.modelled_until));
     loop {
         at += gaps.sample(rng);
         if at > end {
--- a/benches/capacity/timers.rs
+++ b/benches/capacity/timers.rs
@@ -1,26 +1,28 @@
-//! Timer events of the decision module: the usual ones, and those that do the work of each second.
+//! Cost of timer events in the decision module: the frequent ones, and those that also do the work
+//! of each second.
 
 use super::arguments::Plan;
 use super::decisions::warm_up;
-use super::limiter::{counted, Limiter};
-use super::measure::{freed_bytes, Costs};
+use super::limiter::{counter_reply, Limiter};
+use super::measure::{measure_freed_bytes, Costs};
 use super::report::{Axis, Experiment, Figure};
 use super::shared_counter::SharedCounter;
 use super::traffic::{Shape, Traffic, HEADROOM};
 use super::world::SECOND;
 use mossrill::decision::{Action, Event, Micros};
 
-/// Sizes that are held while another one varies.
-const SERVERS_HELD: u64 = 24;
-const TENANTS_HELD: u64 = 100;
+/// Sizes that stay fixed while another one varies.
+const FIXED_SERVERS: u64 = 24;
+const FIXED_TENANTS: u64 = 100;
 const LIMITERS: u64 = 300;
-/// Time between two usual timer events: 1/64 of the shortest aim.
-const STEP: Micros = 7_812;
-/// Seconds played at the most: a limiter forgets a tenant after 60.
-const SECONDS: u64 = 40;
+/// Time between two frequent timer events: 1/64 of the shortest latency objective.
+const TIMER_INTERVAL: Micros = 7_812;
+/// Largest number of simulated seconds: a limiter forgets a tenant after 60.
+const MAX_SECONDS: u64 = 40;
 
-/// Timer events, each so long after the last one.
-fn measure((servers, tenants): (u64, u64), every: Micros, times: u64, seed: u64) -> Vec<Figure> {
+/// Measures this number of timer events with this interval between them, and the memory that the
+/// limiter holds at the end.
+fn measure((servers, tenants): (u64, u64), interval: Micros, count: u64, seed: u64) -> Vec<Figure> {
     let shape = Shape {
         tenants,
         limiters: LIMITERS,
@@ -32,31 +34,26 @@
     let mut counter = SharedCounter::new(&traffic, &[0], seed);
     let mut limiter = Limiter::new(&traffic, 0, servers, seed);
     warm_up(&mut limiter, &traffic, &mut counter);
-    // The work of the second in which the tenants were made known is not of interest.
+    // The first work of a second after the warm-up is not measured.
     limiter.now += SECOND;
-    limiter.give(Event::TimerExpired { token: 0 });
+    limiter.handle(Event::TimerExpired { token: 0 });
     let mut costs = Costs::default();
-    for _ in 0..times {
-        limiter.now += every;
-        let actions = costs.time(|| limiter.give(Event::TimerExpired { token: 0 }));
+    for _ in 0..count {
+        limiter.now += interval;
+        let actions = costs.measure(|| limiter.handle(Event::TimerExpired { token: 0 }));
         for action in actions {
-            if let Action::AddToCounter {
-                key: name,
-                amount: by,
-                ..
-            } = action
-            {
-                let total = counter.add(limiter.now, name, by);
-                limiter.give(counted(name, total));
+            if let Action::AddToCounter { key, amount, .. } = action {
+                let total = counter.add(limiter.now, key, amount);
+                limiter.handle(counter_reply(key, total));
             }
         }
     }
     let mut figures = costs.figures();
-    figures.push(freed_bytes(limiter));
+    figures.push(measure_freed_bytes(limiter));
     figures
 }
 
-/// Timer events against servers and tenants.
+/// Cost of timer events by servers and by tenants.
 pub fn experiments(plan: &Plan) -> Vec<Experiment> {
     let mut experiments = Vec::new();
     let kinds = [
@@ -64,29 +61,29 @@
             "second",
             "the work of each second",
             SECOND,
-            SECONDS.min(plan.samples),
+            MAX_SECONDS.min(plan.samples),
         ),
         (
             "timer",
             "a timer event between two seconds",
-            STEP,
-            plan.samples.min(SECOND / STEP),
+            TIMER_INTERVAL,
+            plan.samples.min(SECOND / TIMER_INTERVAL),
         ),
     ];
-    for (name, about, every, times) in kinds {
-        experiments.push(Experiment::along(
+    for (name, about, interval, count) in kinds {
+        experiments.push(Experiment::run(
             format!("{name}-by-servers"),
-            format!("{about}; {TENANTS_HELD} tenants known, no request open"),
+            format!("{about}; {FIXED_TENANTS} tenants known, no request open"),
             Axis::Servers,
             (&plan.servers, &plan.seeds),
-            |servers, seed| measure((servers, TENANTS_HELD), every, times, seed),
+            |servers, seed| measure((servers, FIXED_TENANTS), interval, count, seed),
         ));
-        experiments.push(Experiment::along(
+        experiments.push(Experiment::run(
             format!("{name}-by-tenants"),
-            format!("{about}; {SERVERS_HELD} servers, all tenants known, no request open"),
+            format!("{about}; {FIXED_SERVERS} servers, all tenants known, no request open"),
             Axis::Tenants,
             (&plan.tenants, &plan.seeds),
-            |tenants, seed| measure((SERVERS_HELD, tenants), every, times, seed),
+            |tenants, seed| measure((FIXED_SERVERS, tenants), interval, count, seed),
         ));
     }
     experiments
--- a/benches/capacity/world.rs
+++ b/benches/capacity/world.rs
@@ -1,28 +1,29 @@
-//! Settings, servers and texts of a made-up fleet.
+//! Settings, endpoint lists and configuration files of a simulated fleet.
 
 use mossrill::decision::{
     Endpoint, Idempotency, Limits, Micros, Plan, Readiness, RequestClass, Safety, Settings,
 };
 use serde_json::{json, Value};
 
-/// One second in microseconds.
+/// Microseconds of a second.
 pub const SECOND: Micros = 1_000_000;
-/// When every simulation begins.
+/// Time at which every simulation starts.
 pub const START: Micros = 1_764_633_600 * SECOND;
-/// Zones of the target, over all regions.
+/// Number of zones at the target size, over all regions.
 pub const ZONES: u64 = 13;
-/// Services of the target.
+/// Number of services at the target size.
 pub const SERVICES: u64 = 860;
-/// Servers of a cell.
-const CELL: u64 = 24;
-/// An answer within this time is in time; a client gives up after the second.
-const AIM: Micros = 500_000;
+/// Number of servers in a cell.
+const SERVERS_PER_CELL: u64 = 24;
+/// Latency objective of the request class.
+const LATENCY_OBJECTIVE: Micros = 500_000;
+/// Time after which a client gives up.
 const DEADLINE: Micros = 2_000_000;
 
-/// What a limiter is told at its start.
-pub fn settings(me: u32, limiters: u32, plans: Vec<Plan>) -> Settings {
+/// Returns the settings of a limiter.
+pub fn settings(limiter: u32, limiters: u32, plans: Vec<Plan>) -> Settings {
     let class = RequestClass {
-        latency_objective: AIM,
+        latency_objective: LATENCY_OBJECTIVE,
         deadline: DEADLINE,
         idempotency: Idempotency::Idempotent,
         idempotency_window: 0,
@@ -30,7 +31,7 @@
         late_weight: 0.0,
     };
     Settings {
-        limiter: me,
+        limiter,
         limiters,
         zone: zone(0),
         tick: 1_000,
@@ -56,6 +57,7 @@
     }
 }
 
+/// Returns the zone of a server.
 fn zone(number: u64) -> String {
     format!("zone-{:02}", number % ZONES)
 }
@@ -65,49 +67,50 @@
     format!("s-{mixed:08x}")
 }
 
-/// An entry of the server list.
-pub fn member(number: u64, readiness: Readiness) -> Endpoint {
+/// Returns an entry of the endpoint list, as the decision module receives it.
+pub fn endpoint(number: u64, readiness: Readiness) -> Endpoint {
     Endpoint {
         id: server_name(number).as_str().into(),
         zone: zone(number),
-        cell: number / CELL,
+        cell: number / SERVERS_PER_CELL,
         readiness,
         weight: 1.0,
         started_at: 0,
     }
 }
 
-/// The whole server list as the decision module takes it.
-pub fn members(servers: u64) -> Vec<Endpoint> {
+/// Returns the full endpoint list, as the decision module receives it.
+pub fn endpoints(servers: u64) -> Vec<Endpoint> {
     (0..servers)
-        .map(|number| member(number, Readiness::Ready))
+        .map(|number| endpoint(number, Readiness::Ready))
         .collect()
 }
 
-/// An entry of the server list as service discovery sends it.
-fn entry(number: u64, lifecycle: &str) -> Value {
+/// Returns an entry of the endpoint list, as service discovery sends it.
+fn endpoint_json(number: u64, lifecycle: &str) -> Value {
     json!({
         "instanceId": server_name(number),
         "hostPort": format!("10.{}.{}.{}:6379", number >> 16, (number >> 8) & 0xff, number & 0xff),
         "zone": zone(number),
         "machineType": "m2",
-        "cell": number / CELL,
+        "cell": number / SERVERS_PER_CELL,
         "lifecycle": lifecycle,
         "weight": 1.0,
         "startedAtMs": START / 1_000 + number,
     })
 }
 
-/// News of the server list as service discovery sends it: the first so many servers.
-pub fn list_text(servers: u64, whole: bool) -> String {
-    let lifecycle = if whole { "in_service" } else { "terminating" };
+/// Returns the JSON that service discovery sends: a full list, or a change in which this number of
+/// servers is terminating.
+pub fn endpoint_update_text(servers: u64, is_full: bool) -> String {
+    let lifecycle = if is_full { "in_service" } else { "terminating" };
     let entries: Vec<Value> = (0..servers)
-        .map(|number| entry(number, lifecycle))
+        .map(|number| endpoint_json(number, lifecycle))
         .collect();
-    json!({"generation": 41, "reset": whole, "instances": entries}).to_string()
+    json!({"generation": 41, "reset": is_full, "instances": entries}).to_string()
 }
 
-/// The path of a route.
+/// Returns the path of a route.
 pub fn route_path(number: u64) -> String {
     format!(
         "/service-{:03}/collection-{number}/{{item}}",
@@ -115,7 +118,7 @@
     )
 }
 
-/// An OpenAPI description with so many routes, an operation each.
+/// Returns an OpenAPI description with this number of routes, each with one operation.
 pub fn description_text(routes: u64) -> String {
     let mut paths = serde_json::Map::new();
     for number in 0..routes {
@@ -142,10 +145,10 @@
     .to_string()
 }
 
-/// A configuration file of the OpenAPI front with so many accounts.
+/// Returns a configuration file of the OpenAPI front with this number of accounts.
 pub fn configuration_text(accounts: u64, limiters: u64) -> String {
     let account = |number: u64| json!({"name": format!("tenant-{number:06}"), "plan": "basic", "spread": limiters, "first": 0});
-    let node =
+    let server =
         |number: u64| json!({"name": server_name(number), "address": "127.0.0.1:9001", "cell": 0});
     json!({
         "name": "capacity",
@@ -154,7 +157,7 @@
         "limiters": {"me": 0, "all": limiters},
         "plans": [{"name": "basic", "rate": 4, "burst": 8}],
         "accounts": (0..accounts).map(account).collect::<Vec<_>>(),
-        "ticket_nodes": [node(0)],
+        "ticket_nodes": [server(0)],
         "store": {"kind": "none"},
     })
     .to_string()
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -5,7 +5,7 @@
 mod capacity;
 
 use capacity::arguments::{Arguments, Group, Plan};
-use capacity::counter::{simulate, Sent};
+use capacity::counter::{simulate, CounterTraffic};
 use capacity::fit::{Fit, FitError};
 use capacity::page::run::Run;
 use capacity::page::{marked, table, tables, target::Unit, Amount, Line};
@@ -136,14 +136,14 @@
     assert_ne!(first, other);
     // 130 requests a second at each of three limiters: 780 in 2 s, give or take five standard deviations.
     assert!((640..920).contains(&first.requests), "{first:?}");
-    let Sent {
-        sent_on,
+    let CounterTraffic {
+        forwarded,
         calls,
         http_bytes,
         redis_bytes,
         ..
     } = first;
-    assert!(sent_on > first.requests / 2 && calls > 0, "{first:?}");
+    assert!(forwarded > first.requests / 2 && calls > 0, "{first:?}");
     // The shortest calls that can be worded.
     assert!(
         http_bytes > 80 * calls && redis_bytes > 120 * calls,
