--- a/benches/capacity/counter.rs
+++ b/benches/capacity/counter.rs
@@ -43,7 +43,7 @@
     pub redis_bytes: u64,
 }
 
-/// Something that event at one limiter.
+/// Something that happens at one limiter.
 enum SimulationEvent {
     /// A request arrives.
     Arrival,
--- a/benches/capacity/fit.rs
+++ b/benches/capacity/fit.rs
@@ -28,9 +28,9 @@
     /// The value at size 1.
     pub constant: f64,
     /// Standard error of the constant as a factor: the range is from the constant divided by it
-    /// formatter the constant times it.
+    /// to the constant times it.
     pub constant_error: f64,
-    /// Exponent of the size; at 1 the value is proportional formatter the size.
+    /// Exponent of the size; at 1 the value is proportional to the size.
     pub exponent: f64,
     /// Standard error of the exponent.
     pub exponent_error: f64,
@@ -49,15 +49,15 @@
 pub struct Estimate {
     /// The value.
     pub value: f64,
-    /// Its standard error as a factor: the range is from the value divided by it formatter the
+    /// Its standard error as a factor: the range is from the value divided by it to the
     /// value times it.
     pub error: f64,
-    /// Ratio of the size formatter the largest measured one; 1 or less if nothing is extrapolated.
+    /// Ratio of the size to the largest measured one; 1 or less if nothing is extrapolated.
     pub extrapolation: f64,
 }
 
 impl Fit {
-    /// Fits a power law formatter points of a size and a value.
+    /// Fits a power law to points of a size and a value.
     pub fn new(points: &[(f64, f64)]) -> Result<Self, FitError> {
         let mut logs = Vec::with_capacity(points.len());
         for (size, value) in points {
--- a/benches/capacity/page/alternatives.rs
+++ b/benches/capacity/page/alternatives.rs
@@ -11,7 +11,6 @@
 use super::{two_digits, Amount, Line};
 use std::fmt::Write;
 
-/// Microseconds of a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Exponents of the Zipf distribution, as in the names of the experiments.
 const SKEWS: [&str; 3] = ["0.8", "1", "1.2"];
--- a/benches/capacity/page/events.rs
+++ b/benches/capacity/page/events.rs
@@ -9,7 +9,6 @@
 };
 use super::{Amount, Line};
 
-/// Microseconds of a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Number of limiters in half a zone.
 const HALF_ZONE_LIMITERS: f64 = ZONE_LIMITERS / 2.0;
--- a/benches/capacity/page/run.rs
+++ b/benches/capacity/page/run.rs
@@ -37,7 +37,7 @@
     pub value: f64,
     /// Exponent of the fitted power law and its standard error.
     exponent: Option<(f64, f64)>,
-    /// Ratio of the size formatter the largest measured one.
+    /// Ratio of the size to the largest measured one.
     pub extrapolation: f64,
 }
 
--- a/benches/capacity/page/steady.rs
+++ b/benches/capacity/page/steady.rs
@@ -12,7 +12,6 @@
 
 /// Timer events per second: 64 in the shortest latency objective of half a second.
 const TIMERS_PER_SECOND: f64 = 128.0;
-/// Microseconds of a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Lines of the limiter's own work.
--- a/benches/capacity/report.rs
+++ b/benches/capacity/report.rs
@@ -88,7 +88,7 @@
 }
 
 impl Figure {
-    /// A measured value.
+    /// Creates a measured value.
     pub fn new(quantity: Quantity, value: f64) -> Self {
         Self { quantity, value }
     }
--- a/benches/capacity/shared_counter.rs
+++ b/benches/capacity/shared_counter.rs
@@ -59,13 +59,13 @@
         for window in [now / window_length, now / window_length + 1] {
             let key = counter_key(&self.traffic.tenants[tenant].account, window);
             let window_start = window * window_length;
-            let fresh = Count {
+            let new_count = Count {
                 tenant,
                 window_start,
                 total: 0.0,
                 modelled_until: window_start,
             };
-            self.counts.entry(key).or_insert(fresh);
+            self.counts.entry(key).or_insert(new_count);
         }
     }
 
--- a/benches/capacity/timers.rs
+++ b/benches/capacity/timers.rs
@@ -34,7 +34,7 @@
     let mut counter = SharedCounter::new(&traffic, &[0], seed);
     let mut limiter = Limiter::new(&traffic, 0, servers, seed);
     warm_up(&mut limiter, &traffic, &mut counter);
-    // The first work of a second after the warm-up is not measured.
+    // Do the work of the second in which the limiter learned the tenants, which is not measured.
     limiter.now += SECOND;
     limiter.handle(Event::TimerExpired { token: 0 });
     let mut costs = Costs::default();
--- a/benches/quotas/fleet.rs
+++ b/benches/quotas/fleet.rs
@@ -272,7 +272,7 @@
         fleet
     }
 
-    /// Returns the decision module of a limiter that has been restarted so many times.
+    /// Returns the decision module of a limiter that has been restarted this number of times.
     fn engine(&self, limiter: usize, restarts: u32) -> Engine {
         Engine::new(
             Settings {
@@ -319,12 +319,12 @@
     pub fn run(&mut self) {
         let started_at = self.now;
         let elapsed = |now: Micros| (now - started_at) as f64 / SECOND;
-        for number in 0..self.accounts.len() {
-            let starts = match self.accounts[number].profile {
-                UsageProfile::Once => self.accounts[number].ends - 0.5,
+        for account_index in 0..self.accounts.len() {
+            let starts = match self.accounts[account_index].profile {
+                UsageProfile::Once => self.accounts[account_index].ends - 0.5,
                 _ => 0.0,
             };
-            let account = &mut self.accounts[number];
+            let account = &mut self.accounts[account_index];
             _ = account.refill(self.now, &self.settings.plans[account.plan]);
             let gap = account.next_gap(
                 starts,
@@ -333,7 +333,7 @@
             );
             self.schedule(
                 (starts + gap) * SECOND,
-                SimulationEvent::FirstRequest(number),
+                SimulationEvent::FirstRequest(account_index),
             );
         }
         match self.setup.disturbance {
@@ -348,14 +348,14 @@
             }
             _ => {}
         }
-        while let Some(Reverse((now, number))) = self.event_queue.pop() {
+        while let Some(Reverse((now, sequence))) = self.event_queue.pop() {
             self.now = now;
             if elapsed(now) > self.setup.seconds + 3.0 {
                 break;
             }
-            match self.events.remove(&number) {
-                Some(SimulationEvent::FirstRequest(number)) => {
-                    self.first_request(number, elapsed(now))
+            match self.events.remove(&sequence) {
+                Some(SimulationEvent::FirstRequest(account_index)) => {
+                    self.first_request(account_index, elapsed(now))
                 }
                 Some(SimulationEvent::Retry(retry)) => self.arrive(retry),
                 Some(SimulationEvent::Timer { limiter, restarts })
@@ -363,7 +363,7 @@
                 {
                     self.handle(limiter, Event::TimerExpired { token: 0 })
                 }
-                Some(SimulationEvent::AttemptEnd(number)) => self.end_attempt(number),
+                Some(SimulationEvent::AttemptEnd(request_index)) => self.end_attempt(request_index),
                 Some(SimulationEvent::CallEnd {
                     limiter,
                     restarts,
@@ -380,8 +380,8 @@
     }
 
     /// Sends a new request of an account, and schedules the next one.
-    fn first_request(&mut self, number: usize, elapsed: f64) {
-        let (account, plans) = (&mut self.accounts[number], &self.settings.plans);
+    fn first_request(&mut self, account_index: usize, elapsed: f64) {
+        let (account, plans) = (&mut self.accounts[account_index], &self.settings.plans);
         if elapsed > self.setup.seconds.min(account.ends) {
             return;
         }
@@ -392,10 +392,10 @@
         let retries_left = self.client_rng.random_range(2..=3);
         let (gives_up_at, arrived_at) = (self.now + patience as Micros, self.now);
         self.results.record_request(account, units);
-        self.schedule(gap * SECOND, SimulationEvent::FirstRequest(number));
+        self.schedule(gap * SECOND, SimulationEvent::FirstRequest(account_index));
         let (limiter, is_retry, open_attempt) = (0, false, None);
         self.arrive(ClientRequest {
-            account: number,
+            account: account_index,
             limiter,
             units,
             class,
@@ -451,11 +451,11 @@
                 engine.on_event(self.now + *skew, event, &mut actions);
             }
             (rule, Event::Request(request)) => {
-                let number: usize = request.id.0.parse().unwrap_or(0);
+                let request_index: usize = request.id.0.parse().unwrap_or(0);
                 let sends = if rule == DecisionRule::Part {
-                    self.admit_by_share(number)
+                    self.admit_by_share(request_index)
                 } else {
-                    self.admit_exactly(number)
+                    self.admit_exactly(request_index)
                 };
                 let (id, server, timeout, by) = (request.id, ServerId::from("s0"), 0, Micros::MAX);
                 actions.push(match sends {
@@ -492,10 +492,10 @@
     }
 
     /// Whether the exact state of the quota allows the request.
-    fn admit_exactly(&mut self, number: usize) -> bool {
+    fn admit_exactly(&mut self, request_index: usize) -> bool {
         let (account, units) = (
-            &mut self.accounts[self.requests[number].account],
-            self.requests[number].units,
+            &mut self.accounts[self.requests[request_index].account],
+            self.requests[request_index].units,
         );
         let plan = &self.settings.plans[account.plan];
         account.refill(self.now, plan) >= units
@@ -504,13 +504,13 @@
 
     /// Whether the limiter's fixed share of the quota allows the request. Takes its units from the
     /// share's bucket.
-    fn admit_by_share(&mut self, number: usize) -> bool {
+    fn admit_by_share(&mut self, request_index: usize) -> bool {
         let ClientRequest {
             account,
             limiter,
             units,
             ..
-        } = self.requests[number];
+        } = self.requests[request_index];
         let (history, account) = (
             self.histories.entry((limiter, account)).or_default(),
             &self.accounts[account],
@@ -529,7 +529,7 @@
     }
 
     /// Sends a request upstream, and records whether and why it was beyond the quota.
-    fn send(&mut self, number: usize, server: ServerId) {
+    fn send(&mut self, request_index: usize, server: ServerId) {
         let now = self.now;
         let ClientRequest {
             account,
@@ -538,14 +538,14 @@
             arrived_at,
             is_retry,
             ..
-        } = self.requests[number];
+        } = self.requests[request_index];
         let plan = &self.settings.plans[self.accounts[account].plan];
         let lacking = units - self.accounts[account].refill(now, plan).max(0.0);
         let check = self.accounts[account].record_send(now, units, plan);
         let cause = match check {
             QuotaCheck::Within => None,
             QuotaCheck::OverConcurrency => Some(Cause::ConcurrencyCap),
-            QuotaCheck::OverRate => Some(self.cause(number, lacking)),
+            QuotaCheck::OverRate => Some(self.cause(request_index, lacking)),
         };
         self.results.record_send(
             &self.accounts[account],
@@ -565,20 +565,20 @@
             .record_knowledge(knowledge, units, check != QuotaCheck::Within);
         (history.units_sent, history.open_attempts) =
             (history.units_sent + units, history.open_attempts + 1);
-        self.requests[number].open_attempt = Some((now, server));
+        self.requests[request_index].open_attempt = Some((now, server));
         let latency = Exp::new(1.0 / 150_000.0).map_or(150_000.0, |e| e.sample(&mut self.rng));
-        self.schedule(latency, SimulationEvent::AttemptEnd(number));
+        self.schedule(latency, SimulationEvent::AttemptEnd(request_index));
     }
 
     /// Returns why a request was sent beyond the rate of its quota, when the bucket lacked this
     /// many units.
-    fn cause(&self, number: usize, lacking: f64) -> Cause {
+    fn cause(&self, request_index: usize, lacking: f64) -> Cause {
         let ClientRequest {
             account,
             limiter,
             arrived_at,
             ..
-        } = self.requests[number];
+        } = self.requests[request_index];
         let own = self
             .histories
             .get(&(limiter, account))
@@ -610,7 +610,7 @@
     }
 
     /// Rejects a request, which its client may retry.
-    fn reject(&mut self, number: usize, retry_after: Micros) {
+    fn reject(&mut self, request_index: usize, retry_after: Micros) {
         let ClientRequest {
             account,
             limiter,
@@ -619,12 +619,12 @@
             gives_up_at,
             retries_left,
             ..
-        } = self.requests[number];
-        let held = &mut self.accounts[account];
-        let plan = &self.settings.plans[held.plan];
-        let has_room = held.refill(self.now, plan) >= units
-            && (plan.max_concurrent == 0 || held.open_attempts < plan.max_concurrent);
-        let is_half_full = held.refill(self.now, plan) >= plan.burst / 2.0;
+        } = self.requests[request_index];
+        let account_state = &mut self.accounts[account];
+        let plan = &self.settings.plans[account_state.plan];
+        let has_room = account_state.refill(self.now, plan) >= units
+            && (plan.max_concurrent == 0 || account_state.open_attempts < plan.max_concurrent);
+        let is_half_full = account_state.refill(self.now, plan) >= plan.burst / 2.0;
         // Half of the clients honour `retry_after`; the others retry at once or after a short wait.
         let wait = match self.rng.random_range(0..10) {
             0..=4 => retry_after as f64,
@@ -633,7 +633,7 @@
         };
         let is_retried = retries_left > 0 && self.now + (wait as Micros) < gives_up_at;
         self.results
-            .record_refusal(held, units, has_room, is_half_full, is_retried);
+            .record_refusal(account_state, units, has_room, is_half_full, is_retried);
         if is_retried {
             let (arrived_at, is_retry, open_attempt) = (self.now, true, None);
             let retry = ClientRequest {
@@ -652,18 +652,18 @@
     }
 
     /// Ends the attempt of a request, unless a restart has cut it off.
-    fn end_attempt(&mut self, number: usize) {
+    fn end_attempt(&mut self, request_index: usize) {
         let ClientRequest {
             account, limiter, ..
-        } = self.requests[number];
-        let Some((sent_at, server)) = self.requests[number].open_attempt.take() else {
+        } = self.requests[request_index];
+        let Some((sent_at, server)) = self.requests[request_index].open_attempt.take() else {
             return;
         };
         self.accounts[account].open_attempts -= 1;
         if let Some(history) = self.histories.get_mut(&(limiter, account)) {
             history.open_attempts = history.open_attempts.saturating_sub(1);
         }
-        let id = RequestId::from(&*number.to_string());
+        let id = RequestId::from(&*request_index.to_string());
         let (latency, load) = (self.now - sent_at, Vec::new());
         let result = AttemptResult {
             id,
@@ -713,19 +713,19 @@
         if self.limiters[limiter].1 != restarts {
             return;
         }
-        if let Some(number) = self.account_of_key(limiter, key) {
-            let count = self.accounts[number].limiter_count;
-            let first = self.accounts[number].first_limiter;
+        if let Some(account_index) = self.account_of_key(limiter, key) {
+            let count = self.accounts[account_index].limiter_count;
+            let first = self.accounts[account_index].first_limiter;
             let others = (0..count)
                 .map(|place| (first + place) % self.setup.limiters)
                 .filter(|other| *other != limiter);
             let reported_elsewhere = others
-                .filter_map(|other| self.histories.get(&(other, number)))
+                .filter_map(|other| self.histories.get(&(other, account_index)))
                 .map(|history| history.units_reported)
                 .sum();
             let window =
-                self.now / counter_window(&self.settings.plans[self.accounts[number].plan]);
-            let history = self.histories.entry((limiter, number)).or_default();
+                self.now / counter_window(&self.settings.plans[self.accounts[account_index].plan]);
+            let history = self.histories.entry((limiter, account_index)).or_default();
             match outcome {
                 Outcome::Ok => {
                     (
@@ -753,12 +753,12 @@
     fn account_of_key(&mut self, limiter: usize, key: u64) -> Option<usize> {
         if !self.account_by_key.contains_key(&key) {
             let now = self.now + self.limiters[limiter].2;
-            for (number, account) in self.accounts.iter().enumerate() {
-                let id = AccountId::from(&*format!("{number:016x}"));
+            for (account_index, account) in self.accounts.iter().enumerate() {
+                let id = AccountId::from(&*format!("{account_index:016x}"));
                 let window = now / counter_window(&self.settings.plans[account.plan]);
                 self.account_by_key.extend(
                     [window - 1, window, window + 1]
-                        .map(|window| (counter_key(&id, window), number)),
+                        .map(|window| (counter_key(&id, window), account_index)),
                 );
             }
         }
@@ -778,11 +778,11 @@
             {
                 (history.answered_at, history.units_reported) = (None, history.units_sent);
             }
-            for number in 0..self.requests.len() {
-                if self.requests[number].limiter == limiter
-                    && self.requests[number].open_attempt.take().is_some()
+            for request_index in 0..self.requests.len() {
+                if self.requests[request_index].limiter == limiter
+                    && self.requests[request_index].open_attempt.take().is_some()
                 {
-                    self.accounts[self.requests[number].account].open_attempts -= 1;
+                    self.accounts[self.requests[request_index].account].open_attempts -= 1;
                 }
             }
             self.start(limiter);
