--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -6,7 +6,7 @@
 mod capacity;
 
 use capacity::arguments::{Arguments, Group, Plan};
-use capacity::counter::{simulate, Sent};
+use capacity::counter::{simulate, CounterTraffic};
 use capacity::fit::{Fit, FitError};
 use capacity::page::run::Run;
 use capacity::page::{marked, table, tables, target::Unit, Amount, Line};
@@ -148,15 +148,15 @@
         (640..920).contains(&first.requests),
         "expected 640..920 requests, got {first:?}"
     );
-    let Sent {
-        sent_on,
+    let CounterTraffic {
+        forwarded,
         calls,
         http_bytes,
         redis_bytes,
         ..
     } = first;
     assert!(
-        sent_on > first.requests / 2 && calls > 0,
+        forwarded > first.requests / 2 && calls > 0,
         "expected calls, and more than half of the requests forwarded, got {first:?}"
     );
     // Lower bounds: the bytes of the shortest possible call of each protocol.
