--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 
-use peers::{quiet_list, quota_counter, settings};
+use peers::{quota_counter, settings, silent_discovery};
 use serde_json::Value;
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -96,7 +96,7 @@
 /// Returns a valid configuration of a limiter on the platform.
 fn platform_config() -> Value {
     settings(
-        quiet_list(),
+        silent_discovery(),
         quota_counter().0,
         &[("s-1", "127.0.0.1:9".parse().expect("the address is valid"))],
     )
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -11,14 +11,16 @@
 use std::sync::Arc;
 
 fn start_limiter(servers: &[(&str, SocketAddr)]) -> Running {
-    let mut config = settings(quiet_list(), quota_counter().0, servers);
+    let mut config = settings(silent_discovery(), quota_counter().0, servers);
     config["control"] = "127.0.0.1:0".into();
     limiter(&config)
 }
 
 fn call(limiter: &Running, line: &str) -> String {
-    peers::call(
-        limiter.control.expect("the limiter has an admin interface"),
+    peers::admin_call(
+        limiter
+            .admin_address
+            .expect("the limiter has an admin interface"),
         line,
     )
 }
@@ -47,37 +49,37 @@
     let (server, _seen) = resp_peer(move |_, words| {
         count.fetch_add(1, Ordering::SeqCst);
         match &*words[2] {
-            "pay-1" => Act::Close,
-            "hold-1" => Act::Hang,
+            "pay-1" => PeerAction::Close,
+            "hold-1" => PeerAction::Hang,
             "look-1" if look_attempts.fetch_add(1, Ordering::SeqCst) == 0 => {
-                Act::Say("-ERR failed\r\n".into())
+                PeerAction::Reply("-ERR failed\r\n".into())
             }
-            id => serve(id),
+            id => served_reply(id),
         }
     });
     let limiter = start_limiter(&[("s-1", server), ("s-2", server)]);
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     // Pipelined, so that one thread writes all replies.
-    let text = asking("look", "look-1", 1500)
-        + &asking("pay", "pay-1", 1500)
-        + &asking("pay", "pay-2", 1500);
-    client.say(&text);
-    assert_eq!(client.answer(), "look-1");
-    assert_eq!(client.answer(), "-ERR failed");
-    assert_eq!(client.answer(), "pay-2");
+    let text = request_command("look", "look-1", 1500)
+        + &request_command("pay", "pay-1", 1500)
+        + &request_command("pay", "pay-2", 1500);
+    client.send(&text);
+    assert_eq!(client.read_reply(), "look-1");
+    assert_eq!(client.read_reply(), "-ERR failed");
+    assert_eq!(client.read_reply(), "pay-2");
     // The first request is rejected by the decision engine; the second one by the front itself,
     // although it names a class.
-    client.ask("look", "look-2", 3);
-    assert!(client.answer().starts_with("-BUSY"));
-    client.say(&asking("look", "look-3", 1500).replace("d=1500", "d=ever"));
-    assert_eq!(client.answer(), "-ERR bad d");
-    let mut leaving = Client::ready(&limiter);
-    leaving.ask("hold", "hold-1", 1500);
+    client.send_request("look", "look-2", 3);
+    assert!(client.read_reply().starts_with("-BUSY"));
+    client.send(&request_command("look", "look-3", 1500).replace("d=1500", "d=ever"));
+    assert_eq!(client.read_reply(), "-ERR bad d");
+    let mut leaving = Client::connect_when_ready(&limiter);
+    leaving.send_request("hold", "hold-1", 1500);
     // A request that is received but not yet forwarded counts no attempt if its client disconnects,
     // so wait for the attempt first.
-    until(|| metrics(&limiter)["attempts"], |attempts| *attempts == 5);
+    wait_until(|| metrics(&limiter)["attempts"], |attempts| *attempts == 5);
     drop(leaving);
-    until(
+    wait_until(
         || metrics(&limiter)["in_flight"],
         |in_flight| *in_flight == 0,
     );
@@ -91,9 +93,11 @@
 
 #[test]
 fn malformed_and_incomplete_admin_calls_do_not_block_others() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = start_limiter(&[("s-1", server)]);
-    let address = limiter.control.expect("the limiter has an admin interface");
+    let address = limiter
+        .admin_address
+        .expect("the limiter has an admin interface");
     // More connections than are served at a time, and none of them ever sends a complete line.
     let mut incomplete: Vec<TcpStream> = (0..40)
         .map(|_| TcpStream::connect(address).expect("the admin interface accepts connections"))
@@ -101,7 +105,7 @@
     incomplete
         .iter_mut()
         .for_each(|stream| _ = stream.write_all(b"rea"));
-    until(|| call(&limiter, "ready\n"), |answer| answer == "YES\n");
+    wait_until(|| call(&limiter, "ready\n"), |answer| answer == "YES\n");
     let too_long = "x".repeat(5_000) + "\n";
     let bad_calls = [
         "nonsense\n",
@@ -123,7 +127,7 @@
         // With or without an answer, the limiter closes the connection.
         _ = stream.read_to_end(&mut answer);
     }
-    let mut config = settings(quiet_list(), quota_counter().0, &[]);
+    let mut config = settings(silent_discovery(), quota_counter().0, &[]);
     config["control"] = "nowhere".into();
     let error = mossrill::config::platform(&config.to_string(), |_| None)
         .err()
@@ -137,18 +141,18 @@
 
 #[test]
 fn disabled_server_gets_no_attempt_until_it_is_enabled() {
-    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = start_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "before", 1500);
-    assert_eq!(client.answer(), "before");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "before", 1500);
+    assert_eq!(client.read_reply(), "before");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
     assert_eq!(call(&limiter, "disable-server s-1\n"), "YES\n");
     assert_eq!(metrics(&limiter)["servers_excluded"], 1);
     // With every server disabled there is nothing to wait for: the request is rejected at once,
     // with a time after which to retry.
-    client.ask("pay", "while-disabled", 1500);
-    assert_eq!(client.answer(), "-BUSY 200");
+    client.send_request("pay", "while-disabled", 1500);
+    assert_eq!(client.read_reply(), "-BUSY 200");
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
@@ -156,8 +160,8 @@
     assert_eq!(call(&limiter, "enable-server s-1\n"), "YES\n");
     // In its slow start the server gets only a part of the requests, but it gets some.
     let mut served = (0..200).filter(|number| {
-        client.ask("look", &format!("after-{number}"), 1500);
-        client.answer().starts_with("after")
+        client.send_request("look", &format!("after-{number}"), 1500);
+        client.read_reply().starts_with("after")
     });
     assert!(
         served.next().is_some(),
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -212,7 +212,7 @@
     let predecessor = rig.limiters[1]
         .replace(successor)
         .expect("the limiter runs");
-    predecessor.ends();
+    predecessor.terminate();
     rig.wait_for_agreement(&[0, 1, 2]);
     rig.wait_for_agreement(&[3, 4]);
     rig.change_faults(|faults| faults.partition = vec![0; 5]);
@@ -246,7 +246,10 @@
     let mut rig = Rig::start_and_settle(Plan::new("address", 3));
     let load = rig.load(3);
     load.wait_for_requests(20);
-    let old_address = rig.limiters[0].as_ref().expect("the limiter runs").at;
+    let old_address = rig.limiters[0]
+        .as_ref()
+        .expect("the limiter runs")
+        .client_address;
     rig.leave(0);
     // Another listener gets the old port. It accepts connections and never answers.
     let silent = std::net::TcpListener::bind(old_address).expect("bind the old address");
@@ -500,7 +503,7 @@
                     rig.limiters[limiter]
                         .as_ref()
                         .expect("the limiter runs")
-                        .used()
+                        .cpu_ticks_and_memory_kb()
                         .0
                 })
                 .sum();
@@ -511,7 +514,7 @@
                 rig.limiters[limiter]
                     .as_ref()
                     .expect("the limiter runs")
-                    .used()
+                    .cpu_ticks_and_memory_kb()
             });
             let (ticks, memory_kb) =
                 used.fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1 / 3));
--- a/tests/fleet/rig/load.rs
+++ b/tests/fleet/rig/load.rs
@@ -1,7 +1,7 @@
 //! Clients that send one request after another to each limiter.
 
 use crate::checker::{Event, RequestResult};
-use crate::peers::{asking_for, until, Client};
+use crate::peers::{request_command_for, wait_until, Client};
 use crate::rig::stand_ins::Record;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -31,7 +31,7 @@
     /// Waits until more than `count` further requests have ended.
     pub fn wait_for_requests(&self, count: usize) {
         let start = self.ended_requests.load(Ordering::SeqCst);
-        until(
+        wait_until(
             || self.ended_requests.load(Ordering::SeqCst),
             |ended| *ended > start + count,
         );
@@ -69,7 +69,7 @@
     let mut connection: Option<Client> = None;
     while !stop.load(Ordering::SeqCst) {
         let Some(client) = connection.as_mut() else {
-            connection = connect(&addresses[limiter]).and_then(Client::try_on);
+            connection = connect(&addresses[limiter]).and_then(Client::from_stream);
             thread::sleep(Duration::from_millis(10));
             continue;
         };
@@ -77,7 +77,7 @@
         let account = format!("{:016x}", 0xb4d6_0000 + number % accounts);
         let id = format!("{class}-{limiter}-{number}");
         number += 1;
-        let request = asking_for(&account, spread, class, &id, 1_500);
+        let request = request_command_for(&account, spread, class, &id, 1_500);
         let sent = Event::RequestSent {
             id: id.clone(),
             limiter,
@@ -86,7 +86,7 @@
             units: 2,
         };
         record.lock().expect("lock the record").push(sent);
-        let result = match client.try_ask(&request) {
+        let result = match client.try_request(&request) {
             Some(line) if line.starts_with("-BUSY") => RequestResult::Refused,
             Some(line) if line.starts_with('-') => RequestResult::Failed,
             Some(value) => RequestResult::Served(value),
--- a/tests/fleet/rig/processes.rs
+++ b/tests/fleet/rig/processes.rs
@@ -2,7 +2,7 @@
 
 use crate::checker;
 use crate::checker::{Event, QuotaBounds};
-use crate::peers::{entry, settings, Program};
+use crate::peers::{endpoint_entry, settings, Program};
 use crate::relay::{NetworkFaults, Relay, SECRET};
 use crate::rig::load::{run_client, Addresses, Load};
 use crate::rig::plan::Plan;
@@ -54,7 +54,7 @@
         let entries = servers
             .iter()
             .enumerate()
-            .map(|(n, at)| entry(&format!("s-{n}"), *at, "in_service"));
+            .map(|(n, at)| endpoint_entry(&format!("s-{n}"), *at, "in_service"));
         let list = Arc::new(Mutex::new(EndpointList {
             generation: 8,
             entries: entries.collect(),
@@ -146,7 +146,7 @@
     /// Starts a process of the limiter and lets clients connect to it.
     pub fn start(&mut self, limiter: usize) {
         let program = self.spawn_process(limiter);
-        *self.addresses[limiter].lock().expect("lock the address") = Some(program.at);
+        *self.addresses[limiter].lock().expect("lock the address") = Some(program.client_address);
         self.limiters[limiter] = Some(program);
     }
 
@@ -163,7 +163,7 @@
         self.settings[limiter]["known"] = list;
         // A successor listens at its predecessor's address, where clients reach the limiter.
         if let Some(program) = &self.limiters[limiter] {
-            self.settings[limiter]["listen"] = program.at.to_string().into();
+            self.settings[limiter]["listen"] = program.client_address.to_string().into();
         }
         Program::start_in(
             &name,
@@ -194,7 +194,7 @@
         self.limiters[limiter]
             .take()
             .expect("the limiter runs")
-            .ends();
+            .terminate();
     }
 
     pub fn signal(&self, limiter: usize, name: &str) {
@@ -355,7 +355,7 @@
     /// Changes the entry of an upstream server in the endpoint list.
     fn update_list(&self, server: usize, lifecycle: &str, started_at_ms: u64) {
         let mut list = self.list.lock().expect("lock the endpoint list");
-        let mut changed = entry(&format!("s-{server}"), self.servers[server], lifecycle);
+        let mut changed = endpoint_entry(&format!("s-{server}"), self.servers[server], lifecycle);
         changed["startedAtMs"] = started_at_ms.into();
         list.entries[server] = changed;
         list.generation += 1;
--- a/tests/fleet/rig/stand_ins.rs
+++ b/tests/fleet/rig/stand_ins.rs
@@ -1,7 +1,10 @@
 //! Scripted upstream servers, quota counter and service discovery.
 
 use crate::checker::Event;
-use crate::peers::{answer, counted, http, http_peer, peer, resp_peer, serve, Act};
+use crate::peers::{
+    answer, http_peer, parse_counter_call, peer, read_http_message, resp_peer, served_reply,
+    PeerAction,
+};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -38,7 +41,7 @@
         };
         own.lock().expect("lock the record").push(executed);
         thread::sleep(Duration::from_millis(5));
-        serve(&words[2])
+        served_reply(&words[2])
     });
     at
 }
@@ -49,9 +52,9 @@
     let (answers, totals) = (answers.clone(), Mutex::<HashMap<String, f64>>::default());
     http_peer(move |request_line, _, _| {
         if !answers.load(Ordering::SeqCst) {
-            return Act::Hang;
+            return PeerAction::Hang;
         }
-        let (name, units) = counted(request_line);
+        let (name, units) = parse_counter_call(request_line);
         let mut totals = totals.lock().expect("lock the totals");
         let total = totals.entry(name).or_default();
         *total += units;
@@ -65,7 +68,7 @@
     let own = list.clone();
     peer(move |_, stream| {
         let mut connection = std::io::BufReader::new(stream);
-        let Ok((request_line, ..)) = http(&mut connection, false) else {
+        let Ok((request_line, ..)) = read_http_message(&mut connection, false) else {
             return;
         };
         let message = |list: &EndpointList| list.to_message().to_string();
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -14,7 +14,7 @@
 /// Starts a limiter whose two upstream servers have the same address.
 fn start_limiter(server: SocketAddr) -> Running {
     limiter(&settings(
-        quiet_list(),
+        silent_discovery(),
         quota_counter().0,
         &[("s-1", server), ("s-2", server)],
     ))
@@ -37,9 +37,9 @@
     let closed_sender = Mutex::new(closed_sender);
     let address = peer(move |_, mut stream: TcpStream| {
         let mut bytes = Vec::new();
-        while let Some(words) = command(&mut stream, &mut bytes) {
+        while let Some(words) = read_command(&mut stream, &mut bytes) {
             if words[2] != "long" {
-                let Act::Say(text) = serve(&words[2]) else {
+                let PeerAction::Reply(text) = served_reply(&words[2]) else {
                     return;
                 };
                 _ = stream.write_all(text.as_bytes());
@@ -90,10 +90,10 @@
 fn long_value_is_streamed_and_its_connection_reused() {
     let (server, instructions, _closed) = streaming_server();
     let limiter = start_limiter(server);
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     // The request for a short value is sent together with that for the long one, and a further one
     // after both replies.
-    client.say(&(asking("look", "long", 1500) + &asking("look", "short", 1500)));
+    client.send(&(request_command("look", "long", 1500) + &request_command("look", "short", 1500)));
     read_first_half(&mut client);
     instructions
         .send(Some(rest_of_reply()))
@@ -104,9 +104,9 @@
         .read_exact(&mut half)
         .expect("the client receives the second half");
     assert!(half.ends_with(b"b\r\n"));
-    assert_eq!(client.answer(), "short");
-    client.ask("look", "later", 1500);
-    assert_eq!(client.answer(), "later");
+    assert_eq!(client.read_reply(), "short");
+    client.send_request("look", "later", 1500);
+    assert_eq!(client.read_reply(), "later");
 }
 
 #[test]
@@ -114,8 +114,8 @@
     for rest in [None, Some([rest_of_reply(), b"more".to_vec()].concat())] {
         let (server, instructions, _closed) = streaming_server();
         let limiter = start_limiter(server);
-        let mut client = Client::ready(&limiter);
-        client.ask("look", "long", 1500);
+        let mut client = Client::connect_when_ready(&limiter);
+        client.send_request("look", "long", 1500);
         read_first_half(&mut client);
         // With one additional byte, the bytes after the announced length are not a line end.
         let longer_rest = rest.map(|mut bytes| {
@@ -132,9 +132,9 @@
             "the client received {} bytes after the first half",
             received.len()
         );
-        let mut client = Client::ready(&limiter);
-        client.ask("look", "after", 1500);
-        assert_eq!(client.answer(), "after");
+        let mut client = Client::connect_when_ready(&limiter);
+        client.send_request("look", "after", 1500);
+        assert_eq!(client.read_reply(), "after");
     }
 }
 
@@ -142,14 +142,14 @@
 fn request_timeouts_do_not_truncate_a_value_that_is_being_streamed() {
     let (server, instructions, _closed) = streaming_server();
     let limiter = start_limiter(server);
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     // The request's deadline passes before the second half is sent, while a later request is served
     // meanwhile.
-    client.ask("look", "long", 100);
+    client.send_request("look", "long", 100);
     read_first_half(&mut client);
-    let mut other = Client::ready(&limiter);
-    other.ask("look", "short", 1500);
-    assert_eq!(other.answer(), "short");
+    let mut other = Client::connect_when_ready(&limiter);
+    other.send_request("look", "short", 1500);
+    assert_eq!(other.read_reply(), "short");
     std::thread::sleep(std::time::Duration::from_millis(300));
     instructions
         .send(Some(rest_of_reply()))
@@ -166,8 +166,8 @@
 fn attempt_is_cancelled_if_its_client_closes_while_a_value_is_streamed() {
     let (server, instructions, closed) = streaming_server();
     let limiter = start_limiter(server);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "long", 1500);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "long", 1500);
     read_first_half(&mut client);
     drop(client);
     instructions
@@ -180,12 +180,12 @@
 
 #[test]
 fn shutdown_waits_for_a_partially_written_command() {
-    let (server, _received) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _received) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = start_limiter(server);
-    let mut client = Client::ready(&limiter);
-    let text = asking("look", "slow", 1500);
+    let mut client = Client::connect_when_ready(&limiter);
+    let text = request_command("look", "slow", 1500);
     let (first, rest) = text.split_at(20);
-    client.say(first);
+    client.send(first);
     let shutdown = std::thread::spawn(move || limiter.stop());
     // The rest of the command is sent in small pieces after the limiter has stopped accepting
     // connections.
@@ -197,7 +197,7 @@
             .write_all(piece)
             .expect("the limiter keeps the connection open");
     }
-    assert_eq!(client.answer(), "slow");
+    assert_eq!(client.read_reply(), "slow");
     shutdown
         .join()
         .expect("the limiter shuts down without a panic");
@@ -208,16 +208,18 @@
     // An operating system that limits a process to a share of a core by stopping and continuing it
     // must do so for each of its threads. With 280 threads, this took up a whole limit of 0.12
     // cores.
-    let (server, _received) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _received) = resp_peer(|_, words| served_reply(&words[2]));
     let program = Program::start(
         "threads",
-        &settings(quiet_list(), quota_counter().0, &[("s-1", server)]),
+        &settings(silent_discovery(), quota_counter().0, &[("s-1", server)]),
     );
-    let mut clients: Vec<Client> = (0..100).map(|_| Client::ready_at(program.at)).collect();
+    let mut clients: Vec<Client> = (0..100)
+        .map(|_| Client::connect_when_ready_at(program.client_address))
+        .collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        client.ask("look", &format!("look-{number}"), 1500);
-        client.answer();
+        client.send_request("look", &format!("look-{number}"), 1500);
+        client.read_reply();
     }
     // Threads without work exit after a short time.
-    until(|| program.threads(), |threads| *threads < 100 + 30);
+    wait_until(|| program.threads(), |threads| *threads < 100 + 30);
 }
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -49,8 +49,8 @@
             ));
         let mut script = script.lock().expect("the script is not poisoned");
         match (!script.is_empty()).then(|| script.remove(0)) {
-            Some("close") => Act::Close,
-            Some("hang") => Act::Hang,
+            Some("close") => PeerAction::Close,
+            Some("hang") => PeerAction::Hang,
             Some(status) => answer(status, "{}"),
             None => answer("200 OK", "{\"ok\":true}"),
         }
@@ -72,10 +72,10 @@
 /// Sends a request and reads the response. Returns its status line, the header lines that are
 /// listed here and its body.
 fn exchange(client: &mut Client, text: &str) -> String {
-    client.say(text);
+    client.send(text);
     let is_head = text.starts_with("HEAD");
     let (status_line, headers, body) =
-        http(&mut client.0, is_head).expect("the limiter sends a complete response");
+        read_http_message(&mut client.0, is_head).expect("the limiter sends a complete response");
     let reported_headers = [
         "Retry-After",
         "Allow",
@@ -133,7 +133,7 @@
                 .expect("the request log is not poisoned")
                 .join("\n    ");
             // Units that are reported in the background reach the counter within a second.
-            let charged = until(
+            let charged = wait_until(
                 || {
                     totals
                         .lock()
@@ -337,7 +337,7 @@
         (0, 1),
         "requests at the old and the new upstream server"
     );
-    until(
+    wait_until(
         || totals.lock().expect("the totals are not poisoned").len(),
         |counter_count| *counter_count > 0,
     );
@@ -352,7 +352,7 @@
     let send_rest_receiver = Mutex::new(send_rest_receiver);
     let server = peer(move |_, stream| {
         let mut from = BufReader::new(stream);
-        while http(&mut from, false).is_ok() {
+        while read_http_message(&mut from, false).is_ok() {
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n{}",
                 "a".repeat(LENGTH / 2)
@@ -372,7 +372,7 @@
     let mut client = Client::connect(&limiter);
     // Two requests on one connection; the body of the second is truncated.
     for is_complete in [true, false] {
-        client.say(&request(GET_SEATS, "", ""));
+        client.send(&request(GET_SEATS, "", ""));
         while !client.line().is_empty() {}
         // The client receives the first half before the server has sent the second.
         let mut half = vec![0; LENGTH / 2];
--- a/tests/peers/client.rs
+++ b/tests/peers/client.rs
@@ -1,35 +1,39 @@
-//! Clients of a limiter.
+//! Clients of a limiter and of its admin interface.
 
 use super::limiter::Running;
-use super::servers::{answer, next};
 use super::wait::WAIT_TIMEOUT;
 use mossrill::protocol::resp;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::{io, thread};
 
-/// What an operator is told who calls there.
-pub fn call(at: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(at).expect("a connection");
-    stream.write_all(line.as_bytes()).expect("written");
+/// Sends `line` to the admin interface at `address` and returns its whole answer.
+pub fn admin_call(address: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(address).expect("the admin interface accepts connections");
+    stream
+        .write_all(line.as_bytes())
+        .expect("the admin call is sent");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream
+        .read_to_string(&mut answer)
+        .expect("the admin interface answers and closes the connection");
     answer
 }
 
-/// A client's connection.
+/// A client that is connected to a limiter.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
-    /// Connects, and waits until the limiter says that it is ready.
-    pub fn ready(limiter: &Running) -> Self {
-        Self::ready_at(limiter.at)
+    /// Connects, and sends `PING` until the limiter replies `+PONG`.
+    pub fn connect_when_ready(limiter: &Running) -> Self {
+        Self::connect_when_ready_at(limiter.client_address)
     }
 
-    pub fn ready_at(at: SocketAddr) -> Self {
-        let mut client = Self::connect_at(at);
+    /// Connects to the limiter at `address`, and sends `PING` until it replies `+PONG`.
+    pub fn connect_when_ready_at(address: SocketAddr) -> Self {
+        let mut client = Self::connect_at(address);
         loop {
-            client.say("*1\r\n$4\r\nPING\r\n");
+            client.send("*1\r\n$4\r\nPING\r\n");
             if client.line() == "+PONG" {
                 return client;
             }
@@ -37,83 +41,93 @@
         }
     }
 
-    /// Connects if somebody is there and ready.
-    pub fn try_at(at: SocketAddr) -> Option<Self> {
-        Self::try_on(TcpStream::connect(at).ok()?)
+    /// Connects to `address`; `None` if nothing listens there, or the limiter is not ready.
+    pub fn try_connect_at(address: SocketAddr) -> Option<Self> {
+        Self::from_stream(TcpStream::connect(address).ok()?)
     }
 
-    /// Takes a connection if whoever is at its other end is ready.
-    pub fn try_on(stream: TcpStream) -> Option<Self> {
+    /// Returns a client that uses this connection; `None` if the limiter at its other end does not
+    /// reply `+PONG` to `PING`.
+    pub fn from_stream(stream: TcpStream) -> Option<Self> {
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         let mut client = Self(BufReader::new(stream));
-        (client.try_ask("*1\r\n$4\r\nPING\r\n")? == "+PONG").then_some(client)
+        (client.try_request("*1\r\n$4\r\nPING\r\n")? == "+PONG").then_some(client)
     }
 
-    /// Asks and waits for the answer; none if the connection ends first.
-    pub fn try_ask(&mut self, text: &str) -> Option<String> {
+    /// Sends `text` and returns the reply to it; `None` if the connection ends first.
+    ///
+    /// # Panics
+    ///
+    /// If neither a reply nor the end of the connection arrives within [`WAIT_TIMEOUT`].
+    pub fn try_request(&mut self, text: &str) -> Option<String> {
         self.0.get_mut().write_all(text.as_bytes()).ok()?;
         let mut line = String::new();
-        let mut next = || match self.0.read_line(&mut line) {
+        let mut next_line = || match self.0.read_line(&mut line) {
             Ok(read) if read > 0 => Some(std::mem::take(&mut line).trim_end().to_owned()),
             Ok(_) => None,
             Err(error) => {
-                let waits = matches!(
+                let timed_out = matches!(
                     error.kind(),
                     io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                 );
                 assert!(
-                    !waits,
-                    "no answer and no end of {:?} at {:?}",
+                    !timed_out,
+                    "expected a reply to {:?} or the end of the connection, got neither: {:?}",
                     text,
                     self.0.get_ref()
                 );
                 None
             }
         };
-        let first = next()?;
+        let first = next_line()?;
         if first.starts_with('$') {
-            next()
+            next_line()
         } else {
             Some(first)
         }
     }
 
+    /// Connects to a limiter, whether or not it is ready.
     pub fn connect(limiter: &Running) -> Self {
-        Self::connect_at(limiter.at)
+        Self::connect_at(limiter.client_address)
     }
 
-    pub fn connect_at(at: SocketAddr) -> Self {
-        let stream = TcpStream::connect(at).expect("a connection");
+    /// Connects to the limiter at `address`, whether or not it is ready.
+    pub fn connect_at(address: SocketAddr) -> Self {
+        let stream = TcpStream::connect(address).expect("the limiter accepts connections");
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a timeout");
+            .expect("the read timeout is set");
         Self(BufReader::new(stream))
     }
 
-    pub fn say(&mut self, text: &str) {
+    /// Sends `text` as it is.
+    pub fn send(&mut self, text: &str) {
         self.0
             .get_mut()
             .write_all(text.as_bytes())
-            .expect("written");
+            .expect("the text is sent to the limiter");
     }
 
-    /// Asks for a class with an id, an account and a time to wait.
-    pub fn ask(&mut self, class: &str, id: &str, wait: u64) {
-        self.say(&asking(class, id, wait));
+    /// Sends a [`request_command`] and does not wait for the reply.
+    pub fn send_request(&mut self, class: &str, id: &str, deadline_ms: u64) {
+        self.send(&request_command(class, id, deadline_ms));
     }
 
-    /// The next line; empty at the end of the connection.
+    /// Reads the next line; empty at the end of the connection.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
             Ok(_) => line.trim_end().to_owned(),
             Err(error) if error.kind() == io::ErrorKind::ConnectionReset => String::new(),
-            Err(error) => panic!("no line: {error}"),
+            Err(error) => {
+                panic!("expected a line or the end of the connection, got an error: {error}")
+            }
         }
     }
 
-    /// The next answer: a value, or the line.
-    pub fn answer(&mut self) -> String {
+    /// Reads the next reply: the value of a bulk string, or the line of any other reply.
+    pub fn read_reply(&mut self) -> String {
         let line = self.line();
         match line.starts_with('$') {
             true => self.line(),
@@ -122,21 +136,29 @@
     }
 }
 
-/// A command of a client.
-pub fn asking(class: &str, id: &str, wait: u64) -> String {
-    asking_for("00000000b4d65521", 1, class, id, wait)
+/// Returns a client's request command: a request of `class` with this id and a deadline of
+/// `deadline_ms` milliseconds, for an account that sends its requests through one limiter.
+pub fn request_command(class: &str, id: &str, deadline_ms: u64) -> String {
+    request_command_for("00000000b4d65521", 1, class, id, deadline_ms)
 }
 
-/// A command of a client for an account that comes through so many limiters.
-pub fn asking_for(account: &str, spread: usize, class: &str, id: &str, wait: u64) -> String {
-    let fields = format!("c={class},t=basic,d={wait},k=5c0f,units=2,spread={spread},first=0");
-    let verb = if class == "look" {
+/// Returns a [`request_command`] for `account`, whose requests are spread over `spread` limiters.
+pub fn request_command_for(
+    account: &str,
+    spread: usize,
+    class: &str,
+    id: &str,
+    deadline_ms: u64,
+) -> String {
+    let fields =
+        format!("c={class},t=basic,d={deadline_ms},k=5c0f,units=2,spread={spread},first=0");
+    let name = if class == "look" {
         "SVC.QUERY"
     } else {
         "SVC.SUBMIT"
     };
     let mut text = Vec::new();
-    let words = [verb, account, id, &fields, "BODY"];
-    resp::write_command(&mut text, words.iter().map(|w| w.as_bytes()));
-    String::from_utf8(text).expect("text")
+    let words = [name, account, id, &fields, "BODY"];
+    resp::write_command(&mut text, words.iter().map(|word| word.as_bytes()));
+    String::from_utf8(text).expect("the command is UTF-8")
 }
--- a/tests/peers/limiter.rs
+++ b/tests/peers/limiter.rs
@@ -1,6 +1,6 @@
 //! Limiters that run in the process of the test.
 
-use super::stores::entry;
+use super::stores::endpoint_entry;
 use mossrill::client::ClientProtocol;
 use mossrill::process::{Limiter, Reload, Stopper};
 use mossrill::{config, openapi, platform};
@@ -10,47 +10,58 @@
 use std::thread;
 use std::thread::JoinHandle;
 
-/// A limiter that runs in this process until it is dropped or stopped.
+/// A limiter that runs on a thread of this process until it is stopped or this value is dropped.
 pub struct Running {
-    pub at: SocketAddr,
-    pub control: Option<SocketAddr>,
+    pub client_address: SocketAddr,
+    /// Address of the admin interface, if the configuration has one.
+    pub admin_address: Option<SocketAddr>,
     stopper: Option<Stopper>,
-    core: JoinHandle<()>,
+    limiter_thread: JoinHandle<()>,
 }
 
 impl Running {
     fn new<P: ClientProtocol, C>((limiter, _): (Limiter<P>, Reload<C>)) -> Self {
-        let (at, control, stopper) = (
+        let (client_address, admin_address, stopper) = (
             limiter.client_address,
             limiter.admin_address,
             Some(limiter.stopper()),
         );
         Self {
-            at,
-            control,
+            client_address,
+            admin_address,
             stopper,
-            core: thread::spawn(move || limiter.run()),
+            limiter_thread: thread::spawn(move || limiter.run()),
         }
     }
 
-    /// Says that it is to stop, and waits until it has.
+    /// Stops the limiter, and waits until its thread has ended.
     pub fn stop(mut self) {
-        self.stopper.take().expect("running").stop();
-        self.core.join().expect("an end in order");
+        self.stopper
+            .take()
+            .expect("the limiter has not been stopped yet")
+            .stop();
+        self.limiter_thread
+            .join()
+            .expect("the limiter does not panic");
     }
 }
 
-/// The configuration of a limiter on the platform: three classes, one plan, these ticket servers.
-pub fn settings(list: SocketAddr, counter: SocketAddr, servers: &[(&str, SocketAddr)]) -> Value {
+/// Returns the configuration of a limiter on the platform, with three request classes, one plan and
+/// these upstream servers.
+pub fn settings(
+    discovery: SocketAddr,
+    counter: SocketAddr,
+    servers: &[(&str, SocketAddr)],
+) -> Value {
     let servers: Vec<Value> = servers
         .iter()
-        .map(|(name, at)| entry(name, *at, "in_service"))
+        .map(|(name, address)| endpoint_entry(name, *address, "in_service"))
         .collect();
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "slo": 800_000, "deadline": 2_000_000, "importance": 1.0,
             "group": "all", "memorySpan": 10_000_000})
     };
-    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": list.to_string(), "counter": counter.to_string(),
+    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "counter": counter.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024},
         "known": {"generation": 7, "reset": true, "instances": servers},
         "settings": {"me": 0, "balancers": 1, "tick": 2000, "az": "z",
@@ -62,10 +73,11 @@
             "specifics": {"mayCount": true, "unitsTop": 6, "counterTimeout": 50_000}}})
 }
 
-/// Starts a limiter on the platform.
+/// Starts a limiter on the platform with this configuration.
 pub fn limiter(settings: &Value) -> Running {
-    let config = config::platform(&settings.to_string(), |_| None).expect("a good configuration");
-    Running::new(platform::start(config, &quiet()).expect("a start"))
+    let config =
+        config::platform(&settings.to_string(), |_| None).expect("the configuration is valid");
+    Running::new(platform::start(config, &discard_logger()).expect("the limiter starts"))
 }
 
 /// Starts a limiter with an OpenAPI front.
@@ -73,17 +85,19 @@
     openapi_reloaded(file, None, description)
 }
 
-/// The same, given another file at once.
+/// Starts a limiter with an OpenAPI front and, if `other` is given, reloads it with that file at
+/// once.
 pub fn openapi_reloaded(file: &Value, other: Option<&Value>, description: &str) -> Running {
     let read = |file: &Value| config::openapi(&file.to_string(), |_| Ok(description.to_owned()));
     let (limiter, mut reload) =
-        openapi::start(read(file).expect("a good file"), &quiet()).expect("a start");
+        openapi::start(read(file).expect("the file is valid"), &discard_logger())
+            .expect("the limiter starts");
     other
         .into_iter()
-        .for_each(|file| reload(read(file).expect("a good file")));
+        .for_each(|file| reload(read(file).expect("the new file is valid")));
     Running::new((limiter, reload))
 }
 
-pub fn quiet() -> Logger {
+fn discard_logger() -> Logger {
     Logger::root(Discard, o!())
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,5 +1,6 @@
-//! Scripted peers on loopback: clients, upstream servers, service discovery and counters.
-// Each test binary uses a part of these.
+//! Limiters under test, and their scripted peers on loopback: clients, upstream servers, service
+//! discovery and quota counters.
+// Each test binary uses only some of these items.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -9,9 +10,14 @@
 mod stores;
 mod wait;
 
-pub use client::{asking, asking_for, call, Client};
+pub use client::{admin_call, request_command, request_command_for, Client};
 pub use limiter::{limiter, openapi_limiter, openapi_reloaded, settings, Running};
 pub use program::Program;
-pub use servers::{answer, command, http, http_peer, next, peer, resp_peer, serve, Act, Seen};
-pub use stores::{counted, entry, quiet_list, quota_counter, whole_list};
-pub use wait::until;
+pub use servers::{
+    answer, http_peer, next_command, peer, read_command, read_http_message, resp_peer,
+    served_reply, PeerAction, Seen,
+};
+pub use stores::{
+    discovery_with_full_list, endpoint_entry, parse_counter_call, quota_counter, silent_discovery,
+};
+pub use wait::wait_until;
--- a/tests/peers/program.rs
+++ b/tests/peers/program.rs
@@ -1,8 +1,7 @@
-//! Limiters that run as processes of their own.
+//! Limiters and other programs of this project that run as processes of their own.
 
-use super::client::call;
-use super::servers::command;
-use super::wait::{until, WAIT_TIMEOUT};
+use super::client::admin_call;
+use super::wait::{wait_until, WAIT_TIMEOUT};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -12,82 +11,95 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-/// The program itself, with its configuration in a file; ended when dropped.
+/// A process of the program with its configuration file; dropping this value kills the process and
+/// removes the file.
 pub struct Program {
-    pub at: SocketAddr,
-    pub control: Option<SocketAddr>,
-    file: PathBuf,
+    pub client_address: SocketAddr,
+    /// Address of the admin interface, if the configuration has one.
+    pub admin_address: Option<SocketAddr>,
+    config_file: PathBuf,
     child: Child,
-    /// Its lines; read off it all the time, as a full pipe would hold it up.
+    /// Lines of its log. A thread reads them all the time, as a full pipe would block the process.
     log: Receiver<String>,
 }
 
 impl Program {
+    /// Starts a limiter and waits until it listens. `name` goes into the name of its configuration
+    /// file.
     pub fn start(name: &str, settings: &Value) -> Self {
         Self::start_in(name, settings, None)
     }
 
-    /// The same, with a folder that it has in common with others.
+    /// Starts a limiter as [`start`](Self::start) does, with `folder` as its `TMPDIR`, which other
+    /// processes may share.
     pub fn start_in(name: &str, settings: &Value, folder: Option<&Path>) -> Self {
         Self::spawn(name, settings, folder).listening()
     }
 
-    /// A program of this project that is given its file as `command` says.
+    /// Starts a program of this project with the command that `command` returns for the path of its
+    /// configuration file, and waits until it listens.
     pub fn start_with(name: &str, file: &Value, command: impl FnOnce(&Path) -> Command) -> Self {
         Self::spawn_with(name, file, command).listening()
     }
 
-    /// Waits until it listens, and where.
+    /// Waits until the process listens, and takes its addresses from that log line.
     fn listening(mut self) -> Self {
-        let line = self.logged("listening");
-        let address = line
+        let line = self.wait_for_log("listening");
+        let client_address = line
             .split("address: ")
             .nth(1)
-            .and_then(|at| at.split(',').next()?.trim().parse().ok());
-        self.at = address.expect("an address");
-        self.control = line
+            .and_then(|rest| rest.split(',').next()?.trim().parse().ok());
+        self.client_address = client_address.expect("the log line has a client address");
+        self.admin_address = line
             .split("control: ")
             .nth(1)
-            .and_then(|at| at.split(',').next()?.parse().ok());
+            .and_then(|rest| rest.split(',').next()?.parse().ok());
         self
     }
 
-    /// One that can't start.
-    pub fn fails_in(name: &str, settings: &Value, folder: &Path) {
+    /// Starts a limiter with `folder` as its `TMPDIR`, and asserts that it logs that it cannot
+    /// start and exits with an error.
+    pub fn expect_start_failure(name: &str, settings: &Value, folder: &Path) {
         let mut program = Self::spawn(name, settings, Some(folder));
-        program.logged("cannot start");
-        assert!(!program.child.wait().expect("an end").success());
+        program.wait_for_log("cannot start");
+        let status = program.child.wait().expect("the process is waited for");
+        assert!(!status.success(), "expected a failed exit, got {status}");
     }
 
-    /// One that the system gives no more descriptors than its configuration says.
+    /// Starts a limiter that the system allows only as many descriptors as its configuration names.
     pub fn start_bounded(name: &str, settings: &Value) -> Self {
         let mut shell = Command::new("sh");
-        let most = settings["limits"]["sockets"].to_string();
+        let max_descriptors = settings["limits"]["sockets"].to_string();
         shell.args([
             "-c",
             "ulimit -n \"$1\" && exec \"$0\"",
             env!("CARGO_BIN_EXE_mossrill"),
-            &most,
+            &max_descriptors,
         ]);
-        Self::spawn_by(shell, name, settings, None).listening()
+        Self::spawn_command(shell, name, settings, None).listening()
     }
 
-    /// One with an OpenAPI front, its file and description in a folder.
+    /// Starts a limiter with an OpenAPI front, with its configuration file and description in
+    /// `folder`.
     pub fn start_openapi(name: &str, file: &Value, description: &str, folder: &Path) -> Self {
         let path = folder.join("openapi.json");
-        std::fs::write(&path, file.to_string()).expect("a file");
+        std::fs::write(&path, file.to_string()).expect("the configuration file is written");
         std::fs::write(
-            folder.join(file["description"].as_str().expect("a name")),
+            folder.join(
+                file["description"]
+                    .as_str()
+                    .expect("the configuration names a description"),
+            ),
             description,
         )
-        .expect("a file");
+        .expect("the description is written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_mossrill"));
         command.arg(path);
-        Self::spawn_by(command, name, file, None).listening()
+        Self::spawn_command(command, name, file, None).listening()
     }
 
     fn spawn(name: &str, settings: &Value, folder: Option<&Path>) -> Self {
-        Self::spawn_by(
+        Self::spawn_command(
             Command::new(env!("CARGO_BIN_EXE_mossrill")),
             name,
             settings,
@@ -95,12 +107,17 @@
         )
     }
 
-    fn spawn_by(mut command: Command, name: &str, settings: &Value, folder: Option<&Path>) -> Self {
+    fn spawn_command(
+        mut command: Command,
+        name: &str,
+        settings: &Value,
+        folder: Option<&Path>,
+    ) -> Self {
         Self::spawn_with(name, settings, |file| {
             command
                 .env("EDGE_CONFIG", file)
                 .env_remove("TMPDIR")
-                .envs(folder.map(|at| ("TMPDIR", at)));
+                .envs(folder.map(|path| ("TMPDIR", path)));
             command
         })
     }
@@ -108,54 +125,61 @@
     fn spawn_with(name: &str, settings: &Value, command: impl FnOnce(&Path) -> Command) -> Self {
         let file =
             std::env::temp_dir().join(format!("mossrill-{name}-{}.json", std::process::id()));
-        std::fs::write(&file, settings.to_string()).expect("a file");
+        std::fs::write(&file, settings.to_string()).expect("the configuration file is written");
         let mut child = command(&file)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("a start");
-        let (line, log) = channel();
-        let lines = BufReader::new(child.stderr.take().expect("a log")).lines();
+            .expect("the program starts");
+        let (sender, log) = channel();
+        let lines = BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
         thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .all(|text| line.send(text + "\n").is_ok())
+                .all(|line| sender.send(line + "\n").is_ok())
         });
         Self {
-            at: SocketAddr::from(([0; 4], 0)),
-            control: None,
-            file,
+            client_address: SocketAddr::from(([0; 4], 0)),
+            admin_address: None,
+            config_file: file,
             child,
             log,
         }
     }
 
-    /// What an operator is told.
+    /// Sends a line to the admin interface and returns its whole answer.
     pub fn call(&self, line: &str) -> String {
-        call(
-            self.control.expect("an operators' line"),
+        admin_call(
+            self.admin_address
+                .expect("the configuration has an admin address"),
             &format!("{line}\n"),
         )
     }
 
-    /// Waits until it has ended.
-    pub fn logged_end(&mut self) {
+    /// Waits for the end of the log, which the process closes when it exits, and discards the
+    /// unread lines.
+    pub fn wait_for_exit(&mut self) {
         self.log.iter().for_each(drop);
     }
 
-    /// Sends it a signal.
+    /// Sends the signal with this name, such as `HUP`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh")
+        let status = Command::new("sh")
             .args(["-c", &kill])
             .status()
-            .expect("a shell")
-            .success());
+            .expect("the shell runs");
+        assert!(
+            status.success(),
+            "expected {kill:?} to succeed, got {status}"
+        );
     }
 
-    /// Processor time that it has used, in hundredths of a second, and its memory in kB.
-    pub fn used(&self) -> (u64, u64) {
+    /// Returns the processor time that the process has used, in hundredths of a second, and its
+    /// resident memory in kB.
+    pub fn cpu_ticks_and_memory_kb(&self) -> (u64, u64) {
         let read = |file: &str| {
-            std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).expect("a process")
+            std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()))
+                .expect("the process exists")
         };
         let (stat, status) = (read("stat"), read("status"));
         let fields: Vec<_> = stat
@@ -164,85 +188,108 @@
             .unwrap_or_default()
             .split(' ')
             .collect();
-        let ticks = |at: usize| fields[at].parse::<u64>().expect("a number");
+        let ticks = |index: usize| {
+            fields[index]
+                .parse::<u64>()
+                .expect("the processor time is a number")
+        };
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let memory = memory.and_then(|text| text.trim().split(' ').next()?.parse().ok());
-        (ticks(11) + ticks(12), memory.expect("a number"))
+        (
+            ticks(11) + ticks(12),
+            memory.expect("the process has a resident memory in kB"),
+        )
     }
 
-    /// Its number in the system.
-    pub fn number(&self) -> u32 {
+    /// Returns the process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How many descriptors it holds.
+    /// Returns the number of open file descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("a process")
+            .expect("the process exists")
             .count()
     }
 
-    /// Stops it, and waits until each of its threads stands still.
-    pub fn stands_still(&self) {
-        kill_process(Pid::from_child(&self.child), Signal::STOP).expect("a process");
-        let still = || {
-            let tasks =
-                std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("a process");
-            let stats = tasks
-                .filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
+    /// Sends `SIGSTOP`, and waits until all threads of the process are stopped.
+    pub fn pause(&self) {
+        kill_process(Pid::from_child(&self.child), Signal::STOP).expect("the process exists");
+        let all_stopped = || {
+            let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
+                .expect("the process exists");
+            let stats = threads.filter_map(|thread| {
+                std::fs::read_to_string(thread.ok()?.path().join("stat")).ok()
+            });
             stats.into_iter().all(|stat| {
                 stat.rsplit(") ")
                     .next()
                     .is_some_and(|rest| rest.starts_with('T'))
             })
         };
-        until(still, |still| *still);
+        wait_until(all_stopped, |all_stopped| *all_stopped);
     }
 
-    /// Lets it go on.
-    pub fn goes_on(&self) {
-        kill_process(Pid::from_child(&self.child), Signal::CONT).expect("a process");
+    /// Sends `SIGCONT`, which resumes a paused process.
+    pub fn resume(&self) {
+        kill_process(Pid::from_child(&self.child), Signal::CONT).expect("the process exists");
     }
 
-    /// How many threads it has.
+    /// Returns the number of threads of the process.
     pub fn threads(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
-            .expect("a process")
+            .expect("the process exists")
             .count()
     }
 
-    /// Calls until the answer begins so.
-    pub fn call_until(&self, line: &str, so: &str) {
-        until(|| self.call(line), |answer| answer.starts_with(so));
+    /// Repeats the admin call `line` until its answer begins with `prefix`.
+    #[track_caller]
+    pub fn call_until(&self, line: &str, prefix: &str) {
+        wait_until(|| self.call(line), |answer| answer.starts_with(prefix));
     }
 
-    /// Says that it is to stop, and waits until it has, in order.
-    pub fn ends(mut self) {
+    /// Sends `SIGTERM`, waits for the process to exit, and asserts that it exits with success.
+    pub fn terminate(mut self) {
         let kill = format!("kill -TERM {} 2>/dev/null", self.child.id());
         _ = Command::new("sh")
             .args(["-c", &kill])
             .status()
-            .expect("a shell");
-        let status = self.child.wait().expect("an end");
+            .expect("the shell runs");
+        let status = self.child.wait().expect("the process is waited for");
         let log: Vec<_> = self.log.iter().collect();
-        assert!(status.success(), "{status}: {}", log.join("\n"));
+        assert!(
+            status.success(),
+            "expected a successful exit, got {status}; unread log:\n{}",
+            log.join("\n")
+        );
     }
 
-    /// Reads the log up to a line with these words.
-    pub fn logged(&mut self, words: &str) -> String {
+    /// Reads the log up to the next line that contains `words`, and returns that line.
+    ///
+    /// # Panics
+    ///
+    /// If the log ends, or no line arrives within [`WAIT_TIMEOUT`], before such a line.
+    pub fn wait_for_log(&mut self, words: &str) -> String {
         let mut lines = std::iter::from_fn(|| self.log.recv_timeout(WAIT_TIMEOUT).ok());
         let found = lines.find(|line| line.contains(words));
-        found.unwrap_or_else(|| panic!("ended or silent without {words:?}"))
+        found.unwrap_or_else(|| {
+            panic!(
+                "expected a log line with {words:?}, \
+                 but the log ended or was silent for {WAIT_TIMEOUT:?}"
+            )
+        })
     }
 
-    /// What it has logged and nobody has read.
+    /// Returns the log lines that have not been read yet.
     pub fn log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// Replaces the file and says so.
+    /// Replaces the content of the configuration file and sends `SIGHUP`, which makes the process
+    /// reload it.
     pub fn reload(&mut self, text: &str) {
-        std::fs::write(&self.file, text).expect("a file");
+        std::fs::write(&self.config_file, text).expect("the configuration file is written");
         self.signal("HUP");
     }
 }
@@ -251,6 +298,6 @@
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
-        _ = std::fs::remove_file(&self.file);
+        _ = std::fs::remove_file(&self.config_file);
     }
 }
--- a/tests/peers/servers.rs
+++ b/tests/peers/servers.rs
@@ -1,4 +1,4 @@
-//! Scripted servers: upstream servers over RESP, and any server over HTTP.
+//! Scripted servers over RESP and HTTP.
 
 use super::wait::WAIT_TIMEOUT;
 use mossrill::protocol::resp;
@@ -8,95 +8,106 @@
 use std::sync::{Arc, Mutex};
 use std::{io, thread};
 
-/// A peer: each connection that it takes is handled by `work`, with its number.
-pub fn peer(work: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
-    let work = Arc::new(work);
+/// Starts a server on a free port of loopback and returns its address. `handle` is called for each
+/// connection with its index, from 0, and its stream, on a new thread.
+pub fn peer(handle: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is bound");
+    let address = listener.local_addr().expect("the listener has an address");
+    let handle = Arc::new(handle);
     thread::spawn(move || {
-        for (number, stream) in listener.incoming().flatten().enumerate() {
-            let work = work.clone();
-            stream.set_nodelay(true).expect("a socket");
-            thread::spawn(move || work(number, stream));
+        for (index, stream) in listener.incoming().flatten().enumerate() {
+            let handle = handle.clone();
+            stream.set_nodelay(true).expect("TCP_NODELAY is set");
+            thread::spawn(move || handle(index, stream));
         }
     });
-    at
+    address
 }
 
-/// What a scripted peer does with a command or request.
-pub enum Act {
-    Say(String),
+/// Reaction of a scripted peer to a command or request.
+pub enum PeerAction {
+    /// Sends this text.
+    Reply(String),
+    /// Sends nothing and keeps the connection open.
     Hang,
+    /// Closes the connection.
     Close,
 }
 
-/// What a ticket server serves.
-pub fn serve(value: &str) -> Act {
-    Act::Say(format!(
+/// Returns the reply of an upstream server that served a request with `value`.
+pub fn served_reply(value: &str) -> PeerAction {
+    PeerAction::Reply(format!(
         "*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n",
         value.len()
     ))
 }
 
-/// The next RESP command of a connection.
-pub fn command(stream: &mut TcpStream, seen: &mut Vec<u8>) -> Option<Vec<String>> {
+/// Reads the next RESP command of a connection; `None` if the connection ends first. `buffer` keeps
+/// the bytes that were read beyond the command.
+pub fn read_command(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Vec<String>> {
     loop {
-        if let Ok(Some((words, end))) = resp::command(seen) {
+        if let Ok(Some((words, end))) = resp::command(buffer) {
             let words = words
                 .into_iter()
-                .map(|w| String::from_utf8_lossy(&seen[w]).into_owned())
+                .map(|range| String::from_utf8_lossy(&buffer[range]).into_owned())
                 .collect();
-            seen.drain(..end);
+            buffer.drain(..end);
             return Some(words);
         }
-        let mut part = [0; 4096];
-        let read = stream.read(&mut part).ok().filter(|n| *n > 0)?;
-        seen.extend_from_slice(&part[..read]);
+        let mut chunk = [0; 4096];
+        let read = stream.read(&mut chunk).ok().filter(|n| *n > 0)?;
+        buffer.extend_from_slice(&chunk[..read]);
     }
 }
 
-/// Commands that a peer saw: the connection's number and the words; `None` where the connection ended.
+/// Commands that a peer has received, each with the index of its connection; `None` stands for the
+/// end of the connection.
 pub type Seen = Receiver<(usize, Option<Vec<String>>)>;
 
-/// A peer that speaks RESP by a script.
+/// Starts a RESP server whose `script` gets the index of the connection and the words of each
+/// command. Returns its address and the commands that it receives.
 pub fn resp_peer(
-    script: impl Fn(usize, &[String]) -> Act + Send + Sync + 'static,
+    script: impl Fn(usize, &[String]) -> PeerAction + Send + Sync + 'static,
 ) -> (SocketAddr, Seen) {
-    let (tell, seen) = channel();
-    let tell = Mutex::new(tell);
-    let at = peer(move |number, mut stream| {
+    let (sender, seen) = channel();
+    let sender = Mutex::new(sender);
+    let address = peer(move |index, mut stream| {
         let mut bytes = Vec::new();
-        while let Some(words) = command(&mut stream, &mut bytes) {
-            _ = tell
+        while let Some(words) = read_command(&mut stream, &mut bytes) {
+            _ = sender
                 .lock()
-                .expect("whole")
-                .send((number, Some(words.clone())));
-            match script(number, &words) {
-                Act::Say(text) => _ = stream.write_all(text.as_bytes()),
-                Act::Hang => {}
-                Act::Close => return,
+                .expect("the lock is not poisoned")
+                .send((index, Some(words.clone())));
+            match script(index, &words) {
+                PeerAction::Reply(text) => _ = stream.write_all(text.as_bytes()),
+                PeerAction::Hang => {}
+                PeerAction::Close => return,
             }
         }
-        _ = tell.lock().expect("whole").send((number, None));
+        _ = sender
+            .lock()
+            .expect("the lock is not poisoned")
+            .send((index, None));
     });
-    (at, seen)
+    (address, seen)
 }
 
-/// The next command that a peer sees.
-pub fn next(seen: &Seen) -> (usize, Option<Vec<String>>) {
+/// Waits for the next command that a peer receives, or for the end of one of its connections.
+pub fn next_command(seen: &Seen) -> (usize, Option<Vec<String>>) {
     seen.recv_timeout(WAIT_TIMEOUT)
-        .expect("something to happen")
+        .expect("the peer receives a command or the end of a connection in time")
 }
 
-/// One HTTP message off a connection: first line, header lines, body.
-pub fn http(
-    from: &mut BufReader<TcpStream>,
-    bare: bool,
+/// Reads an HTTP message and returns its first line, its header lines and its body. With
+/// `without_body`, no body is read, whatever length the headers give.
+pub fn read_http_message(
+    reader: &mut BufReader<TcpStream>,
+    without_body: bool,
 ) -> io::Result<(String, Vec<String>, String)> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
-        if from.read_line(&mut line)? == 0 {
+        if reader.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         match line.trim_end() {
@@ -104,37 +115,38 @@
             line => lines.push(line.to_owned()),
         }
     }
-    let length = lines.iter().find_map(|l| {
-        l.to_ascii_lowercase()
+    let length = lines.iter().find_map(|line| {
+        line.to_ascii_lowercase()
             .strip_prefix("content-length: ")?
             .parse()
             .ok()
     });
-    let mut body = vec![0; if bare { 0 } else { length.unwrap_or(0) }];
-    from.read_exact(&mut body)?;
+    let mut body = vec![0; if without_body { 0 } else { length.unwrap_or(0) }];
+    reader.read_exact(&mut body)?;
     let first = lines.remove(0);
     Ok((first, lines, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// A peer that speaks HTTP by a script, which gets the first line, the header lines and the body.
+/// Starts an HTTP server whose `script` gets the first line, the header lines and the body of each
+/// request. Returns its address.
 pub fn http_peer(
-    script: impl Fn(&str, &[String], &str) -> Act + Send + Sync + 'static,
+    script: impl Fn(&str, &[String], &str) -> PeerAction + Send + Sync + 'static,
 ) -> SocketAddr {
     peer(move |_, stream| {
-        let mut from = BufReader::new(stream);
-        while let Ok((first, headers, body)) = http(&mut from, false) {
+        let mut reader = BufReader::new(stream);
+        while let Ok((first, headers, body)) = read_http_message(&mut reader, false) {
             match script(&first, &headers, &body) {
-                Act::Say(text) => _ = from.get_mut().write_all(text.as_bytes()),
-                Act::Hang => {}
-                Act::Close => return,
+                PeerAction::Reply(text) => _ = reader.get_mut().write_all(text.as_bytes()),
+                PeerAction::Hang => {}
+                PeerAction::Close => return,
             }
         }
     })
 }
 
-/// An HTTP answer with a body.
-pub fn answer(status: &str, body: &str) -> Act {
-    Act::Say(format!(
+/// Returns an HTTP answer with this status and body.
+pub fn answer(status: &str, body: &str) -> PeerAction {
+    PeerAction::Reply(format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
--- a/tests/peers/stores.rs
+++ b/tests/peers/stores.rs
@@ -1,55 +1,63 @@
-//! Scripted quota counter and service discovery.
+//! Scripted quota counters and service discovery.
 
-use super::servers::{answer, http_peer, Act};
+use super::servers::{answer, http_peer, PeerAction};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// The name and the amount of a call of the counter.
-pub fn counted(first: &str) -> (String, f64) {
-    let (name, rest) = first
+/// Returns the name of the counter and the amount to add from the request line of a call to the
+/// quota counter.
+pub fn parse_counter_call(request_line: &str) -> (String, f64) {
+    let (name, rest) = request_line
         .trim_start_matches("POST /v1/count/")
         .split_once('?')
-        .expect("a call");
-    let by = rest
+        .expect("the call has a query");
+    let amount = rest
         .trim_start_matches("add=")
         .split('&')
         .next()
-        .and_then(|b| b.parse().ok());
-    (name.to_owned(), by.expect("an amount"))
+        .and_then(|text| text.parse().ok());
+    (name.to_owned(), amount.expect("the call adds a number"))
 }
 
-/// A counter that adds, over HTTP.
+/// Starts a quota counter over HTTP. Returns its address and the totals by counter name.
 pub fn quota_counter() -> (SocketAddr, Arc<Mutex<HashMap<String, f64>>>) {
     let totals: Arc<Mutex<HashMap<String, f64>>> = Arc::default();
-    let own = totals.clone();
-    let at = http_peer(move |first, _, _| {
-        let (name, by) = counted(first);
-        let mut totals = own.lock().expect("whole");
+    let shared_totals = totals.clone();
+    let address = http_peer(move |request_line, _, _| {
+        let (name, amount) = parse_counter_call(request_line);
+        let mut totals = shared_totals.lock().expect("the lock is not poisoned");
         let total = totals.entry(name).or_default();
-        *total += by;
+        *total += amount;
         answer("200 OK", &total.to_string())
     });
-    (at, totals)
+    (address, totals)
 }
 
-/// A server list that tells of these servers when asked for it whole, and has no further news.
-pub fn whole_list(servers: Vec<Value>) -> SocketAddr {
+/// Starts service discovery that answers a request with the full list of these servers, and never
+/// sends an update on a watch.
+pub fn discovery_with_full_list(servers: Vec<Value>) -> SocketAddr {
     let list = json!({"generation": 3, "reset": true, "instances": servers}).to_string();
-    http_peer(move |first, _, _| match first.contains("watch") {
-        true => Act::Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into()),
-        false => answer("200 OK", &list),
-    })
+    http_peer(
+        move |request_line, _, _| match request_line.contains("watch") {
+            true => {
+                PeerAction::Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into())
+            }
+            false => answer("200 OK", &list),
+        },
+    )
 }
 
-/// A server list that says nothing after the head of its watch.
-pub fn quiet_list() -> SocketAddr {
-    http_peer(|_, _, _| Act::Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into()))
+/// Starts service discovery that sends nothing after the head of its answer.
+pub fn silent_discovery() -> SocketAddr {
+    http_peer(|_, _, _| {
+        PeerAction::Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into())
+    })
 }
 
-/// An entry of the server list.
-pub fn entry(name: &str, at: SocketAddr, lifecycle: &str) -> Value {
-    json!({"instanceId": name, "hostPort": at.to_string(), "zone": "z", "cell": 0, "lifecycle": lifecycle,
+/// Returns an entry of the endpoint list.
+pub fn endpoint_entry(name: &str, address: SocketAddr, lifecycle: &str) -> Value {
+    json!({"instanceId": name, "hostPort": address.to_string(), "zone": "z", "cell": 0, "lifecycle": lifecycle,
         "weight": 1.0, "startedAtMs": 0})
 }
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -1,8 +1,9 @@
 //! Service discovery, configuration changes and shutdown.
 
 use crate::peers::{
-    answer, asking, entry, http, http_peer, limiter, next, peer, quiet_list, quota_counter,
-    resp_peer, serve, settings, until, whole_list, Act, Client, Program,
+    answer, discovery_with_full_list, endpoint_entry, http_peer, limiter, next_command, peer,
+    quota_counter, read_http_message, request_command, resp_peer, served_reply, settings,
+    silent_discovery, wait_until, Client, PeerAction, Program,
 };
 use crate::support::started_limiter;
 use std::io::Write;
@@ -10,15 +11,15 @@
 
 #[test]
 fn service_discovery_is_followed_over_a_broken_watch() {
-    let (old, _) = resp_peer(|_, _| serve("old"));
-    let (new, _) = resp_peer(|_, _| serve("new"));
+    let (old, _) = resp_peer(|_, _| served_reply("old"));
+    let (new, _) = resp_peer(|_, _| served_reply("new"));
     let (request_sender, requests) = std::sync::mpsc::channel();
     let request_sender = std::sync::Mutex::new(request_sender);
     // The first watch is closed at once. The second one sends a list without the old server, in two
     // chunks.
     let discovery = peer(move |number, stream| {
         let mut from = std::io::BufReader::new(stream);
-        let Ok((request_line, ..)) = http(&mut from, false) else {
+        let Ok((request_line, ..)) = read_http_message(&mut from, false) else {
             return;
         };
         _ = request_sender
@@ -26,7 +27,7 @@
             .expect("lock poisoned by a panic of another connection")
             .send(request_line);
         if number > 0 {
-            let server = entry("s-2", new, "in_service");
+            let server = endpoint_entry("s-2", new, "in_service");
             let line = serde_json::json!({"generation": 9, "reset": true, "instances": [server]})
                 .to_string()
                 + "\n";
@@ -40,11 +41,11 @@
             from.get_mut()
                 .write_all((head.to_owned() + &chunks).as_bytes())
                 .expect("the limiter closed the watch before the list was written");
-            _ = http(&mut from, false);
+            _ = read_http_message(&mut from, false);
         }
     });
     let limiter = limiter(&settings(discovery, quota_counter().0, &[("s-1", old)]));
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     let watch_requests = [
         requests
             .recv()
@@ -56,11 +57,11 @@
     // The old server serves requests until the new list is applied, and none after that.
     let mut answers = Vec::new();
     while answers.last().is_none_or(|answer| answer != "new") {
-        client.ask("look", "id", 1500);
-        answers.push(client.answer());
+        client.send_request("look", "id", 1500);
+        answers.push(client.read_reply());
     }
-    client.ask("look", "id", 1500);
-    assert_eq!(client.answer(), "new");
+    client.send_request("look", "id", 1500);
+    assert_eq!(client.read_reply(), "new");
     insta::assert_snapshot!(watch_requests.join("\n"));
 }
 
@@ -68,15 +69,18 @@
 fn shutdown_serves_accepted_requests_and_closes_idle_connections() {
     let (server, seen) = resp_peer(|_, words| {
         std::thread::sleep(std::time::Duration::from_millis(700));
-        serve(&words[2])
+        served_reply(&words[2])
     });
     let limiter = started_limiter(&[("s-1", server)]);
-    let (mut idle, mut busy) = (Client::ready(&limiter), Client::ready(&limiter));
-    busy.ask("look", "id-1", 2000);
-    next(&seen);
+    let (mut idle, mut busy) = (
+        Client::connect_when_ready(&limiter),
+        Client::connect_when_ready(&limiter),
+    );
+    busy.send_request("look", "id-1", 2000);
+    next_command(&seen);
     limiter.stop();
     assert_eq!(
-        (busy.answer(), busy.line(), idle.line()),
+        (busy.read_reply(), busy.line(), idle.line()),
         ("id-1".into(), String::new(), String::new())
     );
 }
@@ -115,31 +119,32 @@
         } else {
             0
         }));
-        serve("old")
+        served_reply("old")
     });
-    let (new, _) = resp_peer(|_, _| serve("new"));
+    let (new, _) = resp_peer(|_, _| served_reply("new"));
     let (counter, totals) = quota_counter();
-    let mut settings = settings(quiet_list(), quota_counter().0, &[("s-1", slow)]);
+    let mut settings = settings(silent_discovery(), quota_counter().0, &[("s-1", slow)]);
     settings["settings"]["balancers"] = 2.into();
     let mut program = Program::start("reload", &settings);
-    let mut open = Client::ready_at(program.at);
-    open.say(&asking("look", "open", 1500).replace("spread=1", "spread=2"));
-    next(&seen);
+    let mut open = Client::connect_when_ready_at(program.client_address);
+    open.send(&request_command("look", "open", 1500).replace("spread=1", "spread=2"));
+    next_command(&seen);
     // The list of another discovery server is applied even though its generation is lower than that
     // of the known list.
-    settings["discovery"] = whole_list(vec![entry("s-2", new, "in_service")])
-        .to_string()
-        .into();
+    settings["discovery"] =
+        discovery_with_full_list(vec![endpoint_entry("s-2", new, "in_service")])
+            .to_string()
+            .into();
     settings["counter"] = counter.to_string().into();
     program.reload(&settings.to_string());
-    program.logged("endpoint update, endpoints: 1, full: true");
-    let mut client = Client::ready_at(program.at);
-    client.say(&asking("look", "id", 1500).replace("spread=1", "spread=2"));
+    program.wait_for_log("endpoint update, endpoints: 1, full: true");
+    let mut client = Client::connect_when_ready_at(program.client_address);
+    client.send(&request_command("look", "id", 1500).replace("spread=1", "spread=2"));
     assert_eq!(
-        (open.answer(), client.answer()),
+        (open.read_reply(), client.read_reply()),
         ("old".into(), "new".into())
     );
-    until(
+    wait_until(
         || {
             totals
                 .lock()
@@ -151,30 +156,33 @@
     settings["counter"] = "nowhere".into();
     program.reload(&settings.to_string());
     let error = program
-        .logged("configuration rejected")
+        .wait_for_log("configuration rejected")
         .split("error: ")
         .last()
         .map(|text| text.split("key").last().map(str::to_owned));
-    client.ask("look", "id", 1500);
-    insta::assert_snapshot!(format!("{:?}\n{}", error.flatten(), client.answer()));
+    client.send_request("look", "id", 1500);
+    insta::assert_snapshot!(format!("{:?}\n{}", error.flatten(), client.read_reply()));
 }
 
 #[test]
 fn limiter_is_ready_with_its_configured_list_before_discovery_or_the_counter_answers() {
     /// What a peer does with a request, given its request line.
-    type Script = fn(&str) -> Act;
-    let silent: Script = |_| Act::Hang;
-    let closing: Script = |_| Act::Close;
+    type Script = fn(&str) -> PeerAction;
+    let silent: Script = |_| PeerAction::Hang;
+    let closing: Script = |_| PeerAction::Close;
     let refusing: Script = |_| answer("503 Service Unavailable", "");
     for (discovery, counter) in [(silent, closing), (closing, silent), (refusing, refusing)] {
-        let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+        let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
         let discovery = http_peer(move |request_line, _, _| discovery(request_line));
         let counter = http_peer(move |request_line, _, _| counter(request_line));
         let mut settings = settings(discovery, counter, &[("s-1", server)]);
         settings["control"] = "127.0.0.1:0".into();
         let program = Program::start("configured-list", &settings);
         program.call_until("ready", "YES");
-        let ask = || Client::try_at(program.at)?.try_ask(&asking("look", "first", 1500));
-        until(ask, |answer| answer.as_deref() == Some("first"));
+        let ask = || {
+            Client::try_connect_at(program.client_address)?
+                .try_request(&request_command("look", "first", 1500))
+        };
+        wait_until(ask, |answer| answer.as_deref() == Some("first"));
     }
 }
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -2,8 +2,8 @@
 //! clients.
 
 use crate::peers::{
-    asking, entry, http_peer, quota_counter, resp_peer, serve, settings, until, Act, Client,
-    Program,
+    endpoint_entry, http_peer, quota_counter, request_command, resp_peer, served_reply, settings,
+    wait_until, Client, PeerAction, Program,
 };
 use crate::support::limiter_with_40_connections;
 use std::collections::VecDeque;
@@ -17,9 +17,9 @@
 #[test]
 fn silent_connections_evict_each_other_and_not_a_client_with_requests() {
     let limiter = limiter_with_40_connections();
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "id-0", 1500);
-    assert_eq!(client.answer(), "id-0");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "id-0", 1500);
+    assert_eq!(client.read_reply(), "id-0");
     // Every second connection sends part of a command, the others send nothing.
     let silent = (0..200).map(|number| {
         let mut connection = Client::connect(&limiter);
@@ -31,11 +31,11 @@
         connection
     });
     let silent: Vec<Client> = silent.collect();
-    client.ask("look", "id-1", 1500);
+    client.send_request("look", "id-1", 1500);
     let mut other = Client::connect(&limiter);
-    other.ask("look", "id-2", 1500);
+    other.send_request("look", "id-2", 1500);
     assert_eq!(
-        (client.answer(), other.answer()),
+        (client.read_reply(), other.read_reply()),
         ("id-1".into(), "id-2".into())
     );
     drop(silent);
@@ -44,13 +44,15 @@
 #[test]
 fn connections_with_pings_only_evict_each_other_and_not_a_client_with_requests() {
     let limiter = limiter_with_40_connections();
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "id-1", 1500);
-    assert_eq!(client.answer(), "id-1");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "id-1", 1500);
+    assert_eq!(client.read_reply(), "id-1");
     // Each connection is active later than the client was last.
-    let ping_only: Vec<Client> = (0..60).map(|_| Client::ready(&limiter)).collect();
-    client.ask("look", "id-2", 1500);
-    assert_eq!(client.answer(), "id-2");
+    let ping_only: Vec<Client> = (0..60)
+        .map(|_| Client::connect_when_ready(&limiter))
+        .collect();
+    client.send_request("look", "id-2", 1500);
+    assert_eq!(client.read_reply(), "id-2");
     drop(ping_only);
 }
 
@@ -101,7 +103,7 @@
     /// Waits until the threads have opened over 300 more connections, which is more than they hold.
     fn wait_for_more_connections(&self) {
         let before = self.opened.load(Ordering::SeqCst);
-        until(
+        wait_until(
             || self.opened.load(Ordering::SeqCst),
             |opened| *opened > before + 300,
         );
@@ -119,12 +121,12 @@
 #[test]
 fn idle_clients_at_the_connection_limit_leave_discovery_counter_and_admin_interface_reachable() {
     let (old, new) = (
-        resp_peer(|_, _| serve("old")).0,
-        resp_peer(|_, _| serve("new")).0,
+        resp_peer(|_, _| served_reply("old")).0,
+        resp_peer(|_, _| served_reply("new")).0,
     );
     let change = [
-        entry("s-1", old, "terminating"),
-        entry("s-2", new, "in_service"),
+        endpoint_entry("s-1", old, "terminating"),
+        endpoint_entry("s-2", new, "in_service"),
     ];
     let update =
         serde_json::json!({"generation": 9, "reset": false, "instances": change}).to_string();
@@ -132,10 +134,10 @@
     let is_available = available.clone();
     // While it is unavailable, service discovery accepts every request and sends no response.
     let discovery = http_peer(move |_, _, _| match is_available.load(Ordering::SeqCst) {
-        false => Act::Hang,
+        false => PeerAction::Hang,
         true => {
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            Act::Say(format!("{head}{:x}\r\n{update}\r\n", update.len()))
+            PeerAction::Reply(format!("{head}{:x}\r\n{update}\r\n", update.len()))
         }
     });
     let (counter, totals) = quota_counter();
@@ -144,12 +146,13 @@
     settings["limits"]["sockets"] = 128.into();
     settings["settings"]["balancers"] = 2.into();
     let program = Program::start_bounded("idle-clients", &settings);
-    let idle = IdleClients::start(program.at);
+    let idle = IdleClients::start(program.client_address);
     idle.wait_for_more_connections();
     // At the limit a new connection may be closed before its request is read, so clients retry.
     let ask = |id: &str| {
-        let text = asking("look", id, 1500).replace("spread=1", "spread=2");
-        Client::try_at(program.at).and_then(|mut client| client.try_ask(&text))
+        let text = request_command("look", id, 1500).replace("spread=1", "spread=2");
+        Client::try_connect_at(program.client_address)
+            .and_then(|mut client| client.try_request(&text))
     };
     for number in 0..10 {
         assert!(program.call("show-stat").ends_with("END\n"));
@@ -160,7 +163,7 @@
             descriptors < 100,
             "{descriptors} file descriptors are open, expected fewer than 100 of 128"
         );
-        until(
+        wait_until(
             || ask(&format!("unavailable-{number}")),
             |answer| answer.as_deref() == Some("old"),
         );
@@ -174,22 +177,22 @@
         "no call reached the counter while idle clients held connections"
     );
     available.store(true, Ordering::SeqCst);
-    until(
+    wait_until(
         || ask("available"),
         |answer| answer.as_deref() == Some("new"),
     );
     idle.stop();
-    program.ends();
+    program.terminate();
 }
 
 #[test]
 fn clients_that_keep_idle_connections_leave_room_for_others() {
     let limiter = limiter_with_40_connections();
-    drop(Client::ready(&limiter));
+    drop(Client::connect_when_ready(&limiter));
     let mut held: Vec<Client> = (0..30).map(|_| Client::connect(&limiter)).collect();
     for (number, client) in held.iter_mut().enumerate() {
-        client.ask("look", &format!("id-{number}"), 1500);
-        assert_eq!(client.answer(), format!("id-{number}"));
+        client.send_request("look", &format!("id-{number}"), 1500);
+        assert_eq!(client.read_reply(), format!("id-{number}"));
     }
     // Clients may hold 32 connections. Those that have been idle for longest are closed until three
     // quarters of 32 are open, well before the idle time-out of a connection.
@@ -197,18 +200,21 @@
         assert_eq!(client.line(), "");
     }
     for client in &mut held[6..] {
-        client.ask("look", "again", 1500);
-        assert_eq!(client.answer(), "again");
+        client.send_request("look", "again", 1500);
+        assert_eq!(client.read_reply(), "again");
     }
 }
 
 #[test]
 fn slowly_writing_client_is_not_evicted_by_connections_with_incomplete_commands() {
     let limiter = limiter_with_40_connections();
-    drop(Client::ready(&limiter));
+    drop(Client::connect_when_ready(&limiter));
     // The client takes longer for its command than the time-out of an incomplete command. Of the
     // connections without a request it is the oldest, but not the one inactive for longest.
-    let (mut slow, text) = (Client::connect(&limiter), asking("look", "slow", 1500));
+    let (mut slow, text) = (
+        Client::connect(&limiter),
+        request_command("look", "slow", 1500),
+    );
     let chunks: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(12)).collect();
     let mut stalled_connections = Vec::new();
     for chunk in chunks {
@@ -222,8 +228,8 @@
             stalled_connections.push(stalled);
         }
         // Once a later connection is served, all of these have been accepted.
-        drop(Client::ready(&limiter));
+        drop(Client::connect_when_ready(&limiter));
         std::thread::sleep(std::time::Duration::from_millis(250));
     }
-    assert_eq!(slow.answer(), "slow");
+    assert_eq!(slow.read_reply(), "slow");
 }
--- a/tests/platform/malformed.rs
+++ b/tests/platform/malformed.rs
@@ -1,15 +1,16 @@
 //! Malformed input from clients and from upstream servers.
 
 use crate::peers::{
-    asking, limiter, next, quiet_list, quota_counter, resp_peer, serve, settings, Act, Client,
+    limiter, next_command, quota_counter, request_command, resp_peer, served_reply, settings,
+    silent_discovery, Client, PeerAction,
 };
 use crate::support::started_limiter;
 
 #[test]
 fn malformed_input_is_answered_and_closes_only_its_own_connection() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut persistent_client = Client::ready(&limiter);
+    let mut persistent_client = Client::connect_when_ready(&limiter);
     let mut replies = Vec::new();
     for text in [
         "GET / HTTP/1.1\r\n\r\n".to_owned(),
@@ -18,18 +19,18 @@
         "*2\r\n$4\r\nPING\r\n:1\r\n".into(),
     ] {
         let mut client = Client::connect(&limiter);
-        client.say(&text);
+        client.send(&text);
         replies.push(format!("{} then {:?}", client.line(), client.line()));
     }
     for text in [
-        asking("dance", "id-1", 500),
-        asking("look", "id-2", 500).replace("t=basic", "t=nobod"),
-        asking("look", "id-3", 500).replace("d=500", "d=-50"),
-        asking("look", "id-4", 500).replace("units=2", "units=x"),
-        asking("look", "id-5", 500),
+        request_command("dance", "id-1", 500),
+        request_command("look", "id-2", 500).replace("t=basic", "t=nobod"),
+        request_command("look", "id-3", 500).replace("d=500", "d=-50"),
+        request_command("look", "id-4", 500).replace("units=2", "units=x"),
+        request_command("look", "id-5", 500),
     ] {
-        persistent_client.say(&text);
-        replies.push(persistent_client.answer());
+        persistent_client.send(&text);
+        replies.push(persistent_client.read_reply());
     }
     insta::assert_snapshot!(replies.join("\n"));
 }
@@ -38,15 +39,15 @@
 fn invalid_request_is_rejected_before_the_engine_or_a_server_sees_it() {
     let (server, seen) = resp_peer(|_, words| {
         if words[2] == "open" {
-            Act::Hang
+            PeerAction::Hang
         } else {
-            serve(&words[2])
+            served_reply(&words[2])
         }
     });
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut open = Client::ready(&limiter);
-    open.ask("pay", "open", 1500);
-    next(&seen);
+    let mut open = Client::connect_when_ready(&limiter);
+    open.send_request("pay", "open", 1500);
+    next_command(&seen);
     let mut replies = Vec::new();
     for (original, replacement) in [
         ("00000000b4d65521", "000000200000000"),
@@ -66,7 +67,7 @@
         ("d=500", "d=inf"),
         ("d=500,", ""),
     ] {
-        let mut command = asking("hold", "id", 500).replacen(original, replacement, 1);
+        let mut command = request_command("hold", "id", 500).replacen(original, replacement, 1);
         // Encodes the command anew, with the lengths of the changed words.
         let words: Vec<String> = command
             .split("\r\n")
@@ -79,8 +80,8 @@
             .iter()
             .for_each(|word| command += &format!("${}\r\n{word}\r\n", word.len()));
         let mut client = Client::connect(&limiter);
-        client.say(&command);
-        replies.push(format!("{replacement}: {}", client.answer()));
+        client.send(&command);
+        replies.push(format!("{replacement}: {}", client.read_reply()));
     }
     assert!(
         seen.try_iter().next().is_none(),
@@ -91,23 +92,23 @@
 
 #[test]
 fn silent_half_written_and_malformed_connections_are_closed() {
-    let (server, _seen) = resp_peer(|_, _| Act::Hang);
-    let mut settings = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let (server, _seen) = resp_peer(|_, _| PeerAction::Hang);
+    let mut settings = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     for time in ["slo", "deadline"] {
         settings["settings"]["classes"][2][time] = 30_000_000.into();
     }
     let limiter = limiter(&settings);
     // Pings are answered with +PONG from now on.
-    drop(Client::ready(&limiter));
-    let address = limiter.at;
+    drop(Client::connect_when_ready(&limiter));
+    let address = limiter.client_address;
     let last_lines = |text: String| {
         let mut client = Client::connect_at(address);
-        client.say(&text);
+        client.send(&text);
         let lines: Vec<String> =
             std::iter::from_fn(|| Some(client.line()).filter(|line| !line.is_empty())).collect();
         lines[lines.len().saturating_sub(2)..].join(" / ")
     };
-    let open = |id: &str| asking("pay", id, 30_000);
+    let open = |id: &str| request_command("pay", id, 30_000);
     let texts = [
         String::new(),
         "*4\r\n$9\r\nSVC.Q".into(),
@@ -117,7 +118,7 @@
         // does not have to wait for the deadline of the request.
         open("open-1") + "*x\r\n",
         open("open-2") + &"*1\r\n$4\r\nPING\r\n".repeat(100),
-        asking("dance", "id", 500).repeat(20),
+        request_command("dance", "id", 500).repeat(20),
     ];
     let replies: Vec<String> = std::thread::scope(|scope| {
         let clients = texts.map(|text| scope.spawn(|| last_lines(text)));
@@ -159,16 +160,16 @@
             .expect("lock poisoned by a panic of another connection")
             .next()
         {
-            Some(text) => Act::Say(text),
-            None => serve(&words[2]),
+            Some(text) => PeerAction::Reply(text),
+            None => served_reply(&words[2]),
         }
     });
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     let mut replies = Vec::new();
     for number in 0..=count {
-        client.ask("pay", &format!("pay-{number}"), 1500);
-        replies.push(client.answer());
+        client.send_request("pay", &format!("pay-{number}"), 1500);
+        replies.push(client.read_reply());
         // A connection is reused only some time after its last response.
         std::thread::sleep(std::time::Duration::from_millis(60));
     }
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -1,6 +1,8 @@
 //! Requests, retries and answers between clients and upstream servers.
 
-use crate::peers::{asking, next, peer, resp_peer, serve, Act, Client};
+use crate::peers::{
+    next_command, peer, request_command, resp_peer, served_reply, Client, PeerAction,
+};
 use crate::support::started_limiter;
 use mossrill::upstream::is_open_and_silent;
 use std::net::SocketAddr;
@@ -27,14 +29,14 @@
 
 #[test]
 fn request_is_forwarded_unchanged_and_its_value_returned() {
-    let (server, seen) = resp_peer(|_, words| serve(&format!("value of {}", words[2])));
+    let (server, seen) = resp_peer(|_, words| served_reply(&format!("value of {}", words[2])));
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "id-1", 1500);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "id-1", 1500);
     insta::assert_snapshot!(format!(
         "{}\n{}",
-        normalized(next(&seen).1),
-        client.answer()
+        normalized(next_command(&seen).1),
+        client.read_reply()
     ));
 }
 
@@ -54,15 +56,17 @@
         }
         *done = true;
         changed.notify_all();
-        serve(&words[2])
+        served_reply(&words[2])
     });
     // With two servers: the initial concurrency limit is one attempt per server.
     let limiter = started_limiter(&[("s-1", server), ("s-2", server)]);
-    let mut client = Client::ready(&limiter);
-    let text = asking("look", "slow", 1500) + &asking("look", "quick", 1500) + "*1\r\n$4\r\nPI";
-    client.say(&text);
-    client.say("NG\r\n*2\r\n$3\r\nWAT\r\n$1\r\nx\r\n");
-    let answers: Vec<String> = (0..4).map(|_| client.answer()).collect();
+    let mut client = Client::connect_when_ready(&limiter);
+    let text = request_command("look", "slow", 1500)
+        + &request_command("look", "quick", 1500)
+        + "*1\r\n$4\r\nPI";
+    client.send(&text);
+    client.send("NG\r\n*2\r\n$3\r\nWAT\r\n$1\r\nx\r\n");
+    let answers: Vec<String> = (0..4).map(|_| client.read_reply()).collect();
     insta::assert_snapshot!(answers.join("\n"));
 }
 
@@ -74,23 +78,23 @@
     let (server, seen) =
         resp_peer(
             move |_, words| match count.fetch_add(1, Ordering::SeqCst) % 2 {
-                0 => Act::Close,
-                _ => serve(&words[2]),
+                0 => PeerAction::Close,
+                _ => served_reply(&words[2]),
             },
         );
-    let (other, other_seen) = resp_peer(|_, words| serve(&words[2]));
+    let (other, other_seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
-    client.ask("pay", "pay-1", 1500);
-    let pay_answer = client.answer();
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("pay", "pay-1", 1500);
+    let pay_answer = client.read_reply();
     assert_eq!(
-        next(&seen)
+        next_command(&seen)
             .1
             .expect("the connection was closed without a command")[2],
         "pay-1"
     );
-    client.ask("look", "look-1", 1500);
-    let look_answer = client.answer();
+    client.send_request("look", "look-1", 1500);
+    let look_answer = client.read_reply();
     drop((other, other_seen));
     insta::assert_snapshot!(format!("pay: {pay_answer}\nlook: {look_answer}"));
     // The payment is not idempotent, so the server got only one command for it.
@@ -105,13 +109,13 @@
     // Port 1 is below the ephemeral range. A port that was bound and released could belong to a
     // peer of another test by the time of the attempt.
     let absent = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (rejecting, _) = resp_peer(|_, _| Act::Say("-BUSY queue full\r\n".into()));
-    let (serving, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (rejecting, _) = resp_peer(|_, _| PeerAction::Reply("-BUSY queue full\r\n".into()));
+    let (serving, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = started_limiter(&[("s-1", absent), ("s-2", rejecting), ("s-3", serving)]);
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     for number in 0..6 {
-        client.ask("pay", &format!("pay-{number}"), 1500);
-        assert_eq!(client.answer(), format!("pay-{number}"));
+        client.send_request("pay", &format!("pay-{number}"), 1500);
+        assert_eq!(client.read_reply(), format!("pay-{number}"));
     }
 }
 
@@ -119,33 +123,33 @@
 fn request_at_a_silent_server_times_out_and_its_late_answer_is_dropped() {
     let (server, seen) = resp_peer(|_, words| {
         if words[2] == "pay-1" {
-            Act::Hang
+            PeerAction::Hang
         } else {
-            serve(&words[2])
+            served_reply(&words[2])
         }
     });
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
-    client.ask("pay", "pay-1", 300);
-    let first = client.answer();
-    let (connection, _) = next(&seen);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("pay", "pay-1", 300);
+    let first = client.read_reply();
+    let (connection, _) = next_command(&seen);
     // The limiter cancelled the attempt by closing its connection.
-    assert_eq!(next(&seen), (connection, None));
-    client.ask("look", "look-1", 1500);
-    insta::assert_snapshot!(format!("{first}\n{}", client.answer()));
+    assert_eq!(next_command(&seen), (connection, None));
+    client.send_request("look", "look-1", 1500);
+    insta::assert_snapshot!(format!("{first}\n{}", client.read_reply()));
 }
 
 #[test]
 fn abandoned_idempotent_request_is_answered_with_retry_after() {
     // Guards against rejections without a retry time: clients retried at once and were rejected
     // again.
-    let (server, _seen) = resp_peer(|_, _| Act::Hang);
+    let (server, _seen) = resp_peer(|_, _| PeerAction::Hang);
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "look-1", 300);
-    assert_eq!(client.answer(), "-BUSY 200");
-    client.ask("look", "look-2", 20);
-    assert_eq!(client.answer(), "-BUSY 200");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "look-1", 300);
+    assert_eq!(client.read_reply(), "-BUSY 200");
+    client.send_request("look", "look-2", 20);
+    assert_eq!(client.read_reply(), "-BUSY 200");
 }
 
 #[test]
@@ -172,15 +176,15 @@
 
 #[test]
 fn attempts_of_a_closed_client_are_cancelled() {
-    let (server, seen) = resp_peer(|_, _| Act::Hang);
+    let (server, seen) = resp_peer(|_, _| PeerAction::Hang);
     let limiter = started_limiter(&[("s-1", server)]);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "look-1", 1500);
-    let (connection, words) = next(&seen);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "look-1", 1500);
+    let (connection, words) = next_command(&seen);
     assert!(
         words.is_some(),
         "the connection was closed without a command"
     );
     drop(client);
-    assert_eq!(next(&seen), (connection, None));
+    assert_eq!(next_command(&seen), (connection, None));
 }
--- a/tests/platform/support.rs
+++ b/tests/platform/support.rs
@@ -1,17 +1,19 @@
 //! Limiters with settings that several tests share.
 
-use crate::peers::{limiter, quiet_list, quota_counter, resp_peer, serve, settings, Running};
+use crate::peers::{
+    limiter, quota_counter, resp_peer, served_reply, settings, silent_discovery, Running,
+};
 use std::net::SocketAddr;
 
 /// Starts a limiter whose discovery sends no update and whose counter answers.
 pub fn started_limiter(servers: &[(&str, SocketAddr)]) -> Running {
-    limiter(&settings(quiet_list(), quota_counter().0, servers))
+    limiter(&settings(silent_discovery(), quota_counter().0, servers))
 }
 
 /// Starts a limiter with a limit of 40 client connections, of which clients may hold 32.
 pub fn limiter_with_40_connections() -> Running {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut settings = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let mut settings = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     settings["limits"]["sockets"] = 96.into();
     limiter(&settings)
 }
--- a/tests/quota_lease_processes/cluster.rs
+++ b/tests/quota_lease_processes/cluster.rs
@@ -103,7 +103,9 @@
 
     /// Starts clients at all limiters.
     pub fn start_load(&mut self) {
-        self.load = Some(Load::start(self.limiters.iter().map(|limiter| limiter.at)));
+        self.load = Some(Load::start(
+            self.limiters.iter().map(|limiter| limiter.client_address),
+        ));
     }
 
     /// Returns the number of the allocator that owns the account while all allocators serve.
@@ -179,11 +181,11 @@
             self.name,
             self.served_requests.count()
         );
-        self.limiters.into_iter().for_each(Program::ends);
+        self.limiters.into_iter().for_each(Program::terminate);
         self.allocators
             .into_iter()
             .flatten()
-            .for_each(Program::ends);
+            .for_each(Program::terminate);
     }
 }
 
@@ -195,7 +197,7 @@
 ) -> String {
     let started_at = Instant::now();
     loop {
-        let line = program.logged("");
+        let line = program.wait_for_log("");
         if line.contains(text) && is_expected(&line) {
             return line;
         }
--- a/tests/quota_lease_processes/connections.rs
+++ b/tests/quota_lease_processes/connections.rs
@@ -42,8 +42,10 @@
         idle: RECOVERY_TIMEOUT,
         frame: RECOVERY_TIMEOUT,
     };
-    let connect =
-        |_| TcpStream::connect(allocator.at).expect("connecting to the allocator should succeed");
+    let connect = |_| {
+        TcpStream::connect(allocator.client_address)
+            .expect("connecting to the allocator should succeed")
+    };
     let start = Instant::now();
     let limiters: Vec<TcpStream> = (0..MANY_LIMITERS).map(connect).collect();
     println!(
@@ -89,7 +91,7 @@
             );
         }
     }
-    let (ticks, memory) = allocator.used();
+    let (ticks, memory) = allocator.cpu_ticks_and_memory_kb();
     let reports = u64::from(MANY_LIMITERS) * REPORTS_PER_LIMITER;
     println!(
         "many-limiters: {reports} reports of {ACCOUNTS_PER_REPORT} accounts, \
@@ -111,7 +113,7 @@
     wait_for_log_line(&mut allocator, "figures", |line| {
         metric_value(line, "connections") == 0
     });
-    allocator.ends();
+    allocator.terminate();
 }
 
 /// Asserts that the allocator closes a connection on which `bytes` were sent.
--- a/tests/quota_lease_processes/load.rs
+++ b/tests/quota_lease_processes/load.rs
@@ -1,7 +1,7 @@
 //! Load on the limiters: clients that send one request after another.
 
 use crate::files::ACCOUNT;
-use crate::peers::http;
+use crate::peers::read_http_message;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -81,7 +81,7 @@
             "GET /v1/sailings/{number}/seats HTTP/1.1\r\nHost: x\r\nX-Agent-Account: {ACCOUNT}\r\n\r\n"
         );
         if connection.get_mut().write_all(text.as_bytes()).is_err()
-            || http(&mut connection, false).is_err()
+            || read_http_message(&mut connection, false).is_err()
         {
             return;
         }
--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -2,8 +2,8 @@
 //! upstream server.
 
 use crate::peers::{
-    answer, asking, asking_for, counted, http_peer, limiter, next, quiet_list, resp_peer, serve,
-    Client, Running, Seen,
+    answer, http_peer, limiter, next_command, parse_counter_call, request_command,
+    request_command_for, resp_peer, served_reply, silent_discovery, Client, Running, Seen,
 };
 use crate::support::{
     close, gated_server, malformed_commands, request_ids, settings_with_long_deadlines,
@@ -30,22 +30,22 @@
 ) {
     let (server, gate, seen) = gated_server("first");
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server)],
     ));
-    let mut first = Client::ready(&limiter);
-    first.ask("look", "first", 20_000);
-    next(&seen);
-    let mut closing_client = Client::ready(&limiter);
-    closing_client.say(&(asking("look", "left", 20_000) + sent_after));
+    let mut first = Client::connect_when_ready(&limiter);
+    first.send_request("look", "first", 20_000);
+    next_command(&seen);
+    let mut closing_client = Client::connect_when_ready(&limiter);
+    closing_client.send(&(request_command("look", "left", 20_000) + sent_after));
     wait_for_in_flight(&limiter, in_flight);
     before_close(&mut closing_client);
     close(closing_client);
     thread::sleep(gate_delay);
     gate.open();
-    assert_eq!(first.answer(), "first");
-    first.ask("look", "after", 20_000);
-    assert_eq!(first.answer(), "after");
+    assert_eq!(first.read_reply(), "first");
+    first.send_request("look", "after", 20_000);
+    assert_eq!(first.read_reply(), "after");
     wait_for_in_flight(&limiter, 0);
     assert_eq!(request_ids(&seen), ["after"]);
 }
@@ -71,7 +71,7 @@
     let before_close = |client: &mut Client| {
         ["pay", "look", "hold"]
             .iter()
-            .for_each(|class| client.ask(class, &format!("left-{class}"), 20_000));
+            .for_each(|class| client.send_request(class, &format!("left-{class}"), 20_000));
     };
     check_close_while_queued("", 2, before_close, CLOSE_DETECTION_LIMIT);
 }
@@ -80,8 +80,12 @@
 fn nothing_is_forwarded_after_a_close_while_the_reader_is_paused() {
     // The reader is paused by malformed commands, which follow the queued request directly, follow
     // further requests, or precede a part of a request.
-    let further_requests = asking("pay", "behind", 20_000) + &asking("hold", "last", 20_000);
-    let partial_request = asking("pay", "half", 20_000).split_at(30).0.to_owned();
+    let further_requests =
+        request_command("pay", "behind", 20_000) + &request_command("hold", "last", 20_000);
+    let partial_request = request_command("pay", "half", 20_000)
+        .split_at(30)
+        .0
+        .to_owned();
     for (sent_after, in_flight) in [
         (malformed_commands(), 2),
         (further_requests + &malformed_commands(), 4),
@@ -95,22 +99,22 @@
 fn requests_behind_a_running_one_are_not_forwarded_after_their_client_closed() {
     let (server, gate, seen) = gated_server("held");
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server)],
     ));
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "held", 20_000);
-    next(&seen);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "held", 20_000);
+    next_command(&seen);
     ["pay", "look", "hold"]
         .iter()
-        .for_each(|class| client.ask(class, &format!("left-{class}"), 20_000));
+        .for_each(|class| client.send_request(class, &format!("left-{class}"), 20_000));
     wait_for_in_flight(&limiter, 4);
     drop(client);
     wait_for_in_flight(&limiter, 0);
     gate.open();
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "after", 20_000);
-    assert_eq!(client.answer(), "after");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "after", 20_000);
+    assert_eq!(client.read_reply(), "after");
     assert_eq!(request_ids(&seen), ["after"]);
 }
 
@@ -123,10 +127,10 @@
     let counter = http_peer(move |request_line, _, _| {
         _ = call_sender.lock().expect("lock is not poisoned").send(());
         counter_gate.wait();
-        answer("200 OK", &counted(request_line).1.to_string())
+        answer("200 OK", &parse_counter_call(request_line).1.to_string())
     });
-    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
+    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server)]);
     config["counter"] = counter.to_string().into();
     config["settings"]["balancers"] = 4.into();
     (
@@ -135,8 +139,14 @@
     ) = (0.5.into(), 4.0.into());
     config["settings"]["specifics"]["counterTimeout"] = 20_000_000.into();
     let limiter = limiter(&config);
-    let mut client = Client::ready(&limiter);
-    client.say(&asking_for("00000000b4d65521", 4, "pay", "claimed", 20_000));
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send(&request_command_for(
+        "00000000b4d65521",
+        4,
+        "pay",
+        "claimed",
+        20_000,
+    ));
     calls.recv().expect("the limiter calls the counter");
     wait_for_in_flight(&limiter, 1);
     (limiter, client, gate, seen)
@@ -148,45 +158,51 @@
     drop(client);
     wait_for_in_flight(&limiter, 0);
     gate.open();
-    let mut client = Client::ready(&limiter);
-    client.say(&asking_for("00000000b4d65522", 1, "pay", "after", 20_000));
-    assert_eq!(client.answer(), "after");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send(&request_command_for(
+        "00000000b4d65522",
+        1,
+        "pay",
+        "after",
+        20_000,
+    ));
+    assert_eq!(client.read_reply(), "after");
     assert_eq!(request_ids(&seen), ["after"]);
 }
 
 #[test]
 fn request_read_after_its_client_closed_is_not_forwarded() {
-    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server)],
     ));
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     // The limiter pauses after each malformed command, so that the client has closed before its
     // request is read.
-    let malformed = |times| asking("dance", "bad", 500).repeat(times);
-    client.say(&(malformed(8) + &asking("look", "left", 20_000) + &malformed(2)));
+    let malformed = |times| request_command("dance", "bad", 500).repeat(times);
+    client.send(&(malformed(8) + &request_command("look", "left", 20_000) + &malformed(2)));
     client
         .0
         .get_ref()
         .shutdown(Shutdown::Write)
         .expect("the write side of the connection is shut down");
     while !client.line().is_empty() {}
-    client = Client::ready(&limiter);
-    client.ask("look", "after", 20_000);
-    assert_eq!(client.answer(), "after");
+    client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "after", 20_000);
+    assert_eq!(client.read_reply(), "after");
     assert_eq!(request_ids(&seen), ["after"]);
 }
 
 #[test]
 fn request_is_not_written_if_its_client_closed_before_the_upstream_connection_was_established() {
     let server = UnresponsiveServer::new();
-    let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server.at)]);
+    let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server.at)]);
     // The rule also applies where open attempts may not be cancelled.
     config["settings"]["limits"]["mayCancel"] = false.into();
     let limiter = limiter(&config);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "left", 20_000);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "left", 20_000);
     server.wait_for_connect();
     drop(client);
     wait_for_in_flight(&limiter, 0);
@@ -197,7 +213,7 @@
 fn claimed_request_is_not_forwarded_after_its_client_closed() {
     for client_stays in [true, false] {
         let (limiter, mut client, gate, seen) = limiter_waiting_for_counter();
-        client.say(&malformed_commands());
+        client.send(&malformed_commands());
         thread::sleep(Duration::from_millis(40));
         let client = match client_stays {
             true => Some(client),
@@ -215,22 +231,23 @@
 
 #[test]
 fn request_waiting_for_a_resting_connection_is_not_forwarded_after_its_client_closed() {
-    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server)],
     ));
-    let mut first = Client::ready(&limiter);
+    let mut first = Client::connect_when_ready(&limiter);
     // A round in which the client closed too late, as on a busy machine, is not counted.
     let closes_in_time = |number: &usize| {
-        let mut closing_client = Client::ready(&limiter);
+        let mut closing_client = Client::connect_when_ready(&limiter);
         let round_started_at = Instant::now();
-        first.ask("look", "first", 20_000);
-        assert_eq!(first.answer(), "first");
+        first.send_request("look", "first", 20_000);
+        assert_eq!(first.read_reply(), "first");
         // This request waits for the connection of the first one, which may be reused 20 ms after
         // its answer.
-        closing_client
-            .say(&(asking("look", &format!("left-{number}"), 20_000) + &malformed_commands()));
+        closing_client.send(
+            &(request_command("look", &format!("left-{number}"), 20_000) + &malformed_commands()),
+        );
         thread::sleep(Duration::from_millis(4));
         close(closing_client);
         round_started_at.elapsed() < Duration::from_millis(18)
--- a/tests/races/client_close_http.rs
+++ b/tests/races/client_close_http.rs
@@ -1,7 +1,7 @@
 //! A client of the OpenAPI front closes its connection while its request waits: the request may not
 //! be forwarded.
 
-use crate::peers::{answer, http_peer, openapi_limiter, until, Client, Program};
+use crate::peers::{answer, http_peer, openapi_limiter, wait_until, Client, Program};
 use crate::support::{close, wait_for_in_flight, Gate};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 /// Connects to the limiter and sends a request with this method and path.
 fn send_http(at: SocketAddr, method_and_path: &str) -> Client {
     let mut client = Client::connect_at(at);
-    client.say(&format!(
+    client.send(&format!(
         "{method_and_path} HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\nContent-Length: 0\r\n\r\n"
     ));
     client
@@ -64,25 +64,25 @@
         let program =
             Program::start_openapi("stopped-limiter", &config, FERRY_DESCRIPTION, &folder);
         program.call_until("ready", "YES");
-        let mut first = send_http(program.at, "GET /v1/reports/daily");
+        let mut first = send_http(program.client_address, "GET /v1/reports/daily");
         assert_eq!(
             seen.recv().expect("the server receives a request"),
             "/v1/reports/daily"
         );
-        let closing_client = send_http(program.at, "POST /v1/tickets");
-        until(
+        let closing_client = send_http(program.client_address, "POST /v1/tickets");
+        wait_until(
             || program.call("show-stat"),
             |statistics| statistics.contains("limiter.in_flight=2\n"),
         );
         let gate_opened_at = Instant::now();
         gate.open();
         assert_eq!(first.line(), "HTTP/1.1 200 OK");
-        program.stands_still();
+        program.pause();
         let in_time = gate_opened_at.elapsed() < Duration::from_millis(15);
         thread::sleep(Duration::from_millis(30));
         close(closing_client);
-        program.goes_on();
-        until(
+        program.resume();
+        wait_until(
             || program.call("show-stat"),
             |statistics| statistics.contains("limiter.in_flight=0\n"),
         );
@@ -100,7 +100,7 @@
 fn queued_http_request_is_not_forwarded_after_its_client_closed() {
     let (config, gate, seen) = gated_openapi_limiter();
     let limiter = openapi_limiter(&config, FERRY_DESCRIPTION);
-    let send = |method_and_path: &str| send_http(limiter.at, method_and_path);
+    let send = |method_and_path: &str| send_http(limiter.client_address, method_and_path);
     let mut first = send("GET /v1/reports/daily");
     assert_eq!(
         seen.recv().expect("the server receives a request"),
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -1,6 +1,6 @@
 //! Measures the time from the close of a client's connection to the last attempt of its requests.
 
-use crate::peers::{asking, quiet_list, resp_peer, serve, Client, Program};
+use crate::peers::{request_command, resp_peer, served_reply, silent_discovery, Client, Program};
 use crate::support::{close, malformed_commands, settings_with_long_deadlines};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
     let cycles = max_time.as_millis() / 100;
     let cycle = "kill -CONT $0 && sleep 0.01 && kill -STOP $0 && sleep 0.09 || exit 0";
     let script = format!("for cycle in $(seq {cycles}); do {cycle}; done; kill -CONT $0");
-    let process_id = program.number().to_string();
+    let process_id = program.process_id().to_string();
     std::process::Command::new("sh")
         .args(["-c", &script, &process_id])
         .spawn()
@@ -32,10 +32,10 @@
             .expect("lock is not poisoned")
             .insert(words[2].clone(), Instant::now());
         thread::sleep(Duration::from_millis(15));
-        serve(&words[2])
+        served_reply(&words[2])
     });
     let servers = ["s-1", "s-2", "s-3"].map(|name| (name, server));
-    let mut config = settings_with_long_deadlines(quiet_list(), &servers);
+    let mut config = settings_with_long_deadlines(silent_discovery(), &servers);
     (
         config["settings"]["tariffs"][0]["refill"],
         config["settings"]["tariffs"][0]["peakUnits"],
@@ -43,7 +43,7 @@
     let program = Program::start("after-the-close", &config);
     program.call_until("ready", "YES");
     let mut throttle = throttle_to_a_tenth_of_a_core(&program, Duration::from_secs(30));
-    let (at, started_at) = (program.at, Instant::now());
+    let (at, started_at) = (program.client_address, Instant::now());
     let clients = (0..80).map(|client_number| {
         thread::spawn(move || {
             let (mut closed, mut rng) = (Vec::new(), fastrand::Rng::with_seed(client_number));
@@ -59,7 +59,7 @@
                 } else {
                     malformed_commands()
                 };
-                client.say(&(asking("look", &id, 5_000) + &sent_after));
+                client.send(&(request_command("look", &id, 5_000) + &sent_after));
                 thread::sleep(Duration::from_millis(rng.u64(0..600)));
                 close(client);
                 closed.push((id, Instant::now()));
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -1,8 +1,8 @@
 //! Events on the connection to service discovery: resets, silence, split and malformed messages.
 
 use crate::peers::{
-    entry, http, limiter, peer, quota_counter, resp_peer, serve, settings, until, whole_list,
-    Client, Program, Running,
+    discovery_with_full_list, endpoint_entry, limiter, peer, quota_counter, read_http_message,
+    resp_peer, served_reply, settings, wait_until, Client, Program, Running,
 };
 use mossrill::protocol::http::{Body, Broken, Reader};
 use serde_json::Value;
@@ -25,7 +25,7 @@
     let request_sender = Mutex::new(request_sender);
     let at = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
-        let Ok((request_line, ..)) = http(&mut reader, false) else {
+        let Ok((request_line, ..)) = read_http_message(&mut reader, false) else {
             return;
         };
         _ = request_sender
@@ -57,35 +57,35 @@
                 .write_all(response.as_bytes())
                 .expect("response is written");
         }
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
     });
     (at, received)
 }
 
 /// Sends requests to the limiter until one is answered with `value`.
 fn wait_until_served(limiter: &Running, value: &str) {
-    let mut client = Client::ready(limiter);
+    let mut client = Client::connect_when_ready(limiter);
     let client = Mutex::new(&mut client);
     let send_request = || {
         let mut client = client.lock().expect("lock is not poisoned");
-        client.ask("look", "id", 1500);
-        client.answer()
+        client.send_request("look", "id", 1500);
+        client.read_reply()
     };
-    until(send_request, |answer| answer == value);
+    wait_until(send_request, |answer| answer == value);
 }
 
 #[test]
 fn watch_event_on_many_lines_and_longer_than_a_buffer_is_applied() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| serve("old")).0,
-        resp_peer(|_, _| serve("new")).0,
+        resp_peer(|_, _| served_reply("old")).0,
+        resp_peer(|_, _| served_reply("new")).0,
     );
     let mut servers: Vec<_> = (0..1_000)
-        .map(|number| entry(&format!("x-{number}"), old_server, "terminating"))
+        .map(|number| endpoint_entry(&format!("x-{number}"), old_server, "terminating"))
         .collect();
     servers.extend([
-        entry("s-1", old_server, "terminating"),
-        entry("s-2", new_server, "in_service"),
+        endpoint_entry("s-1", old_server, "terminating"),
+        endpoint_entry("s-2", new_server, "in_service"),
     ]);
     let update = serde_json::json!({"generation": 9, "reset": true, "instances": servers});
     let event = format!(
@@ -110,10 +110,10 @@
 #[test]
 fn malformed_watch_event_keeps_the_last_list_and_causes_a_full_read() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| serve("old")).0,
-        resp_peer(|_, _| serve("new")).0,
+        resp_peer(|_, _| served_reply("old")).0,
+        resp_peer(|_, _| served_reply("new")).0,
     );
-    let server = entry("s-2", new_server, "in_service");
+    let server = endpoint_entry("s-2", new_server, "in_service");
     let full_list = serde_json::json!({"generation": 9, "reset": true, "instances": [server]});
     for malformed in [
         "{\"generation\":8,\"instances\":[}\n",
@@ -146,12 +146,12 @@
 /// and the endpoint update by which the first drains and the second is added.
 fn replaced_server() -> (SocketAddr, String) {
     let (old_server, new_server) = (
-        resp_peer(|_, _| serve("old")).0,
-        resp_peer(|_, _| serve("new")).0,
+        resp_peer(|_, _| served_reply("old")).0,
+        resp_peer(|_, _| served_reply("new")).0,
     );
     let changed_entries = [
-        entry("s-1", old_server, "terminating"),
-        entry("s-2", new_server, "in_service"),
+        endpoint_entry("s-1", old_server, "terminating"),
+        endpoint_entry("s-2", new_server, "in_service"),
     ];
     (
         old_server,
@@ -165,7 +165,7 @@
     let (old_server, update) = replaced_server();
     let discovery = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
         let chunk = if connection_number < 24 {
             String::new()
         } else {
@@ -177,7 +177,7 @@
             .write_all(response.as_bytes())
             .expect("response is written");
         if connection_number >= 24 {
-            _ = http(&mut reader, false);
+            _ = read_http_message(&mut reader, false);
         }
         SockRef::from(reader.get_ref())
             .set_linger(Some(Duration::ZERO))
@@ -197,7 +197,7 @@
     let (old_server, update) = replaced_server();
     let discovery = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
         let writer = reader.get_mut();
         // The first three calls get no response, the next two get a response head that never ends.
         if (3..5).contains(&connection_number) {
@@ -218,7 +218,7 @@
                 .write_all(response.as_bytes())
                 .expect("response is written");
         }
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
     });
     let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
     config["settings"]["balancers"] = 300.into();
@@ -229,12 +229,12 @@
 #[test]
 fn after_discovery_moves_events_of_the_old_address_are_ignored() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| serve("old")).0,
-        resp_peer(|_, _| serve("new")).0,
+        resp_peer(|_, _| served_reply("old")).0,
+        resp_peer(|_, _| served_reply("new")).0,
     );
     let discovery = peer(move |_, stream| {
         let mut reader = BufReader::new(stream);
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
         let writer = reader.get_mut();
         writer
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -243,8 +243,8 @@
         // when it moves to the new address.
         for generation in 8.. {
             let entries = [
-                entry("s-1", old_server, "in_service"),
-                entry("s-2", new_server, "terminated"),
+                endpoint_entry("s-1", old_server, "in_service"),
+                endpoint_entry("s-2", new_server, "terminated"),
             ];
             let update =
                 serde_json::json!({"generation": generation, "reset": false, "instances": entries})
@@ -259,16 +259,17 @@
     });
     let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
     let mut program = Program::start("old-discovery", &config);
-    program.logged("full: false");
-    config["discovery"] = whole_list(vec![entry("s-2", new_server, "in_service")])
-        .to_string()
-        .into();
+    program.wait_for_log("full: false");
+    config["discovery"] =
+        discovery_with_full_list(vec![endpoint_entry("s-2", new_server, "in_service")])
+            .to_string()
+            .into();
     program.reload(&config.to_string());
-    program.logged("full: true");
-    let mut client = Client::ready_at(program.at);
+    program.wait_for_log("full: true");
+    let mut client = Client::connect_when_ready_at(program.client_address);
     for number in 0..10 {
-        client.ask("look", &number.to_string(), 1500);
-        assert_eq!(client.answer(), "new");
+        client.send_request("look", &number.to_string(), 1500);
+        assert_eq!(client.read_reply(), "new");
     }
     let later_updates = program
         .log()
@@ -290,8 +291,8 @@
 #[test]
 fn silent_watch_and_list_changed_during_a_full_read_are_polled_again() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| serve("old")).0,
-        resp_peer(|_, _| serve("new")).0,
+        resp_peer(|_, _| served_reply("old")).0,
+        resp_peer(|_, _| served_reply("new")).0,
     );
     let update = |generation, full, servers: Vec<Value>| {
         serde_json::json!({"generation": generation, "reset": full, "instances": servers})
@@ -300,20 +301,24 @@
     };
     // The first watch gets no response at all, the second a malformed event. Between the full read
     // and the next watch, the old server starts draining and a new one is added.
-    let full_list = update(8, true, vec![entry("s-1", old_server, "in_service")]);
+    let full_list = update(
+        8,
+        true,
+        vec![endpoint_entry("s-1", old_server, "in_service")],
+    );
     let changed_entries = update(
         9,
         false,
         vec![
-            entry("s-1", old_server, "terminating"),
-            entry("s-2", new_server, "in_service"),
+            endpoint_entry("s-1", old_server, "terminating"),
+            endpoint_entry("s-2", new_server, "in_service"),
         ],
     );
     let (request_sender, received) = channel();
     let request_sender = Mutex::new(request_sender);
     let discovery = peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
-        let Ok((request_line, ..)) = http(&mut reader, false) else {
+        let Ok((request_line, ..)) = read_http_message(&mut reader, false) else {
             return;
         };
         _ = request_sender
@@ -336,7 +341,7 @@
             _ => chunked(&changed_entries),
         };
         _ = reader.get_mut().write_all(response.as_bytes());
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
     });
     let limiter = limiter(&settings(
         discovery,
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -1,8 +1,8 @@
 //! Signals and closed connections while requests are in flight.
 
 use crate::peers::{
-    asking, command, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve, settings,
-    Act, Client, Program,
+    limiter, next_command, peer, quota_counter, read_command, request_command, resp_peer,
+    served_reply, settings, silent_discovery, Client, PeerAction, Program,
 };
 use crate::support::{gated_server, request_ids, settings_with_long_deadlines, Gate};
 use socket2::SockRef;
@@ -22,16 +22,16 @@
             .set_linger(Some(Duration::ZERO))
             .expect("linger is set on the socket");
     });
-    let (server, seen) = resp_peer(|_, _| Act::Hang);
+    let (server, seen) = resp_peer(|_, _| PeerAction::Hang);
     let mut config = settings(discovery, quota_counter().0, &[("s-1", server)]);
     config["settings"]["safety"]["drainGrace"] = 1_000_000.into();
     let program = Program::start("list-resets", &config);
-    let mut held = Client::ready_at(program.at);
-    held.ask("pay", "held", 2000);
-    next(&seen);
+    let mut held = Client::connect_when_ready_at(program.client_address);
+    held.send_request("pay", "held", 2000);
+    next_command(&seen);
     program.signal("TERM");
-    assert!(held.answer().starts_with('-'));
-    program.ends();
+    assert!(held.read_reply().starts_with('-'));
+    program.terminate();
     // At least 2 ms, a tenth of the poll time of 20 ms, pass between two polls. Without a wait
     // there are thousands of calls.
     let call_count = calls.try_iter().count();
@@ -43,9 +43,9 @@
 
 #[test]
 fn shutdown_with_hanging_servers_answers_each_request_once() {
-    let (server, seen) = resp_peer(|_, _| Act::Hang);
+    let (server, seen) = resp_peer(|_, _| PeerAction::Hang);
     let mut config = settings(
-        quiet_list(),
+        silent_discovery(),
         quota_counter().0,
         &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
@@ -58,42 +58,42 @@
     }
     let program = Program::start("all-hang", &config);
     let send_request = |class: &str| {
-        let mut client = Client::ready_at(program.at);
-        client.ask(class, class, 400);
+        let mut client = Client::connect_when_ready_at(program.client_address);
+        client.send_request(class, class, 400);
         client
     };
     let mut clients: Vec<_> = ["look", "hold", "pay"]
         .iter()
         .map(|class| send_request(class))
         .collect();
-    next(&seen);
+    next_command(&seen);
     program.signal("TERM");
     // Further requests on the same connection are each answered, or the connection closes before
     // the answer.
     for client in &mut clients {
-        let first_answer = client.answer();
+        let first_answer = client.read_reply();
         assert!(
             first_answer.starts_with('-'),
             "got {first_answer}, want an error"
         );
-        while let Some(further_answer) = client.try_ask(&asking("look", "more", 400)) {
+        while let Some(further_answer) = client.try_request(&request_command("look", "more", 400)) {
             assert!(
                 further_answer.starts_with('-'),
                 "got {further_answer}, want an error"
             );
         }
     }
-    program.ends();
+    program.terminate();
 }
 
 #[test]
 fn request_sent_during_shutdown_is_answered_or_never_forwarded() {
     let (server, seen) = resp_peer(|_, words| {
         thread::sleep(Duration::from_millis(5));
-        serve(&words[2])
+        served_reply(&words[2])
     });
     let mut config = settings(
-        quiet_list(),
+        silent_discovery(),
         quota_counter().0,
         &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
@@ -102,18 +102,18 @@
         config["settings"]["tariffs"][0]["peakUnits"],
     ) = (1e6.into(), 1e6.into());
     let program = Program::start("request-during-shutdown", &config);
-    let at = program.at;
+    let at = program.client_address;
     // Each client sends one request after another on a connection, and opens a new one once that
     // closes, until the limiter no longer accepts connections.
     let clients: Vec<_> = (0..6)
         .map(|client_number| {
             thread::spawn(move || {
                 let (mut request_number, mut unanswered) = (0, Vec::new());
-                while let Some(mut client) = Client::try_at(at) {
+                while let Some(mut client) = Client::try_connect_at(at) {
                     loop {
                         request_number += 1;
                         let id = format!("{client_number}-{request_number}");
-                        match client.try_ask(&asking("pay", &id, 2000)) {
+                        match client.try_request(&request_command("pay", &id, 2000)) {
                             Some(answer) => {
                                 assert!(
                                     answer == id || answer.starts_with('-'),
@@ -131,7 +131,7 @@
             })
         })
         .collect();
-    (0..50).for_each(|_| drop(next(&seen)));
+    (0..50).for_each(|_| drop(next_command(&seen)));
     program.signal("TERM");
     let unanswered: Vec<_> = clients
         .into_iter()
@@ -141,7 +141,7 @@
                 .expect("each answer is the request's id or an error")
         })
         .collect();
-    program.ends();
+    program.terminate();
     let forwarded = request_ids(&seen);
     let lost_requests: Vec<_> = unanswered
         .iter()
@@ -157,29 +157,32 @@
 
 #[test]
 fn request_read_before_the_idle_close_is_answered() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server)],
     ));
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "first", 20_000);
-    assert_eq!(client.answer(), "first");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "first", 20_000);
+    assert_eq!(client.read_reply(), "first");
     let stop_thread = thread::spawn(move || limiter.stop());
     // Idle connections are closed 0.45 s after the request to stop. No answer is pending on this
     // connection then, but its reader, which malformed commands pause for 0.36 s, has received the
     // request already.
     thread::sleep(Duration::from_millis(250));
-    client.say(&(asking("dance", "bad", 500).repeat(8) + &asking("pay", "in-hand", 20_000)));
-    let answers: Vec<_> = (0..9).map(|_| client.answer()).collect();
+    client.send(
+        &(request_command("dance", "bad", 500).repeat(8)
+            + &request_command("pay", "in-hand", 20_000)),
+    );
+    let answers: Vec<_> = (0..9).map(|_| client.read_reply()).collect();
     assert_eq!(answers[8], "in-hand");
     stop_thread.join().expect("limiter stops without a panic");
 }
 
 #[test]
 fn request_accepted_after_the_core_ended_is_answered_and_its_connection_closed() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     // Shorter than the time in which connections are still accepted, so the core ends with that
     // time, 0.45 s after the request to stop.
     for class in config["settings"]["classes"]
@@ -189,16 +192,18 @@
         (class["slo"], class["deadline"]) = (50_000.into(), 50_000.into());
     }
     let limiter = limiter(&config);
-    let mut client = Client::ready(&limiter);
-    client.ask("look", "first", 50);
-    assert!(!client.answer().is_empty());
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("look", "first", 50);
+    assert!(!client.read_reply().is_empty());
     let stop_thread = thread::spawn(move || limiter.stop());
     thread::sleep(Duration::from_millis(300));
     // The reader has received all of this, and gets to the request after the pauses of 0.36 s for
     // the malformed commands.
-    client.say(&(asking("dance", "bad", 500).repeat(8) + &asking("pay", "in-hand", 50)));
+    client.send(
+        &(request_command("dance", "bad", 500).repeat(8) + &request_command("pay", "in-hand", 50)),
+    );
     stop_thread.join().expect("limiter stops without a panic");
-    let answers: Vec<_> = (0..10).map(|_| client.answer()).collect();
+    let answers: Vec<_> = (0..10).map(|_| client.read_reply()).collect();
     assert_eq!(answers[8..], ["-ERR failed", ""]);
 }
 
@@ -206,20 +211,23 @@
 fn connection_accepted_after_the_idle_close_has_its_first_request_served() {
     let (server, gate, seen) = gated_server("held");
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server), ("s-2", server)],
     ));
-    let at = limiter.at;
-    let (mut idle, mut held) = (Client::ready_at(at), Client::ready_at(at));
-    held.ask("look", "held", 20_000);
-    next(&seen);
+    let at = limiter.client_address;
+    let (mut idle, mut held) = (
+        Client::connect_when_ready_at(at),
+        Client::connect_when_ready_at(at),
+    );
+    held.send_request("look", "held", 20_000);
+    next_command(&seen);
     let stop_thread = thread::spawn(move || limiter.stop());
     assert_eq!(idle.line(), "", "idle connection is closed during shutdown");
     let mut late = Client::connect_at(at);
-    late.ask("pay", "late", 20_000);
-    assert_eq!(late.answer(), "late");
+    late.send_request("pay", "late", 20_000);
+    assert_eq!(late.read_reply(), "late");
     gate.open();
-    assert_eq!(held.answer(), "held");
+    assert_eq!(held.read_reply(), "held");
     stop_thread.join().expect("limiter stops without a panic");
 }
 
@@ -228,19 +236,22 @@
     let (server, gate, seen) = gated_server("held");
     let program = Program::start(
         "both-signals",
-        &settings_with_long_deadlines(quiet_list(), &[("s-1", server)]),
+        &settings_with_long_deadlines(silent_discovery(), &[("s-1", server)]),
     );
-    let mut held = Client::ready_at(program.at);
-    held.ask("pay", "held", 20_000);
-    next(&seen);
+    let mut held = Client::connect_when_ready_at(program.client_address);
+    held.send_request("pay", "held", 20_000);
+    next_command(&seen);
     program.signal("HUP");
     program.signal("TERM");
     program.signal("HUP");
     // The limiter closes the new connection as idle, so it has handled SIGTERM.
-    assert_eq!(Client::ready_at(program.at).line(), "");
+    assert_eq!(
+        Client::connect_when_ready_at(program.client_address).line(),
+        ""
+    );
     gate.open();
-    assert_eq!(held.answer(), "held");
-    program.ends();
+    assert_eq!(held.read_reply(), "held");
+    program.terminate();
 }
 
 #[test]
@@ -249,9 +260,9 @@
     let (server_first_half_sent, server_gate) = (first_half_sent.clone(), gate.clone());
     let server = peer(move |_, mut stream| {
         let mut bytes = Vec::new();
-        while let Some(words) = command(&mut stream, &mut bytes) {
-            let Act::Say(response) = serve(&words[2]) else {
-                unreachable!("serve returns Act::Say")
+        while let Some(words) = read_command(&mut stream, &mut bytes) {
+            let PeerAction::Reply(response) = served_reply(&words[2]) else {
+                unreachable!("served_reply returns PeerAction::Reply")
             };
             let (first_half, second_half) = response.split_at(response.len() / 2);
             stream
@@ -265,17 +276,20 @@
         }
     });
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server)],
     ));
-    let (mut idle, mut client) = (Client::ready(&limiter), Client::ready(&limiter));
-    client.ask("pay", "pay-1", 20_000);
+    let (mut idle, mut client) = (
+        Client::connect_when_ready(&limiter),
+        Client::connect_when_ready(&limiter),
+    );
+    client.send_request("pay", "pay-1", 20_000);
     first_half_sent.wait();
     let stop_thread = thread::spawn(move || limiter.stop());
     assert_eq!(idle.line(), "", "idle connection is closed during shutdown");
     gate.open();
     assert_eq!(
-        (client.answer(), client.line()),
+        (client.read_reply(), client.line()),
         ("pay-1".into(), String::new())
     );
     stop_thread.join().expect("limiter stops without a panic");
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -1,7 +1,8 @@
 //! Upstream servers and clients whose progress the tests control.
 
 use crate::peers::{
-    asking, call, quota_counter, resp_peer, serve, settings, until, Client, Running, Seen,
+    admin_call, quota_counter, request_command, resp_peer, served_reply, settings, wait_until,
+    Client, Running, Seen,
 };
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
@@ -59,10 +60,10 @@
 /// Waits until the limiter reports `count` in-flight requests.
 pub fn wait_for_in_flight(limiter: &Running, count: usize) {
     let line = format!("limiter.in_flight={count}\n");
-    until(
+    wait_until(
         || {
-            call(
-                limiter.control.expect("limiter has an admin address"),
+            admin_call(
+                limiter.admin_address.expect("limiter has an admin address"),
                 "show-stat\n",
             )
         },
@@ -79,7 +80,7 @@
         if words[2] == held_id {
             server_gate.wait();
         }
-        serve(&words[2])
+        served_reply(&words[2])
     });
     (at, gate, seen)
 }
@@ -132,7 +133,7 @@
             let fields: Vec<_> = line.split_whitespace().collect();
             fields[2].ends_with(&port) && fields[3] == "02"
         };
-        until(table, |table| table.lines().any(connecting));
+        wait_until(table, |table| table.lines().any(connecting));
     }
 
     /// Lets connections be established, and returns the bytes received on the first one that is not
@@ -142,7 +143,7 @@
             .set_nonblocking(true)
             .expect("listener is made non-blocking");
         let accept = || {
-            until(|| self.listener.accept().ok(), Option::is_some)
+            wait_until(|| self.listener.accept().ok(), Option::is_some)
                 .expect("a connection is accepted")
                 .0
         };
@@ -167,5 +168,5 @@
 /// Returns eight commands of an unknown class. The limiter pauses reading from the client after
 /// each of them, for 0.36 s in total.
 pub fn malformed_commands() -> String {
-    asking("dance", "bad", 500).repeat(8)
+    request_command("dance", "bad", 500).repeat(8)
 }
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -2,8 +2,9 @@
 //! established late.
 
 use crate::peers::{
-    call, command, entry, http, limiter, next, peer, quiet_list, quota_counter, resp_peer, serve,
-    settings, until, Act, Client,
+    admin_call, endpoint_entry, limiter, next_command, peer, quota_counter, read_command,
+    read_http_message, resp_peer, served_reply, settings, silent_discovery, wait_until, Client,
+    PeerAction,
 };
 use crate::support::{
     settings_with_long_deadlines, Gate, UnresponsiveServer, CLOSE_DETECTION_LIMIT,
@@ -31,19 +32,19 @@
     let server_gate = gate.clone();
     let (server, seen) = resp_peer(move |_, _| {
         server_gate.wait();
-        Act::Say("-ERR failed\r\n".into())
+        PeerAction::Reply("-ERR failed\r\n".into())
     });
     let other = UnresponsiveServer::new();
     let entries = vec![
-        entry("s-1", server, "terminating"),
-        entry("s-2", other.at, "in_service"),
+        endpoint_entry("s-1", server, "terminating"),
+        endpoint_entry("s-2", other.at, "in_service"),
     ];
     let update =
         serde_json::json!({"generation": 9, "reset": true, "instances": entries}).to_string();
     let discovery_gate = update_gate.clone();
     let discovery = peer(move |_, stream| {
         let mut reader = BufReader::new(stream);
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
         discovery_gate.wait();
         let chunk = format!("{:x}\r\n{update}\r\n", update.len());
         let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
@@ -51,22 +52,22 @@
             .get_mut()
             .write_all(text.as_bytes())
             .expect("response is written");
-        _ = http(&mut reader, false);
+        _ = read_http_message(&mut reader, false);
     });
     let mut config = settings_with_long_deadlines(discovery, &[("s-1", server)]);
     config["settings"]["classes"][1]["memorySpan"] = (window.as_micros() as u64).into();
     let limiter = limiter(&config);
-    let mut client = Client::ready(&limiter);
-    client.ask("hold", "id-1", 20_000);
-    next(&seen);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("hold", "id-1", 20_000);
+    next_command(&seen);
     update_gate.open();
     let statistics = || {
-        call(
-            limiter.control.expect("limiter has an admin address"),
+        admin_call(
+            limiter.admin_address.expect("limiter has an admin address"),
             "show-stat\n",
         )
     };
-    until(statistics, |statistics| {
+    wait_until(statistics, |statistics| {
         statistics.contains("limiter.servers_known=2\n")
     });
     gate.open();
@@ -75,7 +76,9 @@
     let client = before_open(client);
     let received = other.open();
     (
-        client.map(|mut client| client.answer()).unwrap_or_default(),
+        client
+            .map(|mut client| client.read_reply())
+            .unwrap_or_default(),
         received,
     )
 }
@@ -104,13 +107,13 @@
 fn cancelled_attempt_is_not_written_when_its_connection_is_established() {
     let server = UnresponsiveServer::new();
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server.at)],
     ));
-    let mut client = Client::ready(&limiter);
-    client.ask("pay", "pay-1", 2_000);
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("pay", "pay-1", 2_000);
     server.wait_for_connect();
-    assert!(client.answer().starts_with('-'));
+    assert!(client.read_reply().starts_with('-'));
     assert_eq!(String::from_utf8_lossy(&server.open()), "");
 }
 
@@ -125,14 +128,14 @@
     let id_sender = Mutex::new(id_sender);
     let server = peer(move |_, mut stream| {
         let mut bytes = Vec::new();
-        while let Some(words) = command(&mut stream, &mut bytes) {
+        while let Some(words) = read_command(&mut stream, &mut bytes) {
             let id = words[2].clone();
             _ = id_sender
                 .lock()
                 .expect("lock is not poisoned")
                 .send(id.clone());
-            let Act::Say(text) = serve(&id) else {
-                unreachable!("serve returns Act::Say")
+            let PeerAction::Reply(text) = served_reply(&id) else {
+                unreachable!("served_reply returns PeerAction::Reply")
             };
             match id.split('-').next() {
                 Some("at") => return reset(&stream),
@@ -149,14 +152,14 @@
         }
     });
     let limiter = limiter(&settings_with_long_deadlines(
-        quiet_list(),
+        silent_discovery(),
         &[("s-1", server), ("s-2", server)],
     ));
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     let mut answers = Vec::new();
     for id in ["at-1", "half-1", "at-2", "half-2", "well"] {
-        client.ask("pay", id, 20_000);
-        answers.push(client.answer());
+        client.send_request("pay", id, 20_000);
+        answers.push(client.read_reply());
     }
     assert_eq!(
         answers,
@@ -176,16 +179,16 @@
 
 #[test]
 fn connection_with_a_short_idle_timeout_is_reused_within_it() {
-    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
-    let mut config = settings_with_long_deadlines(quiet_list(), &[("s-1", server)]);
+    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server)]);
     config["settings"]["limits"]["connIdle"] = 2_000_000.into();
     let limiter = limiter(&config);
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     // The pause exceeds the 20 ms after which a connection may be reused; a slow server only makes
     // the pause longer.
     for number in 0..5 {
-        client.ask("look", &number.to_string(), 20_000);
-        assert_eq!(client.answer(), number.to_string());
+        client.send_request("look", &number.to_string(), 20_000);
+        assert_eq!(client.read_reply(), number.to_string());
         thread::sleep(Duration::from_millis(50));
     }
     let connections: Vec<_> = seen
@@ -204,12 +207,12 @@
     for full_list in [false, true] {
         let (server, spare_server) = (
             UnresponsiveServer::new(),
-            resp_peer(|_, words| serve(&words[2])).0,
+            resp_peer(|_, words| served_reply(&words[2])).0,
         );
         let (gate, draining_entry, spare_entry) = (
             Gate::default(),
-            entry("s-1", server.at, "terminating"),
-            entry("s-2", spare_server, "in_service"),
+            endpoint_entry("s-1", server.at, "terminating"),
+            endpoint_entry("s-2", spare_server, "in_service"),
         );
         let (discovery_gate, entries) = (
             gate.clone(),
@@ -223,7 +226,7 @@
             .to_string();
         let discovery = peer(move |_, stream| {
             let mut reader = BufReader::new(stream);
-            _ = http(&mut reader, false);
+            _ = read_http_message(&mut reader, false);
             let writer = reader.get_mut();
             writer
                 .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -232,24 +235,24 @@
             writer
                 .write_all(format!("{:x}\r\n{update}\r\n", update.len()).as_bytes())
                 .expect("response is written");
-            _ = http(&mut reader, false);
+            _ = read_http_message(&mut reader, false);
         });
         let limiter = limiter(&settings_with_long_deadlines(
             discovery,
             &[("s-1", server.at)],
         ));
-        let mut client = Client::ready(&limiter);
-        client.ask("pay", "pay-1", 20_000);
+        let mut client = Client::connect_when_ready(&limiter);
+        client.send_request("pay", "pay-1", 20_000);
         server.wait_for_connect();
         gate.open();
         let known = |known| format!("limiter.servers_known={known}\n");
         let statistics = || {
-            call(
-                limiter.control.expect("limiter has an admin address"),
+            admin_call(
+                limiter.admin_address.expect("limiter has an admin address"),
                 "show-stat\n",
             )
         };
-        until(statistics, |statistics| {
+        wait_until(statistics, |statistics| {
             statistics.contains(&known(if full_list { 1 } else { 2 }))
                 && statistics.contains("limiter.in_flight=1\n")
         });
@@ -257,7 +260,7 @@
         thread::spawn(move || bytes_sender.send(server.open()));
         // The first attempt was never sent, so even a request without idempotency is retried at the
         // other server.
-        assert_eq!(client.answer(), "pay-1");
+        assert_eq!(client.read_reply(), "pay-1");
         assert_eq!(
             received.recv().expect("the first server gets a connection"),
             b"",
@@ -276,25 +279,25 @@
         let repeated = previous_answers
             .get(&connection_number)
             .filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
-        let Act::Say(answer) = serve(&words[2]) else {
-            unreachable!("serve returns Act::Say")
+        let PeerAction::Reply(answer) = served_reply(&words[2]) else {
+            unreachable!("served_reply returns PeerAction::Reply")
         };
         let text = repeated
             .map(|(_, previous)| previous.clone())
             .unwrap_or_default()
             + &answer;
         previous_answers.insert(connection_number, (Instant::now(), answer));
-        Act::Say(text)
+        PeerAction::Reply(text)
     });
     let limiter = limiter(&settings(
-        quiet_list(),
+        silent_discovery(),
         quota_counter().0,
         &[("s-1", server)],
     ));
-    let mut client = Client::ready(&limiter);
+    let mut client = Client::connect_when_ready(&limiter);
     for number in 0..5 {
-        client.ask("pay", &format!("pay-{number}"), 1500);
-        assert_eq!(client.answer(), format!("pay-{number}"));
+        client.send_request("pay", &format!("pay-{number}"), 1500);
+        assert_eq!(client.read_reply(), format!("pay-{number}"));
     }
 }
 
@@ -304,7 +307,7 @@
     let end_sender = Mutex::new(end_sender);
     let server = peer(move |connection_number, mut stream| {
         let mut bytes = Vec::new();
-        while let Some(words) = command(&mut stream, &mut bytes) {
+        while let Some(words) = read_command(&mut stream, &mut bytes) {
             if connection_number == 0 {
                 // A line without an end, written until the limiter closes the connection.
                 while stream.write_all(&[b'x'; 4_096]).is_ok() {}
@@ -314,8 +317,8 @@
                     .send(())
                     .expect("the test still receives");
             }
-            let Act::Say(text) = serve(&words[2]) else {
-                unreachable!("serve returns Act::Say")
+            let PeerAction::Reply(text) = served_reply(&words[2]) else {
+                unreachable!("served_reply returns PeerAction::Reply")
             };
             _ = stream.write_all(text.as_bytes());
         }
@@ -323,16 +326,16 @@
     // The endless bytes come where the limiter expects the first byte of an answer or the text of a
     // simple string.
     let limiter = limiter(&settings(
-        quiet_list(),
+        silent_discovery(),
         quota_counter().0,
         &[("s-1", server)],
     ));
-    let mut client = Client::ready(&limiter);
-    client.ask("pay", "pay-1", 1500);
-    assert_eq!(client.answer(), "-ERR failed");
+    let mut client = Client::connect_when_ready(&limiter);
+    client.send_request("pay", "pay-1", 1500);
+    assert_eq!(client.read_reply(), "-ERR failed");
     write_ended
         .recv()
         .expect("writing fails once the connection is closed");
-    client.ask("pay", "pay-2", 1500);
-    assert_eq!(client.answer(), "pay-2");
+    client.send_request("pay", "pay-2", 1500);
+    assert_eq!(client.read_reply(), "pay-2");
 }
--- a/tests/redis.rs
+++ b/tests/redis.rs
@@ -43,7 +43,7 @@
     let shared = store.clone();
     let at = peer(move |_, mut stream| {
         let (mut bytes, mut queued) = (Vec::new(), Vec::new());
-        while let Some(words) = command(&mut stream, &mut bytes) {
+        while let Some(words) = read_command(&mut stream, &mut bytes) {
             if shared.transactions.load(Ordering::SeqCst) == 0 {
                 shared
                     .first_commands
@@ -121,8 +121,9 @@
     let mut served = 0;
     for number in 0..requests {
         let client = &mut limiters[number % 2].1;
-        client.say(text);
-        let (status_line, ..) = http(&mut client.0, false).expect("the limiter answers");
+        client.send(text);
+        let (status_line, ..) =
+            read_http_message(&mut client.0, false).expect("the limiter answers");
         assert!(
             status_line.contains(" 200 ") || status_line.contains(" 429 "),
             "expected status 200 or 429, got {status_line:?}"
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -45,7 +45,7 @@
 /// so that units are reported to the counter.
 fn upgradable_config(counter: SocketAddr, server: SocketAddr, listen: SocketAddr) -> Value {
     let mut config = settings(
-        quiet_list(),
+        silent_discovery(),
         counter,
         &[("s-1", server), ("s-2", server), ("s-3", server)],
     );
@@ -80,16 +80,16 @@
         let client = |number| {
             let (stop, total_served) = (stop.clone(), total_served.clone());
             thread::spawn(move || {
-                let (mut client, mut served) = (Client::ready_at(at), 0);
+                let (mut client, mut served) = (Client::connect_when_ready_at(at), 0);
                 while !stop.load(Ordering::SeqCst) {
                     let id = format!("pay-{number}-{served}");
-                    let text = asking("pay", &id, 1900).replace("spread=1", "spread=2");
+                    let text = request_command("pay", &id, 1900).replace("spread=1", "spread=2");
                     // Sent in two pieces, so that an upgrade may happen between them.
                     let (first_half, second_half) = text.split_at(text.len() / 2);
-                    client.say(first_half);
-                    client.say(second_half);
+                    client.send(first_half);
+                    client.send(second_half);
                     assert_eq!(
-                        client.answer(),
+                        client.read_reply(),
                         id,
                         "each request gets one reply, on the connection that it was sent on"
                     );
@@ -102,7 +102,7 @@
         // clients would be rejected. The replies to the first client raise the limit before the
         // others start.
         let mut clients = vec![client(0)];
-        until(
+        wait_until(
             || total_served.load(Ordering::SeqCst),
             |served| *served >= 20,
         );
@@ -117,7 +117,7 @@
     /// Waits until more than 30 further requests have been served.
     fn wait_for_more_replies(&self) {
         let before = self.total_served.load(Ordering::SeqCst);
-        until(
+        wait_until(
             || self.total_served.load(Ordering::SeqCst),
             |served| *served > before + 30,
         );
@@ -184,7 +184,7 @@
             .expect("the lock is not poisoned")
             .entry(words[2].clone())
             .or_default() += 1;
-        serve(&words[2])
+        served_reply(&words[2])
     });
     let (counter, totals) = quota_counter();
     let folder = Folder::new("upgrades");
@@ -193,7 +193,7 @@
         "upgrades-0",
         &upgradable_config(counter, server, SocketAddr::from(([127, 0, 0, 1], 0))),
     );
-    let at = current.at;
+    let at = current.client_address;
     current.call_until("ready", "YES");
     let load = Load::start(at);
     for number in 1..=20 {
@@ -228,7 +228,7 @@
             13 => {
                 let mut bad = upgradable_config(counter, server, at);
                 bad["settings"]["classes"] = Value::Null;
-                Program::fails_in("upgrades-bad", &bad, &folder.0);
+                Program::expect_start_failure("upgrades-bad", &bad, &folder.0);
             }
             _ => {}
         }
@@ -238,9 +238,9 @@
             &format!("upgrades-{number}"),
             &upgradable_config(counter, server, at),
         );
-        assert_eq!(successor.at, at);
+        assert_eq!(successor.client_address, at);
         successor.call_until("ready", "YES");
-        std::mem::replace(&mut current, successor).ends();
+        std::mem::replace(&mut current, successor).terminate();
     }
     load.wait_for_more_replies();
     let served = load.stop();
@@ -258,25 +258,25 @@
             .values()
             .sum::<f64>()
     };
-    until(units, |total| *total == 2.0 * served as f64);
+    wait_until(units, |total| *total == 2.0 * served as f64);
 }
 
 #[test]
 fn banned_server_stays_banned_during_and_after_an_upgrade() {
-    let (server, seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
     let folder = Folder::new("bans");
-    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     config["control"] = "127.0.0.1:0".into();
     let predecessor = start(&folder.0, "bans-old", &config);
     predecessor.call_until("ready", "YES");
     predecessor.call_until("disable-server s-1", "YES");
-    config["listen"] = predecessor.at.to_string().into();
+    config["listen"] = predecessor.client_address.to_string().into();
     let successor = start(&folder.0, "bans-new", &config);
     successor.call_until("ready", "YES");
-    predecessor.ends();
-    let mut client = Client::ready_at(successor.at);
-    client.ask("look", "while-banned", 1500);
-    assert!(client.answer().starts_with("-BUSY"));
+    predecessor.terminate();
+    let mut client = Client::connect_when_ready_at(successor.client_address);
+    client.send_request("look", "while-banned", 1500);
+    assert!(client.read_reply().starts_with("-BUSY"));
     assert!(seen
         .try_iter()
         .filter_map(|(_, words)| words)
@@ -286,22 +286,22 @@
 
 #[test]
 fn hanging_successor_or_killed_predecessor_leaves_one_serving_process() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let folder = Folder::new("deaths");
     // The counter accepts calls and never answers.
     let mut config = settings(
-        quiet_list(),
-        http_peer(|_, _, _| Act::Hang),
+        silent_discovery(),
+        http_peer(|_, _, _| PeerAction::Hang),
         &[("s-1", server)],
     );
     config["control"] = "127.0.0.1:0".into();
     let mut predecessor = start(&folder.0, "deaths-old", &config);
     predecessor.call_until("ready", "YES");
-    config["listen"] = predecessor.at.to_string().into();
+    config["listen"] = predecessor.client_address.to_string().into();
     let serves = |id: &str| {
-        let mut client = Client::ready_at(predecessor.at);
-        client.ask("look", id, 1900);
-        assert_eq!(client.answer(), id);
+        let mut client = Client::connect_when_ready_at(predecessor.client_address);
+        client.send_request("look", id, 1900);
+        assert_eq!(client.read_reply(), id);
     };
     // The successor is paused as soon as it has joined, and then killed. The predecessor reclaims
     // its state and serves, also while it reloads its configuration.
@@ -314,24 +314,24 @@
     let successor = start(&folder.0, "deaths-new", &config);
     successor.call_until("ready", "YES");
     predecessor.signal("KILL");
-    predecessor.logged_end();
-    let mut client = Client::ready_at(successor.at);
-    client.ask("look", "after-killed-predecessor", 1900);
-    assert_eq!(client.answer(), "after-killed-predecessor");
+    predecessor.wait_for_exit();
+    let mut client = Client::connect_when_ready_at(successor.client_address);
+    client.send_request("look", "after-killed-predecessor", 1900);
+    assert_eq!(client.read_reply(), "after-killed-predecessor");
     // The next upgrade hands over from the process that is left.
     let second_successor = start(&folder.0, "deaths-next", &config);
     second_successor.call_until("ready", "YES");
-    successor.ends();
-    let mut client = Client::ready_at(second_successor.at);
-    client.ask("look", "after-next-upgrade", 1900);
-    assert_eq!(client.answer(), "after-next-upgrade");
+    successor.terminate();
+    let mut client = Client::connect_when_ready_at(second_successor.client_address);
+    client.send_request("look", "after-next-upgrade", 1900);
+    assert_eq!(client.read_reply(), "after-next-upgrade");
 }
 
 #[test]
 fn attempt_that_ends_before_the_learned_state_arrives_holds_no_concurrency_slot() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let folder = Folder::new("overtaken");
-    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     config["control"] = "127.0.0.1:0".into();
     config["settings"]["tariffs"][0]["parallel"] = 1.into();
     let upgrade_socket = UnixListener::bind(folder.socket()).expect("the upgrade socket is bound");
@@ -381,21 +381,21 @@
     // The predecessor's link stays open: once it is closed, all attempts of the predecessor count
     // as ended.
     let _predecessor_link = predecessor.join().expect("the hand-over succeeds");
-    let mut client = Client::ready_at(successor.at);
-    client.ask("look", "gets-a-slot", 1500);
-    assert_eq!(client.answer(), "gets-a-slot");
+    let mut client = Client::connect_when_ready_at(successor.client_address);
+    client.send_request("look", "gets-a-slot", 1500);
+    assert_eq!(client.read_reply(), "gets-a-slot");
 }
 
 #[test]
 fn limiter_serves_without_a_folder_a_socket_or_an_answering_predecessor() {
-    let (server, _seen) = resp_peer(|_, words| serve(&words[2]));
+    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
     let serves = |program: &Program| {
         program.call_until("ready", "YES");
-        let mut client = Client::ready_at(program.at);
-        client.ask("look", "served", 1500);
-        assert_eq!(client.answer(), "served");
+        let mut client = Client::connect_when_ready_at(program.client_address);
+        client.send_request("look", "served", 1500);
+        assert_eq!(client.read_reply(), "served");
     };
-    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     config["control"] = "127.0.0.1:0".into();
     // A socket file that a killed process left behind, a file that is not a socket, and a folder
     // that does not exist.
@@ -423,7 +423,7 @@
     let held = Mutex::new(held);
     let (server, seen) = resp_peer(move |_, words| {
         _ = held.lock().expect("the lock is not poisoned").recv();
-        serve(&words[2])
+        served_reply(&words[2])
     });
     let folder = Folder::new("stop-in-upgrade");
     let mut config = upgradable_config(
@@ -437,35 +437,35 @@
     let mut predecessor = start(&folder.0, "stop-in-upgrade", &config);
     predecessor.call_until("ready", "YES");
     let (mut first, mut last) = (
-        Client::ready_at(predecessor.at),
-        Client::ready_at(predecessor.at),
+        Client::connect_when_ready_at(predecessor.client_address),
+        Client::connect_when_ready_at(predecessor.client_address),
     );
     for (client, id) in [(&mut first, "first"), (&mut last, "last")] {
-        client.say(&asking("pay", id, 20_000).replace("spread=1", "spread=2"));
-        next(&seen);
+        client.send(&request_command("pay", id, 20_000).replace("spread=1", "spread=2"));
+        next_command(&seen);
     }
     // The predecessor is about to hand over its connections when SIGTERM arrives, and then the
     // successor crashes.
     let link = incomplete_successor(&folder, 2);
     link.send(HandoverMessage::Serving(true), None)
         .expect("the message is sent");
-    predecessor.logged("Leaving");
+    predecessor.wait_for_log("Leaving");
     predecessor.signal("TERM");
-    predecessor.logged("shutting down");
+    predecessor.wait_for_log("shutting down");
     drop(link);
     release
         .send(())
         .expect("the upstream server waits for its release");
-    assert_eq!(first.answer(), "first");
+    assert_eq!(first.read_reply(), "first");
     // The connection is closed early, while the other request is still in flight and although this
     // client continues to send commands; not only at the end of the shutdown, when nothing is
     // served any more.
-    while first.try_ask("*1\r\n$4\r\nPING\r\n").is_some() {}
+    while first.try_request("*1\r\n$4\r\nPING\r\n").is_some() {}
     release
         .send(())
         .expect("the upstream server waits for its release");
-    assert_eq!(last.answer(), "last");
-    predecessor.ends();
+    assert_eq!(last.read_reply(), "last");
+    predecessor.terminate();
 }
 
 #[test]
@@ -477,10 +477,10 @@
         } else {
             0
         }));
-        serve(&words[2])
+        served_reply(&words[2])
     });
     let folder = Folder::new("left-in-upgrade");
-    let mut config = settings(quiet_list(), quota_counter().0, &[("s-1", server)]);
+    let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     config["control"] = "127.0.0.1:0".into();
     for time in ["slo", "deadline"] {
         config["settings"]["classes"][0][time] = 10_000_000.into();
@@ -488,13 +488,13 @@
     let predecessor = start(&folder.0, "left-in-upgrade", &config);
     predecessor.call_until("ready", "YES");
     let (mut first, mut leaving) = (
-        Client::ready_at(predecessor.at),
-        Client::ready_at(predecessor.at),
+        Client::connect_when_ready_at(predecessor.client_address),
+        Client::connect_when_ready_at(predecessor.client_address),
     );
-    first.ask("look", "first", 9_000);
-    next(&seen);
-    leaving.ask("look", "left", 9_000);
-    until(
+    first.send_request("look", "first", 9_000);
+    next_command(&seen);
+    leaving.send_request("look", "left", 9_000);
+    wait_until(
         || predecessor.call("show-stat"),
         |stat| stat.contains("limiter.in_flight=2\n"),
     );
@@ -505,8 +505,8 @@
         .expect("the message is sent");
     thread::sleep(Duration::from_millis(200));
     drop(leaving);
-    assert_eq!(first.answer(), "first");
-    until(
+    assert_eq!(first.read_reply(), "first");
+    wait_until(
         || predecessor.call("show-stat"),
         |stat| stat.contains("limiter.in_flight=0\n"),
     );
