--- a/src/handover/coordinator.rs
+++ b/src/handover/coordinator.rs
@@ -1,4 +1,5 @@
-//! A process's part in upgrades: it joins a predecessor at its start and then waits for successors.
+//! Coordinates the upgrades of one process: it joins a predecessor at its start, then waits for
+//! successors.
 
 use super::link::{Link, ReceiveError};
 use super::message::{FinalReport, HandoverMessage};
@@ -16,30 +17,32 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Name of the socket in the common folder.
-const SOCKET: &str = "mossrill-upgrade";
-/// Interval between two checks of conditions that no message reports, during an upgrade.
+/// File name of the Unix socket in the folder that both processes are configured with.
+const SOCKET_NAME: &str = "mossrill-upgrade";
+/// During an upgrade, the interval between checks of conditions that no message reports.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for which a successor tries to join: an earlier upgrade may still be ending. It is to be ready within 6 s.
+/// Time for which a successor keeps trying to join, as an earlier upgrade may not be finished yet. It is
+/// less than the 6 s within which the successor has to be ready.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time between two attempts to join, or to accept a successor.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why an attempt to join failed that may succeed later.
+/// The reason why an attempt to join failed. A later attempt may succeed.
 #[derive(Debug, Error)]
 enum JoinError {
     #[error(transparent)]
     Connection(#[from] io::Error),
     #[error(transparent)]
     Receive(#[from] ReceiveError),
-    #[error("the predecessor neither accepts nor rejects")]
+    #[error("unexpected answer from the predecessor, expected accept or reject")]
     UnexpectedMessage,
 }
 
-/// A process's part in upgrades.
+/// Coordinates the upgrades of one process.
 pub struct UpgradeCoordinator {
-    pub(super) path: PathBuf,
-    /// The connection to the other process, while there is one.
+    /// Path of the Unix socket.
+    pub(super) socket_path: PathBuf,
+    /// The connection to the other process during an upgrade.
     pub(super) peer: Mutex<Option<Arc<Link>>>,
     pub(super) log: Logger,
 }
@@ -55,21 +58,22 @@
     /// Creates a coordinator whose socket is in `folder`.
     pub fn new(folder: &Path, log: Logger) -> Arc<Self> {
         Arc::new(Self {
-            path: folder.join(SOCKET),
+            socket_path: folder.join(SOCKET_NAME),
             peer: Mutex::default(),
             log,
         })
     }
 
-    /// Joins the process that serves. None if there is none, it rejects this one, or does not answer in time.
+    /// Joins the process that serves. Returns none if no process serves, or if the serving process
+    /// rejects this one or does not answer in time.
     pub fn join(&self) -> Option<PredecessorConnection> {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             let error = match self.try_join() {
-                Ok(joined) => return joined,
+                Ok(connection) => return connection,
                 Err(error) => error,
             };
-            if began.elapsed() >= JOIN_TIMEOUT {
+            if started.elapsed() >= JOIN_TIMEOUT {
                 warn!(self.log, "upgrade: predecessor hands nothing over"; "error" => %error);
                 return None;
             }
@@ -77,7 +81,8 @@
         }
     }
 
-    /// Attempts to join once. None if no process serves or it rejects this one.
+    /// Makes one attempt to join. Returns none if no process serves, or the serving process rejects
+    /// this one.
     fn try_join(&self) -> Result<Option<PredecessorConnection>, JoinError> {
         let Some(stream) = self.connect() else {
             return Ok(None);
@@ -102,11 +107,11 @@
     }
 
     fn connect(&self) -> Option<UnixStream> {
-        let error = match UnixStream::connect(&self.path) {
+        let error = match UnixStream::connect(&self.socket_path) {
             Ok(stream) => return Some(stream),
             Err(error) => error,
         };
-        // Refused: the file was left behind by a process that no longer runs.
+        // A connection is refused if the socket file belongs to a process that no longer runs.
         let is_absent = matches!(
             error.kind(),
             ErrorKind::NotFound | ErrorKind::ConnectionRefused
@@ -117,12 +122,13 @@
         None
     }
 
-    /// Starts the thread that takes over from the predecessor, if there is one, and then waits for successors.
-    /// `endpoints_known` waits at most for a duration and returns whether an endpoint list is known.
+    /// Starts the thread that takes over from the predecessor, if there is one, and then waits for
+    /// successors. `endpoints_known` waits up to the given duration for an endpoint list and returns
+    /// whether one is known.
     ///
     /// # Errors
     ///
-    /// The thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn start<L: LimiterProcess>(
         self: &Arc<Self>,
         predecessor: Option<PredecessorConnection>,
@@ -143,12 +149,13 @@
         })
     }
 
-    /// Starts the thread that sends messages to the other process, while there is one. The queue of messages is
-    /// unbounded, as the core must not wait.
+    /// Starts the thread that sends messages to the other process, and returns the queue of messages.
+    /// Messages are dropped while no other process is connected. The queue is unbounded, as the core
+    /// must not block.
     ///
     /// # Errors
     ///
-    /// The thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn message_sender(self: Arc<Self>) -> io::Result<Sender<HandoverMessage>> {
         let (sender, messages) = unbounded();
         spawn("handover-send", move || {
@@ -162,30 +169,31 @@
     fn send_to_peer(&self, message: HandoverMessage) {
         let peer = lock(&self.peer).clone();
         if let Some(link) = peer {
-            // A lost connection is noticed by the thread that receives.
+            // The receiving thread detects a lost connection.
             _ = link.send(message, None);
         }
     }
 
-    /// Sends the last message of a process that exits.
+    /// Sends the final report of this process, which is about to exit.
     pub fn send_final_report(&self, report: FinalReport) {
         self.send_to_peer(HandoverMessage::FinalReport(report));
     }
 
-    /// Listens for successors, in place of any other process. None if the socket can't be created.
+    /// Creates the socket for successors, replacing that of any other process. Returns none if the
+    /// socket can't be created.
     pub(super) fn bind_socket(&self) -> Option<UnixListener> {
-        // A file that was left behind, or the one of the predecessor, which is about to exit.
-        _ = std::fs::remove_file(&self.path);
-        match UnixListener::bind(&self.path) {
+        // The existing file was left behind, or belongs to the predecessor, which is about to exit.
+        _ = std::fs::remove_file(&self.socket_path);
+        match UnixListener::bind(&self.socket_path) {
             Ok(listener) => Some(listener),
             Err(error) => {
-                warn!(self.log, "upgrades unavailable"; "error" => %error, "address" => %self.path.display());
+                warn!(self.log, "upgrades unavailable"; "error" => %error, "address" => %self.socket_path.display());
                 None
             }
         }
     }
 
-    /// The event for a connection on which nothing more can be received.
+    /// Returns the event for a connection that can't be received from any more.
     pub(super) fn connection_lost(&self, error: ReceiveError) -> Event {
         if error.is_malformed() {
             warn!(self.log, "upgrade: unexpected message"; "error" => %error);
--- a/src/handover/learned_state.rs
+++ b/src/handover/learned_state.rs
@@ -1,6 +1,6 @@
-//! What a decision engine has learned, given to a successor process and taken from a predecessor.
+//! Export and import of the learned state of a decision engine in a hand-over.
 //!
-//! Copies records between the engine and the messages of a hand-over, and decides nothing.
+//! The code here copies values between the engine and the hand-over messages; it makes no decisions.
 
 use super::message::{
     AccountState, ClassFailures, FinalReport, LearnedState, ServerState, UnreportedUnits,
@@ -13,14 +13,14 @@
 use std::collections::{BTreeMap, HashMap};
 
 impl Engine {
-    /// Gives away what was learned.
+    /// Exports the learned state for a successor process.
     ///
-    /// Units that the counter was not told of go along and are reported by the successor alone. The
-    /// units that waiting requests may take from a token bucket stay here.
+    /// Units that were not reported to the counter move to the exported state, so that only the
+    /// successor reports them. Units of a token bucket that waiting requests need stay in this engine.
     pub fn learned_state(&mut self) -> LearnedState {
         LearnedState {
-            accounts: self.give_accounts(),
-            servers: self.server_records(),
+            accounts: self.export_accounts(),
+            servers: self.export_servers(),
             bans: Vec::new(),
             mean_latencies: self.latencies.iter().map(|class| class.mean).collect(),
             failure_rates: self
@@ -38,17 +38,18 @@
         }
     }
 
-    fn give_accounts(&mut self) -> Vec<AccountState> {
+    fn export_accounts(&mut self) -> Vec<AccountState> {
         let requests = &self.requests;
         let waiting_units = |account: &Account| -> f64 {
-            let open = account.waiting.iter().filter_map(|id| requests.get(id));
-            open.map(|open| open.request.units).sum()
+            let waiting = account.waiting.iter().filter_map(|id| requests.get(id));
+            waiting.map(|open| open.request.units).sum()
         };
         let mut records = Vec::new();
         for (id, account) in &mut self.accounts {
-            let kept = waiting_units(account).min(account.tokens.max(0.0));
-            // The counter has the units of a call in flight, though its reply won't be seen.
-            let in_call = account
+            let retained = waiting_units(account).min(account.tokens.max(0.0));
+            // The counter receives the units of a call in flight, although the successor never sees
+            // the reply.
+            let units_in_call = account
                 .call
                 .as_ref()
                 .map_or(0.0, |call| call.reported + call.claimed);
@@ -57,22 +58,22 @@
                 plan: account.plan as u32,
                 limiter_count: account.limiter_count,
                 finish_tag: account.finish_tag,
-                bucket_level: account.tokens - kept,
+                bucket_level: account.tokens - retained,
                 bucket_filled_at: account.refilled_at,
                 unreported_units: std::mem::take(&mut account.unreported),
                 window: account.window,
-                reported_units: account.reported + in_call,
+                reported_units: account.reported + units_in_call,
                 units_elsewhere: account.seen_elsewhere,
                 last_counter_reply: account.total_at.unwrap_or(0),
                 last_request: account.last_request_at,
                 in_flight: account.in_flight,
             });
-            account.tokens = kept;
+            account.tokens = retained;
         }
         records
     }
 
-    fn server_records(&self) -> Vec<ServerState> {
+    fn export_servers(&self) -> Vec<ServerState> {
         let failures = |failures: &BTreeMap<usize, FailureRate>| {
             let record = |(class, failure): (&usize, &FailureRate)| ClassFailures {
                 class: *class as u32,
@@ -93,7 +94,7 @@
             .collect()
     }
 
-    /// Takes back what was given to a successor that never served.
+    /// Takes back the state that was exported to a successor which did not begin to serve.
     pub fn reclaim_state(&mut self, state: LearnedState) {
         for record in state.accounts {
             let id = AccountId::from(&*record.id);
@@ -108,11 +109,12 @@
         }
     }
 
-    /// Takes what a predecessor has learned. Returns the predecessor's attempts in flight by account.
+    /// Adopts the learned state of a predecessor. Returns the number of the predecessor's attempts in
+    /// flight for each account that has any.
     pub fn adopt_state(&mut self, now: Micros, state: LearnedState) -> HashMap<AccountId, u32> {
         self.adopt_averages(now, &state);
-        for node in state.servers {
-            self.adopt_server(now, node);
+        for record in state.servers {
+            self.adopt_server(now, record);
         }
         let mut in_flight = HashMap::new();
         for record in state.accounts {
@@ -128,65 +130,65 @@
     fn adopt_averages(&mut self, now: Micros, state: &LearnedState) {
         let records = state.mean_latencies.iter().zip(&state.failure_rates);
         for (class, (mean, failure_rate)) in self.latencies.iter_mut().zip(records) {
-            if is_sound(*mean) && *mean > 0.0 && is_sound(*failure_rate) {
+            if is_valid(*mean) && *mean > 0.0 && is_valid(*failure_rate) {
                 class.mean = *mean;
                 class.failure_rate = failure_rate.min(1.0);
             }
         }
-        adopt(&mut self.queue.virtual_time, state.virtual_time);
-        adopt(&mut self.servers.send_rate, state.send_rate);
-        adopt(&mut self.counter.price, state.counter_call_price);
-        adopt(&mut self.counter.mean_weight, state.mean_priority_weight);
-        if is_sound(state.concurrency_limit) && state.concurrency_limit > 0.0 {
+        adopt_if_valid(&mut self.queue.virtual_time, state.virtual_time);
+        adopt_if_valid(&mut self.servers.send_rate, state.send_rate);
+        adopt_if_valid(&mut self.counter.price, state.counter_call_price);
+        adopt_if_valid(&mut self.counter.mean_weight, state.mean_priority_weight);
+        if is_valid(state.concurrency_limit) && state.concurrency_limit > 0.0 {
             self.concurrency.limit = state.concurrency_limit;
             self.concurrency.last_cut = state.concurrency_limit_decreased_at.min(now);
         }
-        if is_sound(state.max_counter_calls) {
+        if is_valid(state.max_counter_calls) {
             self.counter.max_calls = state.max_counter_calls.max(1.0);
         }
     }
 
-    fn adopt_server(&mut self, now: Micros, node: ServerState) {
-        let Some(server) = self.servers.servers.get_mut(&ServerId::from(&*node.id)) else {
+    fn adopt_server(&mut self, now: Micros, record: ServerState) {
+        let Some(server) = self.servers.servers.get_mut(&ServerId::from(&*record.id)) else {
             return;
         };
-        // The predecessor has sent what a server in slow start may be sent.
+        // The predecessor has already used up the requests that slow start allows to a new server.
         server.slow_start = SlowStart::new(now, 0.0);
-        if server.started_at != node.started
-            || !is_sound(node.latency_ratio)
-            || node.latency_ratio <= 0.0
+        if server.started_at != record.started
+            || !is_valid(record.latency_ratio)
+            || record.latency_ratio <= 0.0
         {
             return;
         }
-        server.health.relative_latency = node.latency_ratio;
-        server.health.judged_at = node.ratio_updated_at.min(now);
-        let sound = node
+        server.health.relative_latency = record.latency_ratio;
+        server.health.judged_at = record.ratio_updated_at.min(now);
+        let valid = record
             .failures
             .into_iter()
-            .filter(|record| is_sound(record.share));
-        let failure = |record: ClassFailures| {
+            .filter(|class| is_valid(class.share));
+        let failure_rate = |class: ClassFailures| {
             let rate = FailureRate {
-                rate: record.share.min(1.0),
-                updated_at: record.at.min(now),
+                rate: class.share.min(1.0),
+                updated_at: class.at.min(now),
             };
-            (record.class as usize, rate)
+            (class.class as usize, rate)
         };
-        server.health.failures = sound.map(failure).collect();
+        server.health.failures = valid.map(failure_rate).collect();
     }
 
-    /// Returns false if the record can't be used.
+    /// Adopts the state of one account. Returns false if the record is invalid and was ignored.
     fn adopt_account(&mut self, now: Micros, id: &AccountId, record: AccountState) -> bool {
         let Some(plan) = self.settings.plans.get(record.plan as usize) else {
             return false;
         };
-        let figures = [
+        let values = [
             record.finish_tag,
             record.bucket_level,
             record.unreported_units,
             record.reported_units,
             record.units_elsewhere,
         ];
-        if !figures.iter().all(|figure| figure.is_finite()) {
+        if !values.iter().all(|value| value.is_finite()) {
             return false;
         }
         let limiter_count = record.limiter_count.clamp(1, self.settings.limiters.max(1));
@@ -216,15 +218,15 @@
         true
     }
 
-    /// An attempt of a predecessor has ended.
+    /// Records the end of an attempt of the predecessor.
     pub fn ended_before(&mut self, id: &AccountId) {
         if let Some(account) = self.accounts.get_mut(id) {
             account.in_flight = account.in_flight.saturating_sub(1);
         }
     }
 
-    /// Units that the counter is still to be told of as this process ends: sent since
-    /// [`Self::learned_state`], less what was claimed and not used.
+    /// Returns the units that are not reported to the counter when this process exits: units used
+    /// since [`Self::learned_state`], less units that were claimed and not used.
     pub fn unreported_units(&mut self) -> FinalReport {
         let entries = self.accounts.iter().map(|(id, account)| UnreportedUnits {
             id: id.0.to_string(),
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Takes the units that a predecessor reported at its end.
+    /// Adds the units of a predecessor's final report to the units that this process reports.
     pub fn take_unreported(&mut self, report: FinalReport) {
         for entry in report
             .unreported
@@ -244,7 +246,8 @@
         {
             let id = AccountId::from(&*entry.id);
             if let Some(account) = self.accounts.get_mut(&id) {
-                // What was claimed and not used is no gain to this copy of the token bucket.
+                // Units that the predecessor claimed and did not use (negative entries) are not added to
+                // this copy of the token bucket.
                 account.tokens -= entry.units.max(0.0);
                 account.unreported += entry.units;
                 let synced_at = account.synced_at;
@@ -255,12 +258,12 @@
     }
 }
 
-fn is_sound(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+fn is_valid(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
-fn adopt(own: &mut f64, predecessor: f64) {
-    if is_sound(predecessor) {
-        *own = predecessor;
+fn adopt_if_valid(current: &mut f64, received: f64) {
+    if is_valid(received) {
+        *current = received;
     }
 }
--- a/src/handover/limiter_process.rs
+++ b/src/handover/limiter_process.rs
@@ -1,4 +1,4 @@
-//! What a hand-over requires of the process that takes part in it.
+//! The interface of a limiter process to a hand-over.
 
 use super::link::Link;
 use super::message::{HandoverMessage, LearnedState};
@@ -6,31 +6,36 @@
 use std::os::fd::OwnedFd;
 use std::sync::Arc;
 
-/// A limiter process that can be a successor and a predecessor.
+/// A limiter process, which can be the successor in one hand-over and the predecessor in another.
 pub trait LimiterProcess: Send + Sync + 'static {
-    /// The listener that both processes accept connections from.
+    /// Returns the client listener, which the predecessor shares with the successor.
     fn listener(&self) -> &TcpListener;
-    /// Takes the learned state out of the core, which from now on reports the attempts that end. None if the core does
-    /// not answer.
+    /// Takes the learned state out of the core. From then on the core reports the end of each attempt
+    /// to the other process. Returns none if the core does not answer in time.
     fn give_state(&self) -> Option<LearnedState>;
-    /// Owns the state again that was taken out last: the successor did not serve.
+    /// Puts the state that was taken out last back into the core, after a successor that did not begin
+    /// to serve.
     fn reclaim_state(&self);
-    /// Adopts the state of a predecessor; returns once this is done.
+    /// Adopts the state of a predecessor. Blocks until the core has adopted it or does not answer in
+    /// time.
     fn adopt_state(&self, state: LearnedState);
-    /// Accepts connections, or stops accepting them.
-    fn set_accepting(&self, goes_on: bool);
-    /// Begins to serve: an endpoint list and the state of a predecessor, if there is one, are known.
+    /// Sets whether this process accepts connections.
+    fn set_accepting(&self, accepting: bool);
+    /// Begins to serve. The endpoint list is known by then, as is the state of the predecessor if there
+    /// is one.
     fn begin_serving(&self);
-    /// Hands connections over to the other process, or with none ceases to do so.
-    fn hand_over_connections(&self, to: Option<Arc<Link>>);
-    /// Serves a connection that was handed over, with the bytes that were read from it and not processed.
+    /// Hands connections over to the process at the other end of `link`, or stops handing them over if
+    /// `link` is none.
+    fn hand_over_connections(&self, link: Option<Arc<Link>>);
+    /// Serves a connection that was handed over. `read` contains the bytes that were read from it and
+    /// not processed.
     fn adopt_connection(&self, connection: OwnedFd, read: Vec<u8>);
     /// Processes a ban, the end of an attempt or a final report from the other process.
-    fn process_message(&self, news: HandoverMessage);
-    /// Shares the limits with another process, or ceases to do so.
+    fn process_message(&self, message: HandoverMessage);
+    /// Sets whether the connection limits are shared with another process.
     fn set_sharing(&self, shared: bool);
-    /// Whether no connection and no open request is left.
+    /// Whether this process has no client connection and no open request.
     fn is_drained(&self) -> bool;
-    /// Exits.
+    /// Ends this process.
     fn exit(&self);
 }
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,4 +1,5 @@
-//! The connection between the two processes of an upgrade: frames, and file descriptors that are sent with them.
+//! The connection between the two processes of an upgrade. It carries messages in frames, and file
+//! descriptors along with them.
 
 use super::message::{Frame, HandoverMessage, MAX_FRAME_BYTES};
 use crate::threads::lock;
@@ -16,35 +17,35 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Time after which a peer that does not read is given up.
+/// Timeout of a write, after which a peer that does not read counts as lost.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of a frame's length, which precedes it as a big-endian number.
-const LENGTH_BYTES: usize = 4;
-/// Bytes that are received at once.
-const RECEIVE_BYTES: usize = 16 * 1024;
+/// Size of the length prefix of a frame, in bytes. The prefix is a big-endian integer.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Maximum number of bytes received by one system call.
+const RECEIVE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why no message was received.
+/// The reason why [`Link::receive`] returned no message.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum ReceiveError {
-    /// Nothing was received in time.
-    #[error("nothing was received in time")]
+    /// No complete message was received before the timeout.
+    #[error("no message was received before the timeout")]
     TimedOut,
     /// The connection is closed or broken.
     #[error("the connection is closed")]
     Closed,
     /// A frame is longer than [`MAX_FRAME_BYTES`].
-    #[error("a frame is too long")]
+    #[error("a frame is longer than {} bytes", MAX_FRAME_BYTES)]
     FrameTooLong,
-    /// A frame is not a message.
-    #[error("a frame can't be read")]
+    /// A frame does not contain a valid message.
+    #[error("a frame does not contain a valid message")]
     UnreadableFrame,
-    /// A message came without the file descriptor that belongs to it.
-    #[error("a descriptor is missing")]
+    /// A message was received without the file descriptor that it requires.
+    #[error("a message was received without its file descriptor")]
     MissingDescriptor,
 }
 
 impl ReceiveError {
-    /// Whether the peer has violated the protocol.
+    /// Whether the error is a violation of the protocol by the peer.
     pub fn is_malformed(self) -> bool {
         match self {
             Self::FrameTooLong | Self::UnreadableFrame | Self::MissingDescriptor => true,
@@ -53,15 +54,16 @@
     }
 }
 
-/// One end of the connection. Any thread may send; one thread receives.
+/// One end of the connection between the two processes. Any thread may send; a single thread
+/// receives.
 pub struct Link {
     stream: UnixStream,
-    /// Held while a frame is sent, so that frames don't mix.
+    /// Held while a frame is written, so that frames of different threads are not interleaved.
     send_lock: Mutex<()>,
     received: Mutex<ReceiveBuffer>,
 }
 
-/// What was received and is not part of a message yet.
+/// Received bytes and file descriptors that have not been decoded into a message yet.
 #[derive(Default)]
 struct ReceiveBuffer {
     bytes: Vec<u8>,
@@ -69,20 +71,21 @@
 }
 
 impl ReceiveBuffer {
-    /// Takes the next message out, if all of it has been received.
+    /// Removes and returns the next message, with its file descriptor if it has one. Returns none if
+    /// the message has not been received completely.
     fn take_message(&mut self) -> Result<Option<(HandoverMessage, Option<OwnedFd>)>, ReceiveError> {
-        let Some(length) = self.bytes.first_chunk::<LENGTH_BYTES>() else {
+        let Some(length) = self.bytes.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(ReceiveError::FrameTooLong);
         }
-        let end = LENGTH_BYTES + length;
+        let end = LENGTH_PREFIX_BYTES + length;
         if self.bytes.len() < end {
             return Ok(None);
         }
-        let frame = Frame::decode(&self.bytes[LENGTH_BYTES..end]);
+        let frame = Frame::decode(&self.bytes[LENGTH_PREFIX_BYTES..end]);
         self.bytes.drain(..end);
         let message = frame
             .ok()
@@ -99,17 +102,17 @@
 }
 
 impl Link {
-    /// Creates an end over a connected stream.
+    /// Creates a link over a connected stream.
     ///
     /// # Errors
     ///
-    /// The peer is a process of another user, or the stream can't be configured.
+    /// Returns an error if the peer is a process of another user, or the stream can't be configured.
     pub fn new(stream: UnixStream) -> io::Result<Self> {
         let peer = rustix::net::sockopt::socket_peercred(&stream)?;
         if peer.uid != rustix::process::geteuid() {
             return Err(io::Error::new(
                 ErrorKind::PermissionDenied,
-                "a process of another user",
+                "the peer is a process of another user",
             ));
         }
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
@@ -124,7 +127,8 @@
     ///
     /// # Errors
     ///
-    /// The message is longer than [`MAX_FRAME_BYTES`], the peer does not read, or the connection is closed.
+    /// Returns an error if the message is longer than [`MAX_FRAME_BYTES`], the peer does not read, or
+    /// the connection is closed.
     pub fn send(&self, message: HandoverMessage, descriptor: Option<BorrowedFd>) -> io::Result<()> {
         let bytes = encode(message)?;
         let _guard = lock(&self.send_lock);
@@ -145,17 +149,19 @@
         (&self.stream).write_all(&bytes[sent..])
     }
 
-    /// Closes the connection for both ends. What the peer sent before can still be received.
+    /// Closes the connection in both directions. Messages that the peer sent before can still be
+    /// received.
     pub fn shutdown(&self) {
         _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// Receives the next message, with the file descriptor that it carries. Each wait for more bytes takes `timeout` at
-    /// most; with none it has no limit.
+    /// Receives the next message, with its file descriptor if it carries one. `timeout` limits each
+    /// wait for more bytes, not the whole call; without a timeout the waits are unlimited.
     ///
     /// # Errors
     ///
-    /// Nothing came in time, the connection is closed, or the peer has violated the protocol.
+    /// Returns an error if the timeout expired, the connection is closed, or the peer has violated the
+    /// protocol.
     pub fn receive(
         &self,
         timeout: Option<Duration>,
@@ -173,7 +179,7 @@
     }
 
     fn read_more(&self, received: &mut ReceiveBuffer) -> Result<(), ReceiveError> {
-        let mut bytes = [0; RECEIVE_BYTES];
+        let mut bytes = [0; RECEIVE_BUFFER_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
         let slices = &mut [IoSliceMut::new(&mut bytes)];
@@ -201,7 +207,7 @@
     }
 }
 
-/// Encodes a message as a frame, with its length before it.
+/// Encodes a message as a frame with its length prefix.
 fn encode(message: HandoverMessage) -> io::Result<Vec<u8>> {
     let frame = Frame {
         body: Some(message),
@@ -210,10 +216,10 @@
     if length > MAX_FRAME_BYTES {
         return Err(io::Error::new(
             ErrorKind::InvalidInput,
-            "more than a frame may hold",
+            format!("message of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"),
         ));
     }
-    let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
+    let mut bytes = Vec::with_capacity(LENGTH_PREFIX_BYTES + length);
     bytes.extend_from_slice(&(length as u32).to_be_bytes());
     frame.encode(&mut bytes).map_err(io::Error::other)?;
     Ok(bytes)
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,94 +1,96 @@
-//! The messages of a hand-over, as protocol buffers in frames of bounded size.
+//! The messages of a hand-over, encoded as Protocol Buffers in frames of bounded size.
 
 use prost::{Message, Oneof};
 
-/// The longest frame, in bytes: the state of some ten thousand accounts.
+/// Maximum length of a frame, in bytes. It fits the state of about ten thousand accounts.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// One frame.
+/// A frame, which contains one message.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// The message; none if it is of a kind that this version does not know.
+    /// The message; none if this version does not know its type.
     #[prost(oneof = "HandoverMessage", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<HandoverMessage>,
 }
 
-/// A message. A bool is always true: the message has no content.
+/// A message of a hand-over. In messages without content the `bool` is always true.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum HandoverMessage {
-    /// The successor has started; the version of its hand-over.
+    /// The successor has started. Contains the version of its hand-over protocol.
     #[prost(uint32, tag = "1")]
     Join(u32),
-    /// The successor is accepted. The listener comes with it.
+    /// The predecessor accepts the successor. Carries the file descriptor of the client listener.
     #[prost(bool, tag = "2")]
     Accept(bool),
-    /// The successor is rejected.
+    /// The predecessor rejects the successor.
     #[prost(bool, tag = "3")]
     Reject(bool),
-    /// The successor could serve and requests the predecessor's state.
+    /// The successor is able to serve and requests the predecessor's state.
     #[prost(bool, tag = "4")]
     RequestState(bool),
     /// The predecessor's state.
     #[prost(message, tag = "5")]
     LearnedState(LearnedState),
-    /// The successor serves.
+    /// The successor confirms that it serves.
     #[prost(bool, tag = "6")]
     Serving(bool),
-    /// The predecessor has no connection and no request left, and exits.
+    /// The predecessor has no open connection and no open request, and exits.
     #[prost(message, tag = "7")]
     FinalReport(FinalReport),
-    /// A client connection, with the bytes that were read from it and not processed. The connection comes with it.
+    /// A client connection that is handed over. Carries its file descriptor, and contains the bytes
+    /// that were read from it but not processed.
     #[prost(bytes = "vec", tag = "8")]
     Connection(Vec<u8>),
     /// An upstream server was banned, or its ban was lifted.
     #[prost(message, tag = "9")]
     Ban(Ban),
-    /// An attempt of this account, which was in flight when the state was sent, has ended.
+    /// An attempt that was in flight when the state was sent has ended. Contains the id of its account.
     #[prost(string, tag = "10")]
     Ended(String),
 }
 
 impl HandoverMessage {
-    /// Whether a file descriptor comes with the message.
+    /// Whether the message carries a file descriptor.
     pub(super) fn carries_descriptor(&self) -> bool {
         matches!(self, Self::Accept(_) | Self::Connection(_))
     }
 }
 
-/// All that a limiter has learned and its successor would have to learn anew.
+/// The state that a limiter has learned at run time, which its successor would otherwise have to
+/// learn again.
 #[derive(Clone, PartialEq, Message)]
 pub struct LearnedState {
-    /// Accounts.
+    /// States of the accounts.
     #[prost(message, repeated, tag = "1")]
     pub accounts: Vec<AccountState>,
-    /// Upstream servers.
+    /// States of the upstream servers.
     #[prost(message, repeated, tag = "2")]
     pub servers: Vec<ServerState>,
-    /// Bans of upstream servers, and bans that were lifted.
+    /// Bans of upstream servers, including lifted ones.
     #[prost(message, repeated, tag = "3")]
     pub bans: Vec<Ban>,
-    /// Mean response time of each class, in microseconds.
+    /// Mean response time of each request class, in microseconds.
     #[prost(double, repeated, tag = "4")]
     pub mean_latencies: Vec<f64>,
-    /// Share of the attempts of each class that fail.
+    /// Share of failed attempts of each request class, from 0 to 1.
     #[prost(double, repeated, tag = "5")]
     pub failure_rates: Vec<f64>,
     /// Virtual time of the fair queue.
     #[prost(double, tag = "6")]
     pub virtual_time: f64,
-    /// The concurrency limit D.
+    /// The concurrency limit (D in the design documents), in attempts in flight.
     #[prost(double, tag = "7")]
     pub concurrency_limit: f64,
-    /// Time at which it was last decreased, in microseconds.
+    /// Time at which the concurrency limit was last decreased, in microseconds of Unix time.
     #[prost(uint64, tag = "8")]
     pub concurrency_limit_decreased_at: u64,
-    /// Attempts sent a second.
+    /// Attempts sent per second.
     #[prost(double, tag = "9")]
     pub send_rate: f64,
-    /// Price of a call of the counter.
+    /// Price of a call to the quota counter, in mean priority weights of a request.
     #[prost(double, tag = "10")]
     pub counter_call_price: f64,
-    /// Calls of the counter that may be in flight at once.
+    /// Maximum number of calls to the quota counter that are in flight at once.
     #[prost(double, tag = "11")]
     pub max_counter_calls: f64,
     /// Mean priority weight of a request.
@@ -99,43 +101,43 @@
 /// The state of an account. Times are in microseconds of Unix time.
 #[derive(Clone, PartialEq, Message)]
 pub struct AccountState {
-    /// Its name.
+    /// Id of the account.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Index of its plan.
+    /// Index of the account's plan.
     #[prost(uint32, tag = "2")]
     pub plan: u32,
-    /// Number of limiters that receive its requests.
+    /// Number of limiters that receive requests of the account.
     #[prost(uint32, tag = "3")]
     pub limiter_count: u32,
-    /// Finish tag of its last request.
+    /// Finish tag of the account's last request in the fair queue.
     #[prost(double, tag = "4")]
     pub finish_tag: f64,
-    /// Units in the local copy of its token bucket.
+    /// Units in this limiter's copy of the account's token bucket.
     #[prost(double, tag = "5")]
     pub bucket_level: f64,
-    /// Time at which the bucket had this level.
+    /// Time at which the bucket had `bucket_level` units.
     #[prost(uint64, tag = "6")]
     pub bucket_filled_at: u64,
-    /// Units forwarded and not reported to the counter, which the successor alone reports.
+    /// Units that were forwarded and not yet reported to the counter. Only the successor reports them.
     #[prost(double, tag = "7")]
     pub unreported_units: f64,
-    /// Number of the counting window.
+    /// Number of the counting window that `reported_units` and `units_elsewhere` refer to.
     #[prost(uint64, tag = "8")]
     pub window: u64,
-    /// Units that this limiter reported in the window.
+    /// Units that this limiter reported in the counting window.
     #[prost(double, tag = "9")]
     pub reported_units: f64,
-    /// Units of other limiters that were seen in the window.
+    /// Units of other limiters in the counting window, as far as the counter's replies showed them.
     #[prost(double, tag = "10")]
     pub units_elsewhere: f64,
-    /// Time of the last reply of the counter; none if 0.
+    /// Time of the last reply of the counter; 0 if there was none.
     #[prost(uint64, tag = "11")]
     pub last_counter_reply: u64,
-    /// Time of the last request.
+    /// Time of the account's last request.
     #[prost(uint64, tag = "12")]
     pub last_request: u64,
-    /// Attempts in flight.
+    /// Number of the account's attempts in flight.
     #[prost(uint32, tag = "13")]
     pub in_flight: u32,
 }
@@ -143,41 +145,41 @@
 /// The state of an upstream server.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerState {
-    /// Its id.
+    /// Id of the server.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Time of its start, in microseconds of Unix time.
+    /// Time of the server's start, in microseconds of Unix time.
     #[prost(uint64, tag = "2")]
     pub started: u64,
-    /// Its response time relative to the others.
+    /// Response time of the server relative to the mean of the request class.
     #[prost(double, tag = "3")]
     pub latency_ratio: f64,
     /// Time at which the ratio was last updated, in microseconds of Unix time.
     #[prost(uint64, tag = "4")]
     pub ratio_updated_at: u64,
-    /// Failures by class.
+    /// Failure rates by request class.
     #[prost(message, repeated, tag = "5")]
     pub failures: Vec<ClassFailures>,
 }
 
-/// How often the attempts of a class fail at an upstream server.
+/// The failure rate of one request class at an upstream server.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClassFailures {
-    /// Index of the class.
+    /// Index of the request class.
     #[prost(uint32, tag = "1")]
     pub class: u32,
-    /// Share of its attempts that fail.
+    /// Share of failed attempts, from 0 to 1.
     #[prost(double, tag = "2")]
     pub share: f64,
-    /// Time of the last attempt, in microseconds of Unix time.
+    /// Time at which the last attempt ended, in microseconds of Unix time.
     #[prost(uint64, tag = "3")]
     pub at: u64,
 }
 
-/// A ban of an upstream server, or one that was lifted.
+/// A ban of an upstream server, or the lifting of a ban.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ban {
-    /// Its id.
+    /// Id of the server.
     #[prost(string, tag = "1")]
     pub id: String,
     /// Whether the server is banned.
@@ -188,21 +190,22 @@
     pub lifted_at: u64,
 }
 
-/// The last message of a process.
+/// The last message that a predecessor sends before it exits.
 #[derive(Clone, PartialEq, Message)]
 pub struct FinalReport {
-    /// Units forwarded since the state was sent, less those claimed from the counter and not forwarded.
+    /// For each account, the units forwarded since the state was sent, less the units that were claimed
+    /// from the counter but not forwarded.
     #[prost(message, repeated, tag = "1")]
     pub unreported: Vec<UnreportedUnits>,
 }
 
-/// Units of an account that are not reported to the counter.
+/// Units of one account that have not been reported to the counter.
 #[derive(Clone, PartialEq, Message)]
 pub struct UnreportedUnits {
-    /// The account.
+    /// Id of the account.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// The units.
+    /// Number of units; negative if the counter has to be credited.
     #[prost(double, tag = "2")]
     pub units: f64,
 }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,9 +1,10 @@
-//! An upgrade under load: a new process takes over listener, client connections and learned state from the one that
-//! serves.
+//! Upgrade of a limiter without downtime: a new process, the successor, takes over the listener, the
+//! client connections and the learned state of the running process, the predecessor.
 //!
-//! [`stage`] decides, without input or output; [`UpgradeCoordinator`] carries its steps out for either side, over a Unix
-//! socket in a folder that both processes are configured with. Without that folder or the socket a limiter serves without
-//! upgrades. The design is in `docs/upgrade.md`.
+//! [`stage`] contains the state machines of both processes and does no I/O. [`UpgradeCoordinator`]
+//! executes their steps over a Unix socket in a folder that both processes are configured with. If
+//! the folder is not configured or the socket can't be created, the limiter serves but can't be
+//! upgraded this way. The design is described in `docs/upgrade.md`.
 
 mod coordinator;
 mod learned_state;
@@ -21,8 +22,9 @@
 use stage::Signal;
 use std::os::fd::OwnedFd;
 
-/// Passes the content of a message on to the process. Returns the signal for the state machine, if the message is one.
-fn deliver<L: LimiterProcess>(
+/// Passes the content of a message to the process. Returns the signal that the message has for the
+/// state machine, if any.
+fn dispatch_message<L: LimiterProcess>(
     message: HandoverMessage,
     descriptor: Option<OwnedFd>,
     process: &L,
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -4,7 +4,7 @@
 use super::link::{Link, ReceiveError};
 use super::message::HandoverMessage;
 use super::stage::{Event, HandoverFailure, PredecessorStage, Signal, Step};
-use super::{deliver, LimiterProcess};
+use super::{dispatch_message, LimiterProcess};
 use crate::threads::lock;
 use slog::{info, warn};
 use std::os::fd::AsFd;
@@ -13,12 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time within which a process that has connected must ask to be accepted.
+/// Time within which a connected process must send its join message.
 const JOIN_MESSAGE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl UpgradeCoordinator {
-    /// Waits for successors until this process has handed over to one, or can no longer listen. `socket` is created if
-    /// there is none.
+    /// Waits for successors until this process has handed over to one, or the socket can't be created
+    /// any more. Creates the socket if `socket` is none.
     pub(super) fn serve_successors<L: LimiterProcess>(
         &self,
         socket: Option<UnixListener>,
@@ -34,13 +34,13 @@
                 process,
                 link: &link,
                 stage: PredecessorStage::Serving,
-                stage_began: Instant::now(),
+                stage_entered_at: Instant::now(),
             };
             if hand_over.run() == PredecessorStage::Finished {
                 return;
             }
-            // The successor may have replaced the socket before it failed.
-            if std::fs::symlink_metadata(&self.path).is_err() {
+            // A successor that failed may have replaced the socket file before.
+            if std::fs::symlink_metadata(&self.socket_path).is_err() {
                 socket = self.bind_socket();
             }
         }
@@ -61,34 +61,35 @@
     }
 }
 
+/// One hand-over to a connected process.
 struct HandOver<'a, L> {
     coordinator: &'a UpgradeCoordinator,
     process: &'a L,
     link: &'a Arc<Link>,
     stage: PredecessorStage,
-    stage_began: Instant,
+    stage_entered_at: Instant,
 }
 
 impl<L: LimiterProcess> HandOver<'_, L> {
-    /// Hands over to the process that has connected. Returns the last stage: [`PredecessorStage::Finished`], or
-    /// [`PredecessorStage::Serving`] if the hand-over failed.
+    /// Runs the hand-over to the connected process. Returns the last stage:
+    /// [`PredecessorStage::Finished`], or [`PredecessorStage::Serving`] if the hand-over failed.
     fn run(mut self) -> PredecessorStage {
         let log = &self.coordinator.log;
         loop {
             let Some(event) = self.next_event() else {
                 continue;
             };
-            let before = self.stage;
+            let previous = self.stage;
             for step in self.stage.on(event) {
-                self.carry_out(step);
+                self.execute(step);
             }
-            if self.stage != before {
+            if self.stage != previous {
                 info!(log, "upgrade"; "stage" => self.stage.log_name());
-                self.stage_began = Instant::now();
+                self.stage_entered_at = Instant::now();
             }
             match self.stage {
                 PredecessorStage::Serving => {
-                    if before == PredecessorStage::Serving {
+                    if previous == PredecessorStage::Serving {
                         warn!(log, "upgrade: connection rejected"; "error" => ?event);
                     }
                     *lock(&self.coordinator.peer) = None;
@@ -103,14 +104,14 @@
     fn next_event(&self) -> Option<Event> {
         match self.link.receive(Some(POLL_INTERVAL)) {
             Ok((message, descriptor)) => {
-                deliver(message, descriptor, self.process).map(Event::Received)
+                dispatch_message(message, descriptor, self.process).map(Event::Received)
             }
-            Err(ReceiveError::TimedOut) => self.on_silence(),
+            Err(ReceiveError::TimedOut) => self.on_poll_interval(),
             Err(error) => Some(self.coordinator.connection_lost(error)),
         }
     }
 
-    fn on_silence(&self) -> Option<Event> {
+    fn on_poll_interval(&self) -> Option<Event> {
         if self.stage == PredecessorStage::Draining && self.process.is_drained() {
             return Some(Event::Drained);
         }
@@ -118,12 +119,12 @@
             PredecessorStage::Serving => JOIN_MESSAGE_TIMEOUT,
             stage => stage.limit()?,
         };
-        (self.stage_began.elapsed() >= limit).then_some(Event::TimedOut)
+        (self.stage_entered_at.elapsed() >= limit).then_some(Event::TimedOut)
     }
 
-    /// Carries a step out. A message that can't be sent is no error here: the connection is lost, which the next call of
-    /// [`Link::receive`] reports.
-    fn carry_out(&self, step: Step) {
+    /// Executes a step. A failed send is ignored here: the next call of [`Link::receive`] reports the
+    /// lost connection.
+    fn execute(&self, step: Step) {
         match step {
             Step::Send(signal) => self.send(signal),
             Step::CloseConnection => self.link.shutdown(),
@@ -131,11 +132,11 @@
             Step::HandOverConnections => {
                 self.process.hand_over_connections(Some(self.link.clone()))
             }
-            Step::ResumeServing(failure) => self.resume(failure),
+            Step::ResumeServing(failure) => self.resume_serving(failure),
             Step::ReclaimState => self.process.reclaim_state(),
             Step::EndSharing => self.process.set_sharing(false),
             Step::Exit => self.process.exit(),
-            // Steps of the successor.
+            // Steps of a successor, which this state machine does not return.
             Step::Serve | Step::ServeAlone(_) => {}
         }
     }
@@ -152,19 +153,21 @@
             }
             Signal::Reject => _ = self.link.send(HandoverMessage::Reject(true), None),
             Signal::State => {
-                // Without an answer from the core nothing is sent: the confirmation times out and the hand-over fails.
+                // If the core does not answer, no state is sent: the wait for the successor's
+                // confirmation times out and the hand-over fails.
                 if let Some(state) = self.process.give_state() {
                     _ = self.link.send(HandoverMessage::LearnedState(state), None);
                 }
             }
-            // The final report is sent when the process exits, with the units that the core has not reported.
+            // The process sends the final report at its exit, with the units that the core has not
+            // reported.
             Signal::Finished => {}
-            // Signals of the successor.
+            // Signals that only a successor sends.
             Signal::Join(_) | Signal::RequestState | Signal::Serving => {}
         }
     }
 
-    fn resume(&self, failure: HandoverFailure) {
+    fn resume_serving(&self, failure: HandoverFailure) {
         warn!(self.coordinator.log, "upgrade: aborted, serving again"; "error" => %failure);
         self.process.hand_over_connections(None);
         self.process.set_accepting(true);
--- a/src/handover/stage/mod.rs
+++ b/src/handover/stage/mod.rs
@@ -1,9 +1,10 @@
-//! The hand-over as two state machines, one for each process, without input or output.
+//! The state machines of a hand-over, one for each process. They do no I/O.
 //!
-//! The predecessor serves before the hand-over, the successor after it. The hand-over is committed when the predecessor
-//! sends its state. Before that it serves as if there were no successor. After it, until the successor confirms that it
-//! serves, the predecessor has only stopped accepting connections: it keeps the listener and serves again if the
-//! successor fails. `docs/upgrade.md` has the design.
+//! The predecessor serves before the hand-over, the successor after it. Until the predecessor sends its
+//! state, it serves as if there were no successor; sending the state commits the hand-over. Until the
+//! successor then confirms that it serves, the predecessor has only stopped accepting connections: it
+//! keeps the listener and resumes serving if the successor fails. The design is described in
+//! `docs/upgrade.md`.
 
 mod predecessor;
 mod successor;
@@ -13,36 +14,37 @@
 
 use thiserror::Error;
 
-/// Version of the hand-over. A predecessor rejects a successor with another one.
+/// Version of the hand-over protocol. A predecessor rejects a successor with another version.
 pub const VERSION: u32 = 1;
 
-/// What one process sends to the other, without the content of the message.
+/// The kind of a message that one process sends to the other, as the state machines see it: without
+/// the content.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// Successor: it has started, with this version of the hand-over.
+    /// Sent by the successor at its start, with the version of its hand-over protocol.
     Join(u32),
-    /// Predecessor: the successor is accepted. The listener comes with it.
+    /// Sent by the predecessor to accept the successor, along with the client listener.
     Accept,
-    /// Predecessor: the successor is rejected.
+    /// Sent by the predecessor to reject the successor.
     Reject,
-    /// Successor: it has an endpoint list and requests the predecessor's state.
+    /// Sent by the successor, once it has an endpoint list, to request the predecessor's state.
     RequestState,
-    /// Predecessor: its state. It accepts no more connections.
+    /// Sent by the predecessor with its state, after it has stopped accepting connections.
     State,
-    /// Successor: it serves.
+    /// Sent by the successor to confirm that it serves.
     Serving,
-    /// Predecessor: it has no connection and no request left, and exits.
+    /// Sent by the predecessor when it has no open connection and no open request, and exits.
     Finished,
 }
 
-/// What happens to a process in a hand-over.
+/// An event of a hand-over that a state machine reacts to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// The other process has sent this.
+    /// A message of this kind was received from the other process.
     Received(Signal),
     /// An endpoint list is known.
     EndpointsKnown,
-    /// The last message was sent before the other process closed the connection.
+    /// The last message was sent successfully: the connection was still open.
     Sent,
     /// The connection is closed or broken, or the other process has sent a malformed message.
     ConnectionLost,
@@ -52,32 +54,32 @@
     Drained,
 }
 
-/// What a process has to do next.
+/// An action that the process has to take next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Send this.
+    /// Send a message of this kind to the other process.
     Send(Signal),
-    /// Accept connections and report readiness, beside the predecessor.
+    /// Accept connections and report readiness, while the predecessor still drains.
     Serve,
-    /// Accept connections without a hand-over, which has failed.
+    /// Accept connections without the predecessor's state, as the hand-over has failed.
     ServeAlone(HandoverFailure),
-    /// Close the connection to the other process. What it sent before can still be received.
+    /// Close the connection to the other process. Messages that it sent before can still be received.
     CloseConnection,
-    /// Accept no more connections.
+    /// Stop accepting connections.
     StopAccepting,
-    /// Hand over every connection as soon as its replies are written.
+    /// Hand over every client connection as soon as its replies are written.
     HandOverConnections,
-    /// Accept connections again and hand over no more: the hand-over has failed.
+    /// Accept connections again and stop handing them over, as the hand-over has failed.
     ResumeServing(HandoverFailure),
-    /// Own the state again that was sent: the other process has reported none of it to the counter.
+    /// Take back the state that was sent. The other process has reported none of it to the counter.
     ReclaimState,
-    /// Exit, once the units that are not reported yet have been sent.
+    /// Exit after the final report, with the units that are not reported yet, has been sent.
     Exit,
-    /// The other process is gone: no limit is shared any more.
+    /// Stop sharing connection limits, as the other process is gone.
     EndSharing,
 }
 
-/// Why a hand-over failed.
+/// The reason why a hand-over failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum HandoverFailure {
     /// The predecessor rejected the successor.
@@ -93,9 +95,9 @@
     #[error("no message from the predecessor in time")]
     PredecessorTimedOut,
     /// The successor did not confirm that it serves.
-    #[error("the successor did not serve")]
+    #[error("the successor did not confirm that it serves")]
     SuccessorDidNotServe,
-    /// The connection to the successor was lost while it served.
+    /// The connection to the successor was lost after it had confirmed that it serves.
     #[error("connection to the successor lost")]
     SuccessorLost,
 }
--- a/src/handover/stage/predecessor.rs
+++ b/src/handover/stage/predecessor.rs
@@ -1,33 +1,34 @@
-//! The state machine of the process that serves before a hand-over.
+//! The state machine of the predecessor, the process that serves before a hand-over.
 
 use super::{Event, HandoverFailure, Signal, Step, VERSION};
 use std::time::Duration;
 
-/// Time within which a successor requests the state: it is to be ready within 6 s.
+/// Time within which an accepted successor must request the state. It has to be ready within 6 s.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time within which a successor that was sent the state confirms that it serves.
+/// Time within which a successor must confirm that it serves, after the state was sent.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The stage of the predecessor.
+/// The stage of the predecessor in a hand-over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PredecessorStage {
-    /// It serves, and there is no successor.
+    /// This process serves and has no successor.
     Serving,
     /// A successor was accepted and prepares to serve.
     SuccessorPreparing,
-    /// The state was sent.
+    /// The state was sent; the successor has not confirmed yet that it serves.
     StateSent,
-    /// The successor did not confirm in time and can no longer do so. A confirmation that it sent before the connection
-    /// was closed still counts.
+    /// The successor did not confirm in time, and the connection was closed so that it no longer can. A
+    /// confirmation that it sent before that still counts.
     ConfirmationOverdue,
     /// The successor serves; this process completes its open requests.
     Draining,
-    /// It has no connection and no request left.
+    /// This process has no open connection and no open request.
     Finished,
 }
 
 impl PredecessorStage {
-    /// The time after which [`Event::TimedOut`] occurs at this stage, if there is a limit.
+    /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage has no
+    /// time limit.
     pub fn limit(self) -> Option<Duration> {
         match self {
             Self::SuccessorPreparing => Some(PREPARE_TIMEOUT),
@@ -36,7 +37,8 @@
         }
     }
 
-    /// The name of the stage in log lines.
+    /// Returns the name of the stage in log lines. Operators rely on these names, which differ from those
+    /// of the variants.
     pub fn log_name(self) -> &'static str {
         match self {
             Self::Serving => "Alone",
@@ -77,7 +79,7 @@
                 Self::Finished,
                 vec![Step::Exit, Step::Send(Signal::Finished)],
             ),
-            // The state has not been sent: nothing has changed in this process.
+            // The state was not sent yet, so this process still serves and has nothing to take back.
             (
                 Self::SuccessorPreparing,
                 Event::ConnectionLost | Event::TimedOut | Event::Received(_),
--- a/src/handover/stage/successor.rs
+++ b/src/handover/stage/successor.rs
@@ -1,31 +1,32 @@
-//! The state machine of the process that serves after a hand-over.
+//! The state machine of the successor, the process that serves after a hand-over.
 
 use super::{Event, HandoverFailure, Signal, Step};
 use std::time::Duration;
 
-/// Time within which the predecessor answers.
+/// Time within which the predecessor must answer a message.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The stage of the successor.
+/// The stage of the successor in a hand-over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SuccessorStage {
-    /// It has asked the predecessor to be accepted.
+    /// This process has sent its join message to the predecessor.
     Joining,
-    /// It has the listener, and waits for an endpoint list.
+    /// This process has received the listener and waits for an endpoint list.
     AwaitingEndpoints,
-    /// It has requested the predecessor's state.
+    /// This process has requested the predecessor's state.
     AwaitingState,
-    /// It has the state and confirms that it serves: whether the confirmation can still be sent decides which process
-    /// owns the state.
+    /// This process has received the state and confirms that it serves. If the confirmation can still be
+    /// sent, this process owns the state; otherwise the predecessor does.
     Confirming,
-    /// It serves while the predecessor drains.
+    /// This process serves while the predecessor drains.
     Sharing,
-    /// It serves alone.
+    /// This process serves alone.
     ServingAlone,
 }
 
 impl SuccessorStage {
-    /// The time after which [`Event::TimedOut`] occurs at this stage, if there is a limit.
+    /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage has no
+    /// time limit.
     pub fn limit(self) -> Option<Duration> {
         match self {
             Self::Joining | Self::AwaitingState => Some(ANSWER_TIMEOUT),
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -4,7 +4,7 @@
 use super::link::{Link, ReceiveError};
 use super::message::{HandoverMessage, LearnedState};
 use super::stage::{Event, HandoverFailure, Signal, Step, SuccessorStage};
-use super::{deliver, LimiterProcess};
+use super::{dispatch_message, LimiterProcess};
 use crate::threads::lock;
 use slog::{info, warn};
 use std::collections::VecDeque;
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 impl UpgradeCoordinator {
-    /// Takes over from the predecessor; returns when this process serves alone. Returns the socket for successors if it
-    /// has been created.
+    /// Takes over from the predecessor. Blocks until this process serves alone, and returns the socket
+    /// for later successors if it was created.
     pub(super) fn take_over<L: LimiterProcess>(
         &self,
         predecessor: PredecessorConnection,
@@ -31,10 +31,10 @@
             link: predecessor.link,
             poll_endpoints: endpoints_known,
             stage,
-            stage_began: Instant::now(),
+            stage_entered_at: Instant::now(),
             endpoints_known: false,
             state: None,
-            early_ends: Vec::new(),
+            early_attempt_ends: Vec::new(),
             socket: None,
         };
         let socket = take_over.run();
@@ -43,20 +43,21 @@
     }
 }
 
+/// One hand-over from a predecessor.
 struct TakeOver<'a, L, F> {
     coordinator: &'a UpgradeCoordinator,
     process: &'a L,
     link: Arc<Link>,
-    /// Waits for a duration at most and returns whether an endpoint list is known.
+    /// Waits up to the given duration for an endpoint list and returns whether one is known.
     poll_endpoints: F,
     stage: SuccessorStage,
-    stage_began: Instant,
+    stage_entered_at: Instant,
     endpoints_known: bool,
-    /// The predecessor's state, until it is adopted.
+    /// The predecessor's state, between its receipt and its adoption.
     state: Option<LearnedState>,
-    /// Ends of attempts that arrived before the state that counts these attempts: applied before it, they would have no
-    /// effect, and the attempts would count as in flight for ever.
-    early_ends: Vec<HandoverMessage>,
+    /// Messages about ended attempts that were received before the state was adopted. Processed earlier,
+    /// they would have no effect, and the state's attempts would count as in flight forever.
+    early_attempt_ends: Vec<HandoverMessage>,
     socket: Option<UnixListener>,
 }
 
@@ -66,10 +67,10 @@
             let Some(event) = self.next_event() else {
                 continue;
             };
-            let before = self.stage;
-            self.apply(event);
-            if self.stage != before {
-                self.stage_began = Instant::now();
+            let previous = self.stage;
+            self.apply_event(event);
+            if self.stage != previous {
+                self.stage_entered_at = Instant::now();
             }
         }
         self.socket
@@ -78,7 +79,7 @@
     fn next_event(&mut self) -> Option<Event> {
         match self.link.receive(Some(POLL_INTERVAL)) {
             Ok((message, descriptor)) => self.on_message(message, descriptor),
-            Err(ReceiveError::TimedOut) => self.on_silence(),
+            Err(ReceiveError::TimedOut) => self.on_poll_interval(),
             Err(error) => Some(self.coordinator.connection_lost(error)),
         }
     }
@@ -94,37 +95,37 @@
                 Some(Event::Received(Signal::State))
             }
             HandoverMessage::Ended(_) if self.stage != SuccessorStage::Sharing => {
-                self.early_ends.push(message);
+                self.early_attempt_ends.push(message);
                 None
             }
-            message => deliver(message, descriptor, self.process).map(Event::Received),
+            message => dispatch_message(message, descriptor, self.process).map(Event::Received),
         }
     }
 
-    fn on_silence(&mut self) -> Option<Event> {
+    fn on_poll_interval(&mut self) -> Option<Event> {
         if self.stage == SuccessorStage::AwaitingEndpoints {
             self.endpoints_known = self.endpoints_known || (self.poll_endpoints)(Duration::ZERO);
             return self.endpoints_known.then_some(Event::EndpointsKnown);
         }
         let limit = self.stage.limit()?;
-        (self.stage_began.elapsed() >= limit).then_some(Event::TimedOut)
+        (self.stage_entered_at.elapsed() >= limit).then_some(Event::TimedOut)
     }
 
-    fn apply(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         let mut steps = VecDeque::from(self.stage.on(event));
         while let Some(step) = steps.pop_front() {
             match step {
                 Step::Send(Signal::RequestState) => {
                     _ = self.link.send(HandoverMessage::RequestState(true), None);
                 }
-                Step::Send(Signal::Serving) => steps.extend(self.confirm()),
+                Step::Send(Signal::Serving) => steps.extend(self.confirm_serving()),
                 Step::Serve => self.serve(),
                 Step::ServeAlone(failure) => self.serve_alone(failure),
                 Step::EndSharing => {
                     self.process.set_sharing(false);
                     info!(self.coordinator.log, "upgrade: predecessor has ended");
                 }
-                // Steps of the predecessor.
+                // Steps of a predecessor, which this state machine does not return.
                 Step::Send(_)
                 | Step::CloseConnection
                 | Step::StopAccepting
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Confirms that this process serves, and returns the steps that follow.
-    fn confirm(&mut self) -> Vec<Step> {
+    /// Confirms to the predecessor that this process serves, and returns the steps that follow.
+    fn confirm_serving(&mut self) -> Vec<Step> {
         let event = match self.link.send(HandoverMessage::Serving(true), None) {
             Ok(()) => Event::Sent,
             Err(_) => Event::ConnectionLost,
@@ -149,10 +150,10 @@
         if let Some(state) = self.state.take() {
             self.process.adopt_state(state);
         }
-        for ended in self.early_ends.drain(..) {
-            self.process.process_message(ended);
+        for message in self.early_attempt_ends.drain(..) {
+            self.process.process_message(message);
         }
-        // Before readiness is reported: the next upgrade must find this process.
+        // The socket must exist before readiness is reported, as the next upgrade may start right after.
         self.socket = self.coordinator.bind_socket();
         self.process.set_accepting(true);
         self.process.begin_serving();
@@ -161,7 +162,8 @@
 
     fn serve_alone(&mut self, failure: HandoverFailure) {
         warn!(self.coordinator.log, "upgrade: serving alone"; "error" => %failure);
-        // The predecessor may still serve and owns the socket: a later successor joins the owner.
+        // No socket is created: the predecessor may still serve and own it, and a later successor joins
+        // the owner of the socket.
         while !self.endpoints_known {
             self.endpoints_known = (self.poll_endpoints)(Duration::MAX);
         }
