--- a/src/counter/connection.rs
+++ b/src/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a counter, with the calls that wait for a reply on it.
+//! One connection to a counter, with the calls that are waiting for a reply on it.
 
 use crate::counter::{Counted, CounterProtocol};
 use crate::decision::Outcome;
@@ -10,11 +10,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The counter closes connections that are idle for about 10 s or less. A call that is written while it closes would
-/// be in doubt, so a connection that was idle for this long is not used again.
+/// Idle time after which a connection is not used again. The counter closes connections that are idle for
+/// about 10 s or less, and the result of a call that is written while it does so would be unknown.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A call that was written, or is being written, and has no reply yet.
+/// A call that was written or is being written, and whose reply has not been received.
 struct PendingCall {
     number: u64,
     written_at: Instant,
@@ -24,7 +24,7 @@
 pub(super) struct CounterConnection {
     stream: TcpStream,
     pending: Mutex<VecDeque<PendingCall>>,
-    /// No further call is written: the connection is closed after the last pending reply.
+    /// Set when no further calls are written. The connection is then closed after the last pending reply.
     draining: AtomicBool,
 }
 
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Whether another call may be written: the last one, at `last_call`, was recent, or calls are pending and the
-    /// oldest of them has waited for less than `reply_timeout`.
+    /// Whether another call may be written. If calls are pending, the oldest must have waited for less than
+    /// `reply_timeout`; otherwise `last_call`, the time of the last call, must be recent.
     pub(super) fn is_usable(&self, last_call: Instant, reply_timeout: Duration) -> bool {
         match lock(&self.pending).front() {
             Some(oldest) => oldest.written_at.elapsed() < reply_timeout,
@@ -51,9 +51,10 @@
     ///
     /// # Errors
     ///
-    /// If not all bytes were written. The call may be pending still; see [`Self::withdraw`].
+    /// Returns an error if not all bytes were written. The call may still be pending; see
+    /// [`Self::withdraw`].
     pub(super) fn write(&self, call: u64, now: Instant, bytes: &[u8]) -> io::Result<()> {
-        // Before the bytes are written, or the reply could be read first.
+        // The call is added before its bytes are written, as its reply could be read right after.
         lock(&self.pending).push_back(PendingCall {
             number: call,
             written_at: now,
@@ -61,38 +62,38 @@
         (&self.stream).write_all(bytes)
     }
 
-    /// Removes the call that was added last, if it is still pending. Returns false if the reader thread has reported it
-    /// already.
+    /// Removes this call, which was added last, if it is still pending. Returns false if the reader thread
+    /// has already reported it.
     pub(super) fn withdraw(&self, call: u64) -> bool {
         let mut pending = lock(&self.pending);
         let is_last = pending.back().is_some_and(|last| last.number == call);
         is_last && pending.pop_back().is_some()
     }
 
-    /// Reads replies until the connection ends, and reports each call's result to `counted`.
+    /// Reads replies until the connection ends, and reports the result of each call to `on_result`.
     ///
-    /// Calls that have no reply then are reported as timed out: each may have been added.
-    pub(super) fn read(&self, protocol: &dyn CounterProtocol, counted: &Counted) {
+    /// Calls without a reply are then reported as timed out, as the counter may have added their amounts.
+    pub(super) fn read(&self, protocol: &dyn CounterProtocol, on_result: &Counted) {
         protocol.read(&self.stream, &mut |outcome, total| {
-            self.complete_oldest(outcome, total, counted)
+            self.complete_oldest(outcome, total, on_result)
         });
         self.close();
         for call in std::mem::take(&mut *lock(&self.pending)) {
-            counted(call.number, Outcome::Timeout, 0.0);
+            on_result(call.number, Outcome::Timeout, 0.0);
         }
     }
 
-    /// Reports the reply to the oldest pending call; returns whether further replies can come.
-    fn complete_oldest(&self, outcome: Outcome, total: f64, counted: &Counted) -> bool {
+    /// Reports the reply to the oldest pending call. Returns whether further replies are possible.
+    fn complete_oldest(&self, outcome: Outcome, total: f64, on_result: &Counted) -> bool {
         let mut pending = lock(&self.pending);
         let oldest = pending.pop_front();
-        let more = !pending.is_empty() || !self.draining.load(Ordering::SeqCst);
+        let more_replies = !pending.is_empty() || !self.draining.load(Ordering::SeqCst);
         drop(pending);
         let Some(call) = oldest else {
             return false;
         };
-        counted(call.number, outcome, total);
-        more
+        on_result(call.number, outcome, total);
+        more_replies
     }
 
     /// Closes the connection once no call is pending.
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Closes the connection now.
+    /// Closes the connection immediately.
     pub(super) fn close(&self) {
         _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -1,4 +1,4 @@
-//! A client of a quota counter: calls are pipelined on a few kept connections.
+//! A client of a quota counter. Calls are pipelined on a small number of persistent connections.
 
 mod connection;
 pub mod http;
@@ -15,34 +15,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections to the counter. All calls of one counter name use the same connection, so its replies arrive in the
-/// order of its calls.
+/// Number of connections to the counter. All calls with the same counter name use the same connection, so
+/// their replies arrive in the order of the calls.
 const CONNECTIONS: usize = 4;
 
-/// Receives the end of a call: its number, its outcome, and the total after it (0 unless the outcome is `Ok`).
+/// Callback that receives the result of a call: the call number, the outcome, and the total after the
+/// addition (0 unless the outcome is `Ok`).
 pub type Counted = Arc<dyn Fn(u64, Outcome, f64) + Send + Sync>;
 
-/// Encodes calls of a counter and decodes its replies.
+/// Encodes calls to a counter and decodes the replies.
 pub trait CounterProtocol: Send + Sync + 'static {
-    /// Encodes a call for the counter at this address.
-    fn encode(&self, addition: &Addition, to: SocketAddr) -> Vec<u8>;
+    /// Encodes a call to the counter at this address.
+    fn encode(&self, addition: &Addition, address: SocketAddr) -> Vec<u8>;
 
-    /// Reads replies and passes the outcome and the total of each to `on_reply`.
+    /// Reads replies from the connection and passes the outcome and the total of each to `on_reply`.
     ///
-    /// Returns when `on_reply` returns false, when the connection ends, or after a reply that can't be decoded: what
-    /// follows such a reply can't be matched to calls.
-    fn read(&self, from: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool);
+    /// Returns when `on_reply` returns false, when the connection ends, or after a reply that can't be
+    /// decoded: the bytes after such a reply can't be matched to calls.
+    fn read(&self, stream: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool);
 }
 
-/// One call: adds an amount to a counter.
+/// A call that adds an amount to a counter.
 pub struct Addition {
-    /// Number of the call, returned with its result.
+    /// Number of the call, which is passed to the callback with the result.
     pub call_number: u64,
     /// Name of the counter.
     pub counter: u64,
-    /// Amount to add, in units; negative to return units.
+    /// Amount to add, in units; negative if units are returned.
     pub amount: f64,
-    /// Lifetime of the counter, if this call creates it.
+    /// Lifetime of the counter if this call creates it.
     pub ttl: Duration,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl CallReply {
-    /// The amount was added.
+    /// The reply to a call whose amount was added.
     fn added(total: f64) -> Self {
         Self {
             outcome: Outcome::Ok,
@@ -62,17 +63,17 @@
         }
     }
 
-    /// The counter is overloaded; nothing was added.
+    /// The reply of an overloaded counter, which added nothing.
     fn rejected() -> Self {
         Self::without_total(Outcome::Rejected)
     }
 
-    /// The counter refused the call; nothing was added.
+    /// The reply of a counter that refused the call and added nothing.
     fn not_added() -> Self {
         Self::without_total(Outcome::ConnectFailed)
     }
 
-    /// The amount may have been added, but the total is unknown.
+    /// The reply to a call whose amount may have been added; the total is unknown.
     fn in_doubt() -> Self {
         Self::without_total(Outcome::Timeout)
     }
@@ -96,42 +97,51 @@
 }
 
 impl CounterClient {
-    /// Starts one writer thread a connection.
+    /// Creates a client and starts one writer thread per connection.
     ///
-    /// `wait` is the timeout of a call; connect and write timeouts are derived from it.
+    /// Connect and write timeouts are derived from `call_timeout`, the timeout of a call. `on_result`
+    /// receives the result of each call.
     ///
     /// # Errors
     ///
-    /// If a thread can't be started.
+    /// Returns an error if a thread can't be started.
     pub fn start(
-        at: SocketAddr,
-        wait: Duration,
+        address: SocketAddr,
+        call_timeout: Duration,
         protocol: impl CounterProtocol,
-        counted: Counted,
+        on_result: Counted,
         log: &Logger,
     ) -> io::Result<Self> {
         let protocol: Arc<dyn CounterProtocol> = Arc::new(protocol);
         let mut writers = Vec::with_capacity(CONNECTIONS);
         for _ in 0..CONNECTIONS {
             let (sender, commands) = unbounded();
-            let writer = CallWriter::new(at, wait, protocol.clone(), counted.clone(), log.clone());
+            let writer = CallWriter::new(
+                address,
+                call_timeout,
+                protocol.clone(),
+                on_result.clone(),
+                log.clone(),
+            );
             spawn("counter-write", move || writer.run(&commands))?;
             writers.push(sender);
         }
         Ok(Self { writers })
     }
 
-    /// Starts a call. Its result is passed to the callback later, perhaps after the core stopped waiting for it.
+    /// Starts a call. Its result is passed to the callback later, possibly after the core has stopped
+    /// waiting for it.
     pub fn add(&self, addition: Addition) {
         let writer = &self.writers[addition.counter as usize % CONNECTIONS];
-        // A writer thread runs until the process ends, so the channel is open.
+        // The send can't fail: a writer thread runs until the process ends, so the channel is open.
         _ = writer.send(Command::Add(addition));
     }
 
-    /// Sends further calls to another address; replies pending from the old one are still read.
-    pub fn move_to(&self, at: SocketAddr) {
+    /// Sends all further calls to another address. Replies that are pending at the old address are still
+    /// read.
+    pub fn move_to(&self, address: SocketAddr) {
         for writer in &self.writers {
-            _ = writer.send(Command::ChangeAddress(at));
+            _ = writer.send(Command::ChangeAddress(address));
         }
     }
 }
--- a/src/counter/redis.rs
+++ b/src/counter/redis.rs
@@ -1,6 +1,6 @@
-//! A Redis server as the counter: one transaction a call.
+//! The protocol of a Redis server that is used as the counter. Each call is one transaction.
 
-use crate::counter::http::total;
+use crate::counter::http::parse_total;
 use crate::counter::{Addition, CallReply, CounterProtocol};
 use crate::decision::Outcome;
 use crate::protocol::buffers::{Buffer, SIZE};
@@ -8,15 +8,15 @@
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 
-/// The protocol of a Redis server.
+/// The protocol of a Redis server that is used as the counter.
 pub struct RedisCounterProtocol;
 
-/// Replies to one call: to `MULTI`, to two queued commands and to `EXEC`.
+/// Number of replies to one call: to `MULTI`, to the two queued commands, and to `EXEC`.
 const REPLIES_PER_CALL: usize = 4;
 
 impl CounterProtocol for RedisCounterProtocol {
-    /// `SET` with `NX` creates a counter with its lifetime, which later calls leave as it is; the transaction keeps calls
-    /// of other limiters from running between it and the addition.
+    /// `SET` with `NX` creates the counter with its lifetime, which later calls do not change. The
+    /// transaction prevents calls of other limiters from running between `SET` and the addition.
     fn encode(&self, addition: &Addition, _: SocketAddr) -> Vec<u8> {
         let key = format!("mossrill:count:{}", addition.counter);
         let amount = addition.amount.to_string();
@@ -34,11 +34,11 @@
         bytes
     }
 
-    fn read(&self, mut from: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool) {
+    fn read(&self, mut stream: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool) {
         let mut buffer = Buffer::take();
         let mut end = 0;
         let mut decoder = ReplyDecoder { reply_count: 0 };
-        while let Ok(read @ 1..) = from.read(&mut buffer[end..]) {
+        while let Ok(read @ 1..) = stream.read(&mut buffer[end..]) {
             end += read;
             let Some(start) = decoder.decode(&buffer[..end], on_reply) else {
                 return;
@@ -49,13 +49,14 @@
     }
 }
 
-/// Picks the replies to `EXEC` out of all replies on a connection.
+/// Decodes all replies on a connection and reports those to `EXEC`.
 struct ReplyDecoder {
     reply_count: usize,
 }
 
 impl ReplyDecoder {
-    /// Decodes all complete replies. Returns where the incomplete rest begins; none if the reading is to end.
+    /// Decodes all complete replies. Returns the offset of the incomplete rest, or none if no more replies
+    /// are to be read.
     fn decode(
         &mut self,
         bytes: &[u8],
@@ -77,14 +78,13 @@
     }
 }
 
-/// The result of a call by the reply to `EXEC`.
+/// Returns the result of a call, decoded from the reply to `EXEC`.
 fn decode_exec(bytes: &[u8], reply: &Reply) -> CallReply {
     match reply {
         Reply::Array(Some(results)) => match results.last() {
-            Some(Reply::Bulk(Some(total_at))) => {
-                total(&bytes[total_at.clone()]).map_or_else(CallReply::in_doubt, CallReply::added)
-            }
-            // The addition itself failed, as where the key has another type.
+            Some(Reply::Bulk(Some(total_range))) => parse_total(&bytes[total_range.clone()])
+                .map_or_else(CallReply::in_doubt, CallReply::added),
+            // The addition itself failed, for example because the key has another type.
             Some(Reply::Error(_)) => CallReply::not_added(),
             _ => CallReply::in_doubt(),
         },
--- a/src/counter/writer.rs
+++ b/src/counter/writer.rs
@@ -1,4 +1,5 @@
-//! The thread that writes the calls of one connection and opens it anew when it can't be used any more.
+//! The thread that writes the calls of one connection, and replaces the connection when it is no longer
+//! usable.
 
 use crate::counter::connection::CounterConnection;
 use crate::counter::{Addition, Counted, CounterProtocol};
@@ -11,13 +12,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A reply that takes longer than this, and than [`REPLY_TIMEOUT_CALLS`] call timeouts, blocks all replies behind it:
-/// the connection is replaced.
-const LEAST_REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// The reply timeout of a connection, in timeouts of a call.
-const REPLY_TIMEOUT_CALLS: u32 = 5;
-/// The connect timeout, unless the timeout of a call is longer.
-const LEAST_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Minimum reply timeout of a connection. A connection is replaced when a reply takes longer than its reply
+/// timeout, as the missing reply blocks all replies behind it.
+const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Reply timeout of a connection, as a multiple of the timeout of a call.
+const REPLY_TIMEOUT_CALL_TIMEOUTS: u32 = 5;
+/// Minimum connect timeout. If the timeout of a call is longer, that is used instead.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A command to a writer thread.
 pub(super) enum Command {
@@ -32,28 +33,29 @@
     address: SocketAddr,
     call_timeout: Duration,
     protocol: Arc<dyn CounterProtocol>,
-    counted: Counted,
+    on_result: Counted,
     log: Logger,
     connection: Option<Arc<CounterConnection>>,
+    /// Time of the last call.
     last_call: Instant,
-    /// The last attempt to connect failed, and that is logged.
+    /// Whether the last attempt to connect failed. Only the first failure in a row is logged.
     is_unreachable: bool,
 }
 
 impl CallWriter {
-    /// A writer without a connection; the first call opens one.
+    /// Creates a writer without a connection. The first call opens one.
     pub(super) fn new(
         address: SocketAddr,
         call_timeout: Duration,
         protocol: Arc<dyn CounterProtocol>,
-        counted: Counted,
+        on_result: Counted,
         log: Logger,
     ) -> Self {
         Self {
             address,
             call_timeout,
             protocol,
-            counted,
+            on_result,
             log,
             connection: None,
             last_call: Instant::now(),
@@ -91,7 +93,7 @@
                     warn!(self.log, "counter unreachable"; "error" => %error);
                 }
                 self.is_unreachable = true;
-                (self.counted)(addition.call_number, Outcome::ConnectFailed, 0.0);
+                (self.on_result)(addition.call_number, Outcome::ConnectFailed, 0.0);
             }
         }
     }
@@ -108,23 +110,23 @@
     }
 
     fn reply_timeout(&self) -> Duration {
-        LEAST_REPLY_TIMEOUT.max(self.call_timeout * REPLY_TIMEOUT_CALLS)
+        MIN_REPLY_TIMEOUT.max(self.call_timeout * REPLY_TIMEOUT_CALL_TIMEOUTS)
     }
 
-    /// The open connection, or a new one with its reader thread.
+    /// Returns the open connection. If there is none, opens one and starts its reader thread.
     fn connection(&mut self) -> io::Result<Arc<CounterConnection>> {
         if let Some(connection) = &self.connection {
             return Ok(connection.clone());
         }
-        let connect_timeout = LEAST_CONNECT_TIMEOUT.max(self.call_timeout);
+        let connect_timeout = MIN_CONNECT_TIMEOUT.max(self.call_timeout);
         let stream = TcpStream::connect_timeout(&self.address, connect_timeout)?;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(self.reply_timeout()))?;
         let connection = Arc::new(CounterConnection::new(stream));
         let reader = connection.clone();
         let protocol = self.protocol.clone();
-        let counted = self.counted.clone();
-        spawn("counter-read", move || reader.read(&*protocol, &counted))?;
+        let on_result = self.on_result.clone();
+        spawn("counter-read", move || reader.read(&*protocol, &on_result))?;
         self.connection = Some(connection.clone());
         Ok(connection)
     }
@@ -137,9 +139,10 @@
         {
             return;
         }
-        // An incomplete call adds nothing, unless the reader has reported it as in doubt already.
+        // The counter does not execute an incomplete call, so the call has failed without effect, unless the
+        // reader thread has already reported it as timed out.
         if connection.withdraw(addition.call_number) {
-            (self.counted)(addition.call_number, Outcome::ConnectFailed, 0.0);
+            (self.on_result)(addition.call_number, Outcome::ConnectFailed, 0.0);
         }
         connection.close();
         self.connection = None;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Service discovery: watches the endpoint list and reports every change, over broken watches too.
+//! Service discovery: watches the endpoint list and reports every change. A broken watch is replaced by
+//! a new one without losing changes.
 
 pub mod poll_wait;
 mod timed_reader;
@@ -15,41 +16,41 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A handle to a watch of the endpoint list, by which its address is changed.
+/// A handle to a watch of the endpoint list, which can change the address of service discovery.
 #[derive(Clone)]
 pub struct Watch {
     address_changes: Sender<SocketAddr>,
-    /// The connection in use; closed to wake the thread that reads it.
+    /// The connection in use. Closing it wakes the thread that reads from it.
     connection: Arc<Mutex<Option<TcpStream>>>,
 }
 
 impl Watch {
-    /// Watches the list at another address from now on. Its generations may be unrelated to those of the old address,
-    /// so the full list is read first.
-    pub fn move_to(&self, at: SocketAddr) {
-        _ = self.address_changes.send(at);
+    /// Moves the watch to another address. The generations there may be unrelated to those of the old
+    /// address, so the full list is read first.
+    pub fn move_to(&self, address: SocketAddr) {
+        _ = self.address_changes.send(address);
         if let Some(stream) = &*lock(&self.connection) {
             _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// What the waits between polls of the endpoint list depend on.
+/// Settings that determine the waits between polls of the endpoint list.
 pub struct PollSettings {
-    /// The number of limiters that poll the list, this one included; may change while the watch runs.
+    /// Number of limiters that poll the list, including this one. It may change while the watch runs.
     pub limiter_count: Arc<AtomicU32>,
-    /// The time for which requests may still be sent to a draining upstream server.
+    /// Time for which requests may still be sent to a draining upstream server.
     pub drain_grace: Duration,
-    /// The seed of the random part of waits.
+    /// Seed of the random part of the waits.
     pub seed: u64,
 }
 
-/// Starts a thread that watches the list at `address`, beginning after `generation`. Every update is passed to
-/// `on_update`, in order.
+/// Starts a thread that watches the endpoint list at `address` for changes after `generation`. Every
+/// update is passed to `on_update`, in order.
 ///
 /// # Errors
 ///
-/// If the thread can't be started.
+/// Returns an error if the thread can't be started.
 pub fn start_watch(
     address: SocketAddr,
     generation: u64,
@@ -77,14 +78,14 @@
     Ok(watch)
 }
 
-/// Starts a watch; see [`start_watch`].
+/// Starts a watch like [`start_watch`], with the settings as a tuple.
 ///
 /// # Errors
 ///
-/// If the thread can't be started.
-// Kept until the lead joins the folders.
+/// Returns an error if the thread can't be started.
+// Some callers outside this crate still pass a tuple; new code uses `start_watch`.
 pub fn watch(
-    from: SocketAddr,
+    address: SocketAddr,
     generation: u64,
     (limiter_count, drain_grace, seed): (Arc<AtomicU32>, Duration, u64),
     on_update: impl Fn(EndpointUpdate) + Send + 'static,
@@ -95,5 +96,5 @@
         drain_grace,
         seed,
     };
-    start_watch(from, generation, settings, on_update, log)
+    start_watch(address, generation, settings, on_update, log)
 }
--- a/src/discovery/poll_wait.rs
+++ b/src/discovery/poll_wait.rs
@@ -1,60 +1,63 @@
-//! Waits before polls of the endpoint list, whose server handles one caller after another, and timeouts of responses.
+//! Waits before polls of the endpoint list, and timeouts of the responses. The server of the list handles
+//! its callers one after another.
 //!
-//! A change of the list counts as known 6 s after the server could be reached, whatever happened to the polls before: a
-//! watch that fell silent, a poll that was rejected or had no response, one whose response was lost, and the waits
-//! between them together take less.
+//! A change of the list counts as known to a limiter 6 s after the server became reachable, whatever
+//! happened to earlier polls. The timeouts and waits here stay within that time: a watch that became
+//! silent, a poll that was rejected or not answered, a poll whose response was lost, and the waits between
+//! them add up to less than 6 s.
 
 use std::time::Duration;
 
-/// The time that the server takes for one caller.
+/// Time that the server takes to handle one caller.
 pub const POLL_TIME: Duration = Duration::from_millis(20);
-/// The longest time assumed for one poll by each limiter of a fleet.
+/// Upper bound of the fleet poll time, see [`fleet_poll_time`].
 const MAX_FLEET_POLL_TIME: Duration = Duration::from_secs(2);
-/// The wait limit of a rejected limiter in a small fleet.
+/// Upper bound of the wait after a rejected poll in a small fleet.
 pub const LEAST_REJECTED_WAIT_LIMIT: Duration = Duration::from_secs(1);
-/// The wait limit of a rejected limiter in a large fleet.
+/// Upper bound of the wait after a rejected poll in a large fleet.
 pub const MAX_REJECTED_WAIT_LIMIT: Duration = Duration::from_millis(3_800);
-/// The wait limit after a poll that was rejected, in fleet poll times.
-const REJECTED_WAIT_FLEET_POLLS: u32 = 3;
-/// The longest wait before a poll that may be answered at once, as a part of the drain grace.
+/// Upper bound of the wait after a rejected poll, in fleet poll times.
+const REJECTED_WAIT_FLEET_POLL_TIMES: u32 = 3;
+/// Maximum wait before a poll that was not preceded by a rejection, as a fraction of the drain grace.
 ///
-/// Guards against a limiter of a large fleet that polls too late: a change counts as known to a limiter from the moment
-/// at which it could have polled, and nothing may be sent to a drained upstream server after that.
-const PROMPT_WAIT_PART: f64 = 0.7;
-/// The longest wait before a poll that may be answered at once.
+/// Guards against a limiter of a large fleet that polls too late: a limiter counts as knowing a change from
+/// the moment at which it could have polled, and must not send requests to a drained upstream server after
+/// that.
+const PROMPT_WAIT_FRACTION: f64 = 0.7;
+/// Maximum wait before a poll that was not preceded by a rejection, for any drain grace.
 const MAX_PROMPT_WAIT: Duration = Duration::from_millis(700);
-/// Timeout of a connection attempt.
+/// Timeout of a connection attempt to service discovery.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch that is silent for longer than this is broken; the server sends an empty line every 2 s.
+/// Maximum silence of a watch, after which it counts as broken. The server sends an empty line every 2 s.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(3_200);
-/// Timeout of the head of a response, and of a whole list, where the poll before was answered.
+/// Timeout of the head of a response, and of a full list, if the previous poll was answered.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same after a poll without a response.
+/// Timeout of the head of a response, and of a full list, if the previous poll was not answered.
 const LATER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The least part of a wait limit that a rejected limiter waits.
-const REJECTED_LEAST_WAIT_PART: f64 = 0.5;
-/// The least part of a wait limit that other limiters wait.
-const LEAST_WAIT_PART: f64 = 0.1;
+/// Minimum wait after a rejected poll, as a fraction of the wait limit.
+const REJECTED_MIN_WAIT_FRACTION: f64 = 0.5;
+/// Minimum wait after a poll that was not rejected, as a fraction of the wait limit.
+const MIN_WAIT_FRACTION: f64 = 0.1;
 
 /// The result of a poll.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PollResult {
-    /// An update or a lasting watch was received, or no poll was made yet.
+    /// An update was received, a watch lasted for at least [`WATCH_TIMEOUT`], or no poll was made yet.
     Succeeded,
-    /// The connection failed before or after the head of the response.
+    /// The connection failed, before or after the head of a response was received.
     Failed,
-    /// The server refused it.
+    /// The server rejected the poll.
     Rejected,
 }
 
-/// The longest wait before a poll that may be answered at once, for a drain grace.
+/// Returns the maximum wait before a poll that was not preceded by a rejection, for a drain grace.
 pub fn prompt_wait_limit(drain_grace: Duration) -> Duration {
     drain_grace
-        .mul_f64(PROMPT_WAIT_PART)
+        .mul_f64(PROMPT_WAIT_FRACTION)
         .clamp(POLL_TIME, MAX_PROMPT_WAIT)
 }
 
-/// Timeout of a response after a number of consecutive polls without one.
+/// Returns the timeout of a response, after this number of consecutive polls without a response.
 pub fn response_timeout(unanswered_polls: u32) -> Duration {
     if unanswered_polls == 0 {
         FIRST_RESPONSE_TIMEOUT
@@ -63,17 +66,21 @@
     }
 }
 
-/// The time in which each limiter of a fleet of this size can poll once.
+/// Returns the time in which each limiter of a fleet of this size can poll once, up to 2 s.
 pub fn fleet_poll_time(limiter_count: u32) -> Duration {
     (POLL_TIME * limiter_count.max(1)).min(MAX_FLEET_POLL_TIME)
 }
 
-/// The longest wait before the next poll, by the limit of the wait before and the result since.
+/// Returns the maximum wait before the next poll, given the previous maximum and the result of the last
+/// poll.
 ///
-/// After a rejection the limit doubles, up to three fleet poll times; otherwise it stays below `prompt_limit`.
+/// After a rejection the maximum doubles, up to three fleet poll times, which are clamped to
+/// [`LEAST_REJECTED_WAIT_LIMIT`] and [`MAX_REJECTED_WAIT_LIMIT`]. After a failure it doubles up to
+/// `prompt_limit`. After a success it is one fleet poll time, and at most `prompt_limit`.
 ///
-/// Guards against a fleet that was cut off or started together and polls in step: the server then rejects most callers,
-/// and limiters that polled each second would keep it so.
+/// The backoff guards against synchronized polls of a fleet whose limiters lost their connections or
+/// started at the same time: the server then rejects most callers, and limiters that polled every second
+/// would keep it overloaded.
 pub fn next_wait(
     last_limit: Duration,
     fleet_poll_time: Duration,
@@ -85,20 +92,22 @@
         PollResult::Succeeded => fleet_poll_time.min(prompt_limit),
         PollResult::Failed => backoff.min(prompt_limit),
         PollResult::Rejected => {
-            let limit = (fleet_poll_time * REJECTED_WAIT_FLEET_POLLS)
+            let limit = (fleet_poll_time * REJECTED_WAIT_FLEET_POLL_TIMES)
                 .clamp(LEAST_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT);
             backoff.min(limit)
         }
     }
 }
 
-/// A random wait up to a limit: at least a tenth of it, or half of it after a rejection. `random` is in 0..1.
+/// Returns a random wait of at least a tenth of `limit`, or half of it after a rejection, and at most
+/// `limit`. `random` is in 0..1.
 ///
-/// The limit is bounded, so short waits decide how often a fleet polls a server that is busy with rejections.
+/// The longer minimum after a rejection matters because `limit` is bounded: the short waits then determine
+/// how often a fleet polls a server that is busy rejecting callers.
 pub fn jittered_wait(limit: Duration, result: PollResult, random: f64) -> Duration {
-    let least = match result {
-        PollResult::Rejected => REJECTED_LEAST_WAIT_PART,
-        PollResult::Succeeded | PollResult::Failed => LEAST_WAIT_PART,
+    let min_fraction = match result {
+        PollResult::Rejected => REJECTED_MIN_WAIT_FRACTION,
+        PollResult::Succeeded | PollResult::Failed => MIN_WAIT_FRACTION,
     };
-    limit.mul_f64(least + (1.0 - least) * random)
+    limit.mul_f64(min_fraction + (1.0 - min_fraction) * random)
 }
--- a/src/discovery/timed_reader.rs
+++ b/src/discovery/timed_reader.rs
@@ -1,21 +1,22 @@
-//! Reads of a response with a deadline for all of it.
+//! Reads a response with a deadline for the whole response.
 
 use crate::discovery::poll_wait::WATCH_TIMEOUT;
 use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Reads a response up to a deadline or, once [`Self::allow_while_active`] was called, for as long as no single read
-/// takes longer than [`WATCH_TIMEOUT`].
+/// Reads a response until a deadline. After a call of [`Self::allow_while_active`], reads without a
+/// deadline, as long as no single read takes longer than [`WATCH_TIMEOUT`].
 ///
-/// Guards against a server that sends a response a byte at a time without end.
+/// The deadline guards against a server that sends its response one byte at a time without end: a
+/// timeout of single reads would never expire.
 pub(super) struct TimedReader<'a> {
     stream: &'a TcpStream,
     deadline: Option<Instant>,
 }
 
 impl<'a> TimedReader<'a> {
-    /// A reader whose reads all end within `timeout` from now.
+    /// Creates a reader whose deadline is `timeout` from now.
     pub(super) fn new(stream: &'a TcpStream, timeout: Duration) -> Self {
         Self {
             stream,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Drops the deadline: from now on each read has [`WATCH_TIMEOUT`].
+    /// Removes the deadline. From now on each single read has a timeout of [`WATCH_TIMEOUT`].
     pub(super) fn allow_while_active(&mut self) -> io::Result<()> {
         self.deadline = None;
         self.stream.set_read_timeout(Some(WATCH_TIMEOUT))
@@ -31,7 +32,7 @@
 }
 
 impl Read for TimedReader<'_> {
-    fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         if let Some(deadline) = self.deadline {
             let remaining = deadline.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
@@ -39,6 +40,6 @@
             }
             self.stream.set_read_timeout(Some(remaining))?;
         }
-        self.stream.read(to)
+        self.stream.read(buffer)
     }
 }
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -19,26 +19,26 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The longest update, in bytes; the longest is the full list.
+/// Maximum length of an update, in bytes. The longest update is the full list.
 const MAX_UPDATE_BYTES: usize = 4 << 20;
 
-/// Why a poll or a watch ended.
+/// The reason why a poll or a watch ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// The list is to be watched at another address.
+    /// The watch was moved to another address.
     #[error("the address of service discovery changed")]
     AddressChanged,
     /// The connection or the HTTP message failed.
     #[error(transparent)]
     Http(#[from] Broken),
-    /// The response has another status or form than was asked for.
-    #[error("{0}")]
+    /// The response has a different status or body than the request asked for.
+    #[error("unexpected response, expected {0}")]
     UnexpectedResponse(&'static str),
-    /// An update was not JSON, or lacked something; the update was logged.
+    /// An update was not valid JSON, or a key was missing or invalid. The details were logged.
     #[error("unreadable endpoint update")]
     UnreadableUpdate,
-    /// The response to a poll ended without a list.
-    #[error("no endpoint list")]
+    /// The response to a poll contained no endpoint list.
+    #[error("the response contains no endpoint list")]
     NoList,
 }
 
@@ -48,9 +48,10 @@
     }
 }
 
-/// The watcher's end of changes of its address.
+/// The receiving side of address changes, which [`Watch::move_to`] sends.
 pub(super) struct AddressChanges {
-    /// Holds the connection in use, and keeps the channel open: a wait on a closed channel would end at once.
+    /// Holds the connection in use. It also holds a sender of the channel: without any sender the channel
+    /// would be closed, and a wait on it would return immediately.
     pub(super) watch: Watch,
     pub(super) receiver: Receiver<SocketAddr>,
 }
@@ -61,28 +62,28 @@
     }
 }
 
-/// Whether the text that was received is all of a response.
+/// How the received text relates to the response that it belongs to.
 #[derive(Clone, Copy, PartialEq)]
 enum UpdateKind {
-    /// The whole response to a poll: the full list.
+    /// The text is the complete response to a poll: the full list.
     FullList,
-    /// A part of a watch: changes, the last one perhaps incomplete.
+    /// The text is a part of the response to a watch: changes, of which the last may be incomplete.
     WatchEvents,
 }
 
 /// Polls and watches one endpoint list.
 pub(super) struct Watcher<F> {
     address: SocketAddr,
-    /// The last generation reported; none where the full list has to be read.
+    /// The last generation reported to `on_update`; none if the full list has to be read next.
     generation: Option<u64>,
     address_changes: AddressChanges,
     limiter_count: Arc<AtomicU32>,
-    /// The longest wait before a poll, unless the last one was rejected.
+    /// Upper bound of `wait_limit`, unless the last poll was rejected.
     prompt_wait_limit: Duration,
-    /// The longest wait before the next poll.
+    /// Maximum wait before the next poll.
     wait_limit: Duration,
     last_result: PollResult,
-    /// Consecutive polls without the head of a response.
+    /// Number of consecutive polls for which not even the head of a response was received.
     unanswered_polls: u32,
     rng: fastrand::Rng,
     on_update: F,
@@ -117,23 +118,24 @@
     pub(super) fn run(&mut self) {
         self.wait_limit = self.fleet_poll_time();
         loop {
-            // Before the first poll too: limiters that start together would all poll within a few milliseconds.
+            // The first poll waits too: limiters that start together would otherwise all poll within a few
+            // milliseconds.
             self.wait_for_next_poll();
-            let began = Instant::now();
+            let started = Instant::now();
             self.last_result = PollResult::Failed;
             let result = self.poll_and_watch();
             *lock(&self.address_changes.watch.connection) = None;
             if !self.address_changes.is_pending() {
-                self.log_end(&result);
+                self.log_watch_end(&result);
             }
-            // A watch that lasted this long was not rejected, though it brought no update.
-            if began.elapsed() >= WATCH_TIMEOUT {
+            // A watch that lasted this long was not rejected, even if it delivered no update.
+            if started.elapsed() >= WATCH_TIMEOUT {
                 self.last_result = PollResult::Succeeded;
             }
         }
     }
 
-    /// Waits until the next poll is due or the address changes, and takes all changes of the address.
+    /// Waits until the next poll is due or the address changes, and applies all pending address changes.
     fn wait_for_next_poll(&mut self) {
         self.update_wait_limit(self.last_result);
         let wait = jittered_wait(self.wait_limit, self.last_result, self.rng.f64());
@@ -160,7 +162,7 @@
         fleet_poll_time(self.limiter_count.load(Ordering::Relaxed))
     }
 
-    fn log_end(&self, result: &Result<(), WatchError>) {
+    fn log_watch_end(&self, result: &Result<(), WatchError>) {
         let reason = match result {
             Ok(()) => "the response ended".to_owned(),
             Err(error) => error.to_string(),
@@ -168,7 +170,7 @@
         warn!(self.log, "endpoint watch broken"; "error" => reason, "generation" => self.generation);
     }
 
-    /// Reads the full list where it is needed, then watches until the watch ends.
+    /// Reads the full list if no generation is known, then reads the watch until it ends.
     fn poll_and_watch(&mut self) -> Result<(), WatchError> {
         let timeout = response_timeout(self.unanswered_polls);
         self.unanswered_polls = self.unanswered_polls.saturating_add(1);
@@ -187,13 +189,13 @@
         let (head, list) = reader.response_with_body(MAX_UPDATE_BYTES, false)?;
         self.unanswered_polls = 0;
         if head.status != 200 {
-            return Err(self.rejected("not an endpoint list"));
+            return Err(self.rejected("status 200 with the endpoint list"));
         }
         self.report_updates(&list, UpdateKind::FullList)?;
         self.generation.ok_or(WatchError::NoList)
     }
 
-    /// Reports updates after `generation` until the watch ends.
+    /// Watches for updates after `generation` and reports them until the watch ends.
     fn read_watch(&mut self, generation: u64, timeout: Duration) -> Result<(), WatchError> {
         let stream = self.connect()?;
         self.send_request(&stream, &format!("?watch=1&from={generation}"))?;
@@ -202,21 +204,22 @@
         self.unanswered_polls = 0;
         reader.source().allow_while_active()?;
         if head.status != 200 || head.body != Body::Chunked {
-            return Err(self.rejected("not a watch"));
+            return Err(self.rejected("status 200 with a chunked body"));
         }
         let mut text = Vec::new();
-        let mut searched = 0;
+        let mut searched_bytes = 0;
         while reader.chunk(&mut text, MAX_UPDATE_BYTES)? {
             match text.trim_ascii_start().first() {
                 None => text.clear(),
-                // No object is complete without a closing brace.
-                Some(b'{') if !text[searched..].contains(&b'}') => {}
+                // The bytes received since the last search contain no closing brace, so no object can be
+                // complete.
+                Some(b'{') if !text[searched_bytes..].contains(&b'}') => {}
                 Some(_) => {
-                    let reported = self.report_updates(&text, UpdateKind::WatchEvents)?;
-                    text.drain(..reported);
+                    let reported_bytes = self.report_updates(&text, UpdateKind::WatchEvents)?;
+                    text.drain(..reported_bytes);
                 }
             }
-            searched = text.len();
+            searched_bytes = text.len();
         }
         Ok(())
     }
@@ -225,7 +228,8 @@
         let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         *lock(&self.address_changes.watch.connection) = Some(stream.try_clone()?);
-        // A change of the address during the connect found no connection to close.
+        // An address change during the connection attempt found no connection to close, so it is checked
+        // here.
         if self.address_changes.is_pending() {
             return Err(WatchError::AddressChanged);
         }
@@ -238,29 +242,30 @@
         stream.write_all(head.as_bytes())
     }
 
-    /// Records that the poll was rejected, unless the full list was read just before.
-    fn rejected(&mut self, reason: &'static str) -> WatchError {
+    /// Records the poll as rejected, unless it succeeded in reading the full list before. Returns the
+    /// error for the unexpected response.
+    fn rejected(&mut self, expected: &'static str) -> WatchError {
         if self.last_result == PollResult::Failed {
             self.last_result = PollResult::Rejected;
         }
-        WatchError::UnexpectedResponse(reason)
+        WatchError::UnexpectedResponse(expected)
     }
 
-    /// Reports each complete JSON object of the text. Returns how many bytes these take; objects may be spread over
-    /// lines.
+    /// Reports each complete JSON object of the text and returns their total length in bytes. An object may
+    /// span several lines.
     fn report_updates(&mut self, text: &[u8], kind: UpdateKind) -> Result<usize, WatchError> {
         let mut objects = serde_json::Deserializer::from_slice(text).into_iter::<Value>();
-        let mut reported = 0;
+        let mut reported_bytes = 0;
         loop {
             match objects.next() {
                 None => return Ok(text.len()),
                 Some(Ok(value)) => self.report_update(&value, kind)?,
                 Some(Err(error)) if error.is_eof() && kind == UpdateKind::WatchEvents => {
-                    return Ok(reported);
+                    return Ok(reported_bytes);
                 }
                 Some(Err(_)) => return Err(self.unreadable("not JSON")),
             }
-            reported = objects.byte_offset();
+            reported_bytes = objects.byte_offset();
         }
     }
 
@@ -280,13 +285,13 @@
         self.generation = Some(generation);
         self.last_result = PollResult::Succeeded;
         (self.on_update)(update);
-        // Logged after the update took effect: tests and operators rely on the line.
+        // Logged only after the update took effect, as tests and operators rely on this line.
         info!(self.log, "endpoint update"; "generation" => generation, "full" => full, "endpoints" => endpoint_count);
         Ok(())
     }
 
-    /// Logs an update that can't be used. Later changes would not add up to the list without it, so the full list is
-    /// read next.
+    /// Logs an update that can't be read and returns the error for it. Without this update, later changes
+    /// would result in a wrong list, so the full list is read next.
     fn unreadable(&mut self, reason: &str) -> WatchError {
         warn!(self.log, "endpoint update unreadable"; "error" => reason);
         self.generation = None;
