--- a/src/admin/line.rs
+++ b/src/admin/line.rs
@@ -12,21 +12,21 @@
 
 pub use crate::admin::listener::listen;
 
-/// The core confirms a command within this time. Operators wait a second for an answer, and half of it may have passed
-/// until the call was complete.
+/// Time within which the core must confirm a command. Operators wait 1 s for an answer, half of which may
+/// have passed before the call was complete.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What calls are answered from.
+/// The parts of the process that admin calls need.
 pub struct AdminContext {
     /// The metrics of this process.
     pub metrics: Arc<Metrics>,
-    /// The limiter's place in its fleet, if it has one.
+    /// The limiter's membership in a fleet, if one is configured.
     pub fleet: Option<Fleet>,
     /// Whether this process can serve.
     pub is_ready: Box<dyn Fn() -> bool + Send + Sync>,
     /// Passes a command to the core.
     pub send_command: Box<dyn Fn(AdminCommand) + Send + Sync>,
-    /// Receives a line for each command.
+    /// Logger that receives a line for each command.
     pub log: Logger,
 }
 
@@ -37,8 +37,8 @@
             Call::ShowStat => Ok(self.show_stat()),
             Call::ShowFleet => self.show_fleet(),
             Call::Ready => self.ready().map(|()| acknowledgement(Ok(()))),
-            Call::DisableServer(id) => self.confirm(id, AdminCommand::Disable),
-            Call::EnableServer(id) => self.confirm(id, AdminCommand::Enable),
+            Call::DisableServer(id) => self.execute_command(id, AdminCommand::Disable),
+            Call::EnableServer(id) => self.execute_command(id, AdminCommand::Enable),
         };
         result.unwrap_or_else(|error| acknowledgement(Err(&error.to_string())))
     }
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Passes a command for an upstream server to the core and waits for its confirmation.
-    fn confirm(
+    /// Sends a command for an upstream server to the core and waits for its confirmation.
+    fn execute_command(
         &self,
         id: ServerId,
         command: impl Fn(ServerId, Sender<bool>) -> AdminCommand,
     ) -> Result<String, CallError> {
-        let (confirm, confirmed) = bounded(1);
-        let command = command(id, confirm);
+        let (sender, confirmation) = bounded(1);
+        let command = command(id, sender);
         info!(self.log, "admin command"; "command" => ?command);
         (self.send_command)(command);
-        match confirmed.recv_timeout(CONFIRMATION_TIMEOUT) {
+        match confirmation.recv_timeout(CONFIRMATION_TIMEOUT) {
             Ok(true) => Ok(acknowledgement(Ok(()))),
             Ok(false) => Err(CallError::UnknownServer),
             Err(_) => Err(CallError::Unconfirmed),
--- a/src/admin/listener.rs
+++ b/src/admin/listener.rs
@@ -1,7 +1,8 @@
-//! Accepts operators' connections: a thread for each, few at a time, each for a short time.
+//! Accepts operators' connections and serves each on its own thread. The number of connections without a
+//! complete call and the duration of each connection are bounded.
 
 use crate::admin::line::AdminContext;
-use crate::admin::{acknowledgement, Call, CallError, LONGEST_CALL};
+use crate::admin::{acknowledgement, Call, CallError, MAX_CALL_BYTES};
 use crate::threads::{lock, spawn};
 use slog::warn;
 use std::collections::VecDeque;
@@ -11,35 +12,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Connections without a complete call; a further one closes the oldest of them.
+/// Maximum number of connections without a complete call. A further connection closes the oldest of them.
 const MAX_PENDING_CONNECTIONS: usize = 8;
-/// A call is complete within this time after its connection was accepted.
+/// Time within which a call must be complete, from the start of its connection's thread.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Timeout of writing an answer.
+/// Timeout of each write of an answer.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Wait after a failed accept, as when descriptors run out.
+/// Wait after a failed accept, for example when no file descriptors are available.
 const ACCEPT_RETRY_WAIT: Duration = Duration::from_millis(20);
 
-/// Listens for operators at an address and answers their calls. Returns the address that was bound.
+/// Starts a thread that listens at `address` and answers operators' calls. Returns the bound address.
 ///
 /// # Errors
 ///
-/// If the address can't be bound; the error names the key of the configuration and the address.
-pub fn listen(at: SocketAddr, context: AdminContext) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind(at)
-        .map_err(|error| io::Error::new(error.kind(), format!("key \"control\": {at}: {error}")))?;
+/// Returns an error if the address can't be bound, which names the configuration key and the address, or
+/// if the thread can't be started.
+pub fn listen(address: SocketAddr, context: AdminContext) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind(address).map_err(|error| {
+        io::Error::new(error.kind(), format!("key \"control\": {address}: {error}"))
+    })?;
     let bound = listener.local_addr()?;
     let context = Arc::new(context);
-    spawn("admin", move || accept(&listener, &context))?;
+    spawn("admin", move || accept_connections(&listener, &context))?;
     Ok(bound)
 }
 
-/// Connections without a complete call, the oldest first.
+/// Connections without a complete call, in the order in which they were accepted.
 #[derive(Clone, Default)]
 struct PendingConnections(Arc<Mutex<VecDeque<Arc<TcpStream>>>>);
 
 impl PendingConnections {
-    /// Adds a connection, and closes the oldest one if there are too many.
+    /// Adds a connection. Closes the oldest one if there are [`MAX_PENDING_CONNECTIONS`] already.
     fn add(&self, stream: Arc<TcpStream>) {
         let mut streams = lock(&self.0);
         if streams.len() >= MAX_PENDING_CONNECTIONS {
@@ -59,11 +62,11 @@
     }
 }
 
-fn accept(listener: &TcpListener, context: &Arc<AdminContext>) {
+fn accept_connections(listener: &TcpListener, context: &Arc<AdminContext>) {
     let pending = PendingConnections::default();
     loop {
         match listener.accept() {
-            Ok((stream, _)) => start_call(Arc::new(stream), &pending, context),
+            Ok((stream, _)) => start_serving(Arc::new(stream), &pending, context),
             Err(error) => {
                 warn!(context.log, "accept failed"; "error" => %error);
                 thread::sleep(ACCEPT_RETRY_WAIT);
@@ -72,8 +75,12 @@
     }
 }
 
-/// Serves a connection on a thread of its own.
-fn start_call(stream: Arc<TcpStream>, pending: &PendingConnections, context: &Arc<AdminContext>) {
+/// Serves a connection on its own thread.
+fn start_serving(
+    stream: Arc<TcpStream>,
+    pending: &PendingConnections,
+    context: &Arc<AdminContext>,
+) {
     pending.add(stream.clone());
     let thread_pending = pending.clone();
     let thread_context = context.clone();
@@ -96,9 +103,10 @@
     _ = stream.shutdown(Shutdown::Write);
 }
 
-/// Reads one line, without its end.
+/// Reads one line and returns it without the line end.
 ///
-/// Guards against operators' tools that send nothing, an incomplete line or an endless one: each gets an answer in time.
+/// Guards against operators' tools that send nothing, an incomplete line or an endless one: each of them
+/// gets an answer in time.
 fn read_line(mut stream: &TcpStream) -> Result<Vec<u8>, CallError> {
     let began = Instant::now();
     let mut line = Vec::new();
@@ -107,9 +115,9 @@
         if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
             return Err(CallError::Incomplete);
         }
-        let mut bytes = [0; LONGEST_CALL];
+        let mut bytes = [0; MAX_CALL_BYTES];
         match stream.read(&mut bytes) {
-            // The end of the stream ends the line too.
+            // The end of the stream also ends the line.
             Ok(0) => return Ok(line),
             Ok(read) => line.extend_from_slice(&bytes[..read]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -119,7 +127,7 @@
             line.truncate(end);
             return Ok(line);
         }
-        if line.len() > LONGEST_CALL {
+        if line.len() > MAX_CALL_BYTES {
             return Err(CallError::TooLong);
         }
     }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The admin interface: one call a connection, answered within a second however busy the limiter is.
+//! The admin interface: one call per connection, answered within a second even if the limiter is busy.
 //!
-//! This module parses calls and renders answers without a socket; `listener` accepts connections, and `line` executes
-//! calls. Metrics are read without the core. Calls that change something go to the core by a queue of their own, which it
-//! reads first.
+//! This module parses calls and renders answers, without I/O. `listener` accepts connections, and `line`
+//! executes calls. Metrics are read without involving the core. Calls that change state are sent to the
+//! core over a separate queue, which the core reads before other input.
 
 pub mod line;
 mod listener;
@@ -12,49 +12,49 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// The longest call, in bytes: the longest command, a blank and the id of an upstream server.
-pub const LONGEST_CALL: usize = 512;
+/// Maximum length of a call, in bytes: the longest command, a space and the id of an upstream server.
+pub const MAX_CALL_BYTES: usize = 512;
 
-/// A call of an operator.
+/// A call from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Asks whether this process can serve.
+    /// Queries whether this process can serve.
     Ready,
-    /// Asks for the metrics.
+    /// Queries the metrics.
     ShowStat,
-    /// Asks for the members of the fleet.
+    /// Queries the members of the fleet.
     ShowFleet,
-    /// Takes an upstream server out: no request is forwarded to it.
+    /// Bans an upstream server, so that no request is forwarded to it.
     DisableServer(ServerId),
-    /// Puts an upstream server back.
+    /// Lifts the ban of an upstream server.
     EnableServer(ServerId),
 }
 
-/// Why a call was not executed. The text goes to the operator.
+/// The reason why a call was not executed. Its text is sent to the operator.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum CallError {
     /// The line is not UTF-8.
     #[error("the call is not text")]
     NotText,
-    /// The line has no words.
+    /// The line contains no words.
     #[error("an empty line is no call")]
     Empty,
-    /// A server command without an id.
+    /// The id is missing after `disable-server` or `enable-server`.
     #[error("the id of a server is missing")]
     MissingServerId,
-    /// More words than the call takes.
+    /// The line has more words than the call takes.
     #[error("this call takes no further word")]
     UnexpectedWord,
-    /// The first word is no command.
+    /// The first word is not a command.
     #[error("unknown call: ready, show-stat, show-fleet, disable-server ID or enable-server ID")]
     Unknown,
     /// No line end was received in time.
     #[error("no whole line in time")]
     Incomplete,
-    /// The line is longer than [`LONGEST_CALL`].
+    /// The line is longer than [`MAX_CALL_BYTES`].
     #[error("the line is too long")]
     TooLong,
-    /// The other process of a hand-over is the fleet's member now.
+    /// During an upgrade, the other process is the active member of the fleet.
     #[error("this process does not speak for its limiter now")]
     NotMember,
     /// The limiter is configured without a fleet.
@@ -63,7 +63,7 @@
     /// The process has no endpoint list yet, or is shutting down.
     #[error("this process can't serve yet")]
     NotReady,
-    /// Service discovery never listed the server.
+    /// Service discovery has never listed the server.
     #[error("no server of this id was ever listed")]
     UnknownServer,
     /// The core did not confirm the command in time.
@@ -72,11 +72,12 @@
 }
 
 impl Call {
-    /// Parses a line without its end.
+    /// Parses a line, which must not contain the line end.
     ///
     /// # Errors
     ///
-    /// If the line is not UTF-8, or is none of the calls with exactly the words that it takes.
+    /// Returns an error if the line is not UTF-8, or is not one of the calls with exactly the words that
+    /// the call takes.
     pub fn parse(line: &[u8]) -> Result<Call, CallError> {
         let text = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
         let mut words = text.split_ascii_whitespace();
@@ -102,7 +103,7 @@
     }
 }
 
-/// The answer to a call without other output: `YES`, or `NO` with the reason.
+/// Renders the answer to a call that has no other output: `YES`, or `NO` with the reason.
 pub fn acknowledgement(result: Result<(), &str>) -> String {
     match result {
         Ok(()) => "YES\n".into(),
@@ -110,7 +111,7 @@
     }
 }
 
-/// The answer to `show-stat`: the metrics of this process, and those of its place in the fleet.
+/// Renders the answer to `show-stat`: the metrics of this process, then its fleet membership metrics.
 pub fn render_metrics(metrics: &Metrics, fleet_metrics: Vec<(String, u64)>) -> String {
     let mut text = String::new();
     for (name, value) in metrics.all().into_iter().chain(fleet_metrics) {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -6,12 +6,13 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Key that only configuration files of a limiter on the platform have.
+/// Key that exists only in configuration files of limiters on the platform.
 const PLATFORM_KEY: &str = "settings";
 
-/// Checks a file and prints what is wrong with it to standard error.
+/// Checks a configuration file. Prints the result to standard output, or the error to standard error.
 pub fn check(path: &Path) -> ExitCode {
-    // A closed output is ignored: the exit code has the result too.
+    // Write errors are ignored, for example if the output is closed: the exit code also indicates the
+    // result.
     match validate(path) {
         Ok(()) => {
             _ = writeln!(io::stdout(), "{}: no fault found", path.display());
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -1,33 +1,33 @@
-//! Reads configuration files, with errors that name the file.
+//! Reads configuration files. Errors name the file.
 
 use mossrill::config::{self, ConfigError, OpenApiConfig, PlatformConfig};
 use std::fs;
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a configuration file was rejected.
+/// The reason why a configuration file was rejected.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
     /// The file can't be read as UTF-8 text.
     #[error("{path}: {error}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The reason.
+        /// The error of the operating system.
         #[source]
         error: std::io::Error,
     },
-    /// The file does not hold a valid configuration.
+    /// The file does not contain a valid configuration.
     #[error("{path}: {error}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, with the key.
+        /// The error in the configuration, which names the key.
         error: ConfigError,
     },
 }
 
-/// Reads a file as UTF-8.
+/// Reads a file as UTF-8 text.
 pub fn read(path: &Path) -> Result<String, ConfigurationError> {
     fs::read_to_string(path).map_err(|error| ConfigurationError::Unreadable {
         path: path.display().to_string(),
@@ -35,14 +35,15 @@
     })
 }
 
-/// Parses the configuration of a limiter with an OpenAPI front; its description is in the same folder.
+/// Parses the configuration of a limiter with an OpenAPI front. Its OpenAPI description is read from the
+/// folder of the configuration file.
 pub fn openapi(path: &Path, text: &str) -> Result<OpenApiConfig, ConfigurationError> {
     let read_sibling =
         |name: &str| read(&path.with_file_name(name)).map_err(|error| error.to_string());
     config::openapi(text, read_sibling).map_err(|error| invalid(path, error))
 }
 
-/// Parses the configuration of a limiter on the platform; environment variables replace absent keys.
+/// Parses the configuration of a limiter on the platform. Environment variables replace absent keys.
 pub fn platform(path: &Path, text: &str) -> Result<PlatformConfig, ConfigurationError> {
     config::platform(text, |name| std::env::var(name).ok()).map_err(|error| invalid(path, error))
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -15,16 +15,16 @@
   EDGE_CONFIG=edge.json mossrill start a limiter on the platform
   mossrill check openapi.json    check a configuration file without starting anything
 
-Signals: SIGTERM ends a limiter in order, SIGHUP has it read its configuration file again.
+Signals: SIGTERM shuts a limiter down gracefully, SIGHUP reloads its configuration file.
 
-Exit codes: 0 ended in order, or no fault found; 1 a fault, told on standard error; 2 wrong usage.";
+Exit codes: 0 graceful shutdown, or no fault found; 1 error, reported on standard error; 2 wrong usage.";
 
-/// Limits requests of many clients to their accounts' quotas, as one of a fleet of gateways.
+/// Limits the requests of many clients to the quotas of their accounts, as one of a fleet of gateways.
 #[derive(Debug, Parser)]
 #[command(version, after_help = EXAMPLES, args_conflicts_with_subcommands = true, disable_help_subcommand = true)]
 struct Arguments {
-    /// Configuration file of a limiter with an OpenAPI front; without it, EDGE_CONFIG names the file of a limiter on the
-    /// platform.
+    /// Configuration file of a limiter with an OpenAPI front. Without it, a limiter on the platform is
+    /// started with the configuration file that EDGE_CONFIG names.
     file: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
@@ -34,7 +34,7 @@
 enum Command {
     /// Checks a configuration file of either kind without starting a limiter.
     ///
-    /// Variables of the environment stand in for absent keys as they would at the start.
+    /// As at the start of a limiter, environment variables replace absent keys.
     Check {
         /// The configuration file.
         file: PathBuf,
@@ -43,7 +43,8 @@
 
 /// Runs the program with the arguments of this process. Wrong usage, `--help` and `--version` end the process here.
 pub fn main() -> ExitCode {
-    // Without arguments the parser is not run: a machine may start hundreds of limiters at once.
+    // Without arguments the parser is skipped to save start-up time, as a machine may start hundreds of
+    // limiters at once.
     if std::env::args_os().len() <= 1 {
         return start::start(None);
     }
--- a/src/cli/start.rs
+++ b/src/cli/start.rs
@@ -1,4 +1,4 @@
-//! Starts a limiter and handles its signals: SIGTERM stops it, SIGHUP reloads its configuration.
+//! Starts a limiter and handles its signals: SIGTERM stops the limiter, SIGHUP reloads its configuration.
 
 use super::configuration::{self, ConfigurationError};
 use mossrill::client::ClientProtocol;
@@ -14,17 +14,18 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Environment variable with the path of the configuration file of a limiter on the platform.
+/// Environment variable that contains the path of the configuration file of a limiter on the platform.
 const PLATFORM_FILE: &str = "EDGE_CONFIG";
-/// Environment variable with the path of a folder that successive processes of a limiter share.
+/// Environment variable that contains the path of a folder that is shared by successive processes of a
+/// limiter, for upgrades.
 const SHARED_FOLDER: &str = "TMPDIR";
 
-/// Why a limiter can't start.
+/// The reason why a limiter can't start.
 #[derive(Debug, Error)]
 enum StartError {
-    #[error("signals: {0}")]
+    #[error("can't register the signal handlers: {0}")]
     Signals(io::Error),
-    #[error("EDGE_CONFIG is not set, wanted a file")]
+    #[error("EDGE_CONFIG is not set, expected the path of a configuration file")]
     NoFile,
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
@@ -32,7 +33,7 @@
     Limiter(#[from] io::Error),
 }
 
-/// Runs a limiter with this configuration file, or with the one that EDGE_CONFIG names, until it is stopped.
+/// Runs a limiter until it is stopped. If `file` is none, `EDGE_CONFIG` names the configuration file.
 pub fn start(file: Option<PathBuf>) -> ExitCode {
     let drain =
         slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(io::stderr())).build();
@@ -47,7 +48,7 @@
 }
 
 fn run(file: Option<PathBuf>, log: &Logger) -> Result<(), StartError> {
-    // Before anything listens: a signal may be received at any time.
+    // The handlers are registered before anything listens, as a signal may be received at any time.
     let signals = Signals::new([SIGTERM, SIGHUP]).map_err(StartError::Signals)?;
     let shared_folder = std::env::var_os(SHARED_FOLDER).map(PathBuf::from);
     match file {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Runs a limiter until SIGTERM. `load` reads its configuration again on SIGHUP.
+/// Runs a limiter until SIGTERM is received. On SIGHUP, `load` reads its configuration again.
 fn serve<P: ClientProtocol, C: 'static>(
     limiter: io::Result<(Limiter<P>, Reload<C>)>,
     load: impl Fn() -> Result<C, ConfigurationError> + Send + 'static,
@@ -83,11 +84,11 @@
                 info!(signal_log, "shutdown requested");
                 return stopper.stop();
             }
-            // A file that is invalid or only half written changes nothing.
+            // If the file is invalid or incompletely written, the current configuration stays in use.
             match load() {
                 Ok(configuration) => reload(configuration),
-                Err(rejection) => {
-                    error!(signal_log, "configuration rejected, the previous one stays in use"; "error" => %rejection);
+                Err(error) => {
+                    error!(signal_log, "configuration rejected, the previous one stays in use"; "error" => %error);
                 }
             }
         }
