--- a/src/config/accounts.rs
+++ b/src/config/accounts.rs
@@ -1,16 +1,16 @@
-//! Plans and accounts of a limiter with an OpenAPI front.
+//! Reads the plans and accounts of a limiter with an OpenAPI front.
 
 use super::reader::{positive, Section};
 use super::ConfigError;
 use crate::decision::Plan;
 use std::collections::HashMap;
 
-/// An account.
+/// The configuration of an account.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountConfig {
-    /// Index of its plan.
+    /// Index of the account's plan.
     pub plan: usize,
-    /// Number of limiters that receive its requests.
+    /// Number of limiters that receive requests of the account.
     pub limiter_count: u32,
     /// Number of the first of these limiters.
     pub first_limiter: u32,
@@ -25,7 +25,7 @@
 /// Reads an entry of the key `plans`.
 pub(super) fn read_plan(entry: Section<'_>) -> Result<NamedPlan<'_>, ConfigError> {
     let plan = Plan {
-        rate: entry.required("rate", "units a second, above 0", positive)?,
+        rate: entry.required("rate", "units per second, above 0", positive)?,
         burst: entry.required("burst", "units, above 0", positive)?,
         max_concurrent: entry.integer_or("open", 0)? as u32,
         weight_factor: entry.number_or("price", 1.0)?,
@@ -36,7 +36,7 @@
     Ok(NamedPlan { name, plan })
 }
 
-/// Reads the key `accounts`. An account's requests may come through all `limiters` unless it says otherwise.
+/// Reads the key `accounts`. By default, requests of an account may arrive at all `limiters`.
 pub(super) fn read_accounts(
     root: &Section<'_>,
     plans: &[NamedPlan<'_>],
@@ -47,7 +47,7 @@
         let plan = plans
             .iter()
             .position(|plan| plan.name == plan_name)
-            .ok_or_else(|| entry.wrong("plan", "the name of one of the plans"))?;
+            .ok_or_else(|| entry.wrong_value("plan", "the name of one of the plans"))?;
         let account = AccountConfig {
             plan,
             limiter_count: entry.integer_or("spread", u64::from(limiters))? as u32,
--- a/src/config/allocator.rs
+++ b/src/config/allocator.rs
@@ -1,4 +1,4 @@
-//! The configuration of an allocator of quota leases.
+//! Reads the configuration of an allocator of quota leases.
 
 use super::membership::{read_membership, Member};
 use super::ranges::{millis_within, DEFAULT_LIFETIME_MS, LIFETIME_MS, TIMEOUT_MS};
@@ -15,19 +15,19 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// The largest number of limiters that an allocator can be configured for.
+/// Maximum number of limiters that an allocator can be configured for.
 const MAX_LIMITERS: u32 = 100_000;
-/// Shortest and longest interval between two lines of figures in the log, in milliseconds.
+/// Allowed intervals between two log lines with metrics, in milliseconds.
 const LOG_INTERVAL_MS: RangeInclusive<u64> = 100..=86_400_000;
-/// Default number of connections for each limiter: one that is being upgraded or has lost a connection has a second one
-/// for some time.
-const CONNECTIONS_PER_LIMITER: u32 = 2;
+/// Default maximum number of connections per limiter. During an upgrade, or after it has lost a connection,
+/// a limiter temporarily has a second one.
+const DEFAULT_CONNECTIONS_PER_LIMITER: u32 = 2;
 
 /// Reads the configuration file of an allocator.
 ///
 /// # Errors
 ///
-/// Names the file, and the key that is missing, unknown, or has a value of another form.
+/// Returns an error that names the file, and the key that is missing, unknown or has an invalid value.
 pub fn allocator_from_file(path: &Path) -> Result<ServerSettings, ConfigError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -36,11 +36,11 @@
     }
 }
 
-/// Reads the text of the configuration file of an allocator; `file` is its name in errors.
+/// Reads the configuration of an allocator from the text of its file. Errors call the file `file`.
 ///
 /// # Errors
 ///
-/// Those of [`allocator_from_file`].
+/// Returns the same errors as [`allocator_from_file`], except for those of reading the file.
 pub fn allocator(file: &str, text: &str) -> Result<ServerSettings, ConfigError> {
     parse(text)
         .and_then(AllocatorFile::into_settings)
@@ -58,7 +58,7 @@
     })
 }
 
-/// The file of an allocator.
+/// The keys of an allocator's configuration file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AllocatorFile {
@@ -104,7 +104,7 @@
         NonZeroU32::new(200_000).unwrap_or(NonZeroU32::MIN)
     }
 
-    /// Checks the values.
+    /// Checks the values and converts them to settings.
     fn into_settings(self) -> Result<ServerSettings, ConfigError> {
         let allocators = self.allocators.get();
         let limiters = self.limiters.get();
@@ -124,7 +124,7 @@
                 frame: millis_within("frame_ms", self.frame_ms, TIMEOUT_MS)?,
             },
             log_interval: millis_within("log_interval_ms", self.log_interval_ms, LOG_INTERVAL_MS)?,
-            connections: self.connections(),
+            connections: self.max_connections(),
             fleet,
         })
     }
@@ -143,9 +143,11 @@
         })
     }
 
-    fn connections(&self) -> usize {
+    fn max_connections(&self) -> usize {
         let connections = self.connections.map_or(
-            self.limiters.get().saturating_mul(CONNECTIONS_PER_LIMITER),
+            self.limiters
+                .get()
+                .saturating_mul(DEFAULT_CONNECTIONS_PER_LIMITER),
             NonZeroU32::get,
         );
         connections as usize
--- a/src/config/common.rs
+++ b/src/config/common.rs
@@ -1,4 +1,4 @@
-//! The configuration that every limiter has, whatever protocols it uses.
+//! The configuration that is common to all limiters, independent of the protocols that they use.
 
 use super::{EndpointUpdate, QuotaLeaseConfig};
 use crate::decision::Settings;
@@ -7,38 +7,40 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The largest number of requests that may be open at once, whatever the settings allow: each may hold a buffer.
+/// Maximum number of requests that may be open at once. Larger configured values are reduced to it, as
+/// each open request may hold a buffer.
 pub(super) const MAX_OPEN_REQUESTS: u64 = 1_000;
-/// The default and the largest number of file descriptors.
+/// Default and maximum number of file descriptors.
 pub(super) const MAX_DESCRIPTORS: u64 = 1_024;
 
-/// The configuration that every limiter has.
+/// The configuration that is common to all limiters.
 pub struct CommonConfig {
-    /// Name of the limiter, the same after a restart.
+    /// Name of the limiter. It stays the same over restarts.
     pub name: String,
-    /// Address at which clients connect.
+    /// Address that the limiter accepts client connections on.
     pub listen: SocketAddr,
-    /// Address of the admin interface, if there is one.
+    /// Address of the admin interface, if it is enabled.
     pub admin_address: Option<SocketAddr>,
-    /// The folder that this process shares with its predecessor and its successor in an upgrade.
+    /// Folder that this process shares with its predecessor and its successor in upgrades. Without it, no
+    /// process can take over from this one.
     pub common_folder: Option<PathBuf>,
-    /// Configuration of the membership protocol, if limiters know each other.
+    /// Configuration of the membership protocol, if the limiter is a member of a fleet.
     pub membership: Option<FleetSettings>,
-    /// Configuration of quota leases, if units are leased.
+    /// Configuration of quota leases, if the limiter uses them.
     pub quota_leases: Option<QuotaLeaseConfig>,
-    /// Names of the request classes, for operators.
+    /// Names of the request classes, as operators see them in metrics.
     pub class_names: Vec<String>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// File descriptors in all.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// Requests that may be open at once.
+    /// Maximum number of requests that may be open at once.
     pub max_open_requests: usize,
     /// Timeouts of connections to upstream servers.
     pub connections: ConnectionSettings,
-    /// Settings of the decision module.
+    /// Settings of the decision engine.
     pub settings: Settings,
-    /// The endpoint list that is known at the start.
+    /// Endpoint list that is used from the start, before any update.
     pub initial_endpoints: EndpointUpdate,
 }
 
@@ -51,12 +53,12 @@
     pub connect_timeout: Duration,
 }
 
-/// Bounds the configured number of file descriptors.
+/// Limits the configured number of file descriptors to [`MAX_DESCRIPTORS`].
 pub(super) fn bounded_descriptors(configured: u64) -> usize {
     configured.min(MAX_DESCRIPTORS) as usize
 }
 
-/// Bounds the configured number of open requests; at least one may be open.
+/// Limits the configured number of open requests to the range from 1 to [`MAX_OPEN_REQUESTS`].
 pub(super) fn bounded_open_requests(configured: u64) -> usize {
     configured.clamp(1, MAX_OPEN_REQUESTS) as usize
 }
--- a/src/config/decision.rs
+++ b/src/config/decision.rs
@@ -1,17 +1,17 @@
-//! Checks of the settings of the decision module.
+//! Checks the settings of the decision engine.
 
 use super::ConfigError;
 use crate::decision::Settings;
 
-/// Checks the values that the decision module divides by or indexes with.
+/// Checks the values that the decision engine divides by or uses as an index.
 ///
 /// # Errors
 ///
-/// Names the key of the platform's settings whose value is out of range.
-pub(super) fn check(settings: &Settings) -> Result<(), ConfigError> {
+/// Returns an error that names the key whose value is out of range, as the platform's settings call it.
+pub(super) fn check_settings(settings: &Settings) -> Result<(), ConfigError> {
     check_limiter(settings)?;
-    check_present("settings.classes", settings.classes.is_empty())?;
-    check_present("settings.tariffs", settings.plans.is_empty())?;
+    check_not_empty("settings.classes", settings.classes.is_empty())?;
+    check_not_empty("settings.tariffs", settings.plans.is_empty())?;
     check_classes(settings)?;
     check_plans(settings)
 }
@@ -26,8 +26,8 @@
     })
 }
 
-fn check_present(key: &'static str, empty: bool) -> Result<(), ConfigError> {
-    if empty {
+fn check_not_empty(key: &'static str, is_empty: bool) -> Result<(), ConfigError> {
+    if is_empty {
         let reason = "is missing or empty, wanted a list";
         return Err(ConfigError::Inconsistent { key, reason });
     }
@@ -56,7 +56,7 @@
     if has_invalid {
         return Err(ConfigError::OutOfRange {
             key: "settings.tariffs",
-            reason: "rates and stores must not be negative",
+            reason: "rates, bursts and weight factors must be finite and not negative",
         });
     }
     Ok(())
--- a/src/config/endpoints.rs
+++ b/src/config/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: whole, or as a change, as service discovery and the key `known` have it.
+//! Reads the endpoint list or a change of it, from service discovery or from the key `known`.
 
 use super::reader::Section;
 use super::ConfigError;
@@ -6,17 +6,17 @@
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The address of an endpoint that has been removed and came without one.
+/// Placeholder for the address of a removed endpoint, which may be absent.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// An endpoint list, or a change of it.
+/// A full endpoint list, or a change of it.
 #[derive(Debug, Default)]
 pub struct EndpointUpdate {
-    /// Version of the list.
+    /// Version number of the list.
     pub generation: u64,
-    /// The update has all endpoints, not changed ones alone.
+    /// Whether the update contains all endpoints, not only the changed ones.
     pub is_snapshot: bool,
-    /// Endpoints, each with its address.
+    /// The endpoints, each with its address.
     pub endpoints: Vec<(Endpoint, SocketAddr)>,
 }
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// Names the key that is missing or has a value of another form.
+/// Returns an error that names the key which is missing or has an invalid value.
 pub fn read_endpoint_update(value: &Value) -> Result<EndpointUpdate, ConfigError> {
     let update = Section::new(value, "");
     let entries = update.required("instances", "a list", Value::as_array)?;
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! The error of everything that reads configuration.
+//! The error type of this module and its submodules.
 
 use crate::openapi::description::DescriptionErrors;
 use crate::simulator::ParseError;
@@ -6,23 +6,23 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Why a configuration is rejected. Messages name the key, and the file where it is known.
+/// The reason why a configuration is rejected. The message names the key, and the file if it is known.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A file can't be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A file was read and has an error.
+    /// A file was read and contains an error.
     #[error("{file}: {source}")]
     InFile {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The error in it.
+        /// The error in the file.
         source: Box<ConfigError>,
     },
     /// The text is not JSON.
@@ -36,41 +36,42 @@
     Missing {
         /// Path of the key.
         key: String,
-        /// The form that the value must have.
+        /// Description of the form that the value must have.
         wanted: String,
     },
-    /// A value has another form than its key requires.
+    /// A value does not have the form that its key requires.
     #[error("key \"{key}\" is {found}, wanted {wanted}")]
     Wrong {
         /// Path of the key.
         key: String,
         /// The value, as JSON.
         found: String,
-        /// The form that the value must have.
+        /// Description of the form that the value must have.
         wanted: String,
     },
-    /// A secret is missing or has another form than its key requires. The value is not part of the message.
+    /// A secret is missing or does not have the form that its key requires. The message does not contain the
+    /// value.
     #[error("key \"{key}\" is missing or not {wanted}")]
     WrongSecret {
         /// Path of the key.
         key: &'static str,
-        /// The form that the value must have.
+        /// Description of the form that the value must have.
         wanted: &'static str,
     },
-    /// A key that no section has.
+    /// The section has no key of this name.
     #[error("key \"{key}\" is not known")]
     UnknownKey {
         /// Path of the key.
         key: String,
     },
     /// A number is too large.
-    #[error("key \"{key}\" is {found}, {maximum} at most")]
+    #[error("key \"{key}\" is {found}, wanted {maximum} or less")]
     AboveMaximum {
         /// Path of the key.
         key: &'static str,
         /// The number.
         found: u32,
-        /// The largest that is allowed.
+        /// The largest number that is allowed.
         maximum: u32,
     },
     /// A list has too few or too many entries.
@@ -78,100 +79,101 @@
     WrongLength {
         /// Path of the key.
         key: &'static str,
-        /// Number of entries.
+        /// Number of entries that the list has.
         found: usize,
-        /// The largest number that is allowed.
+        /// The largest number of entries that is allowed.
         maximum: u32,
     },
-    /// A key contradicts another, or a rule for several values is broken.
+    /// The value of a key is inconsistent with that of another key, or is missing where it is required.
     #[error("key \"{key}\" {reason}")]
     Inconsistent {
         /// Path of the key.
         key: &'static str,
-        /// The rule, as the end of a sentence that begins with the key.
+        /// The violated rule, as the end of a sentence that begins with the key.
         reason: &'static str,
     },
-    /// Values are out of range.
+    /// Values in a section are out of range.
     #[error("key \"{key}\": {reason}")]
     OutOfRange {
         /// Path of the section.
         key: &'static str,
-        /// The rule that is broken.
+        /// The violated rule.
         reason: &'static str,
     },
-    /// The number of a limiter is not below the number of limiters.
+    /// The number of this limiter is not less than the number of limiters.
     #[error("key \"settings.me\" is {limiter}, of {limiters} limiters")]
     LimiterNumber {
-        /// Number of the limiter.
+        /// Number of this limiter.
         limiter: u32,
         /// Number of limiters.
         limiters: u32,
     },
     /// A fleet is larger than the membership protocol allows.
-    #[error("key \"fleet\": {limiters} limiters, {maximum} at the most")]
+    #[error("key \"fleet\": {limiters} limiters, wanted {maximum} or less")]
     FleetTooLarge {
         /// Number of limiters.
         limiters: u32,
-        /// The largest number that is allowed.
+        /// The largest number of limiters that is allowed.
         maximum: u32,
     },
-    /// The list of seeds lacks the process that reads it.
+    /// The list of seeds does not contain the process that reads it.
     #[error("key \"fleet.seeds\" lacks this limiter, number {limiter} at {address}")]
     SeedMissing {
         /// Number of this limiter.
         limiter: u32,
-        /// Its address.
+        /// Address of this limiter.
         address: SocketAddrV4,
     },
-    /// An entry of a list has an error.
+    /// An entry of a list contains an error.
     #[error("key \"{key}\", entry {index}: {source}")]
     InEntry {
         /// Path of the list.
         key: String,
         /// Index of the entry, from 0.
         index: usize,
-        /// The error in it.
+        /// The error in the entry. Its paths are relative to the entry.
         source: Box<ConfigError>,
     },
-    /// A section has an error, whose paths begin at the section.
+    /// A section contains an error.
     #[error("key \"{key}\": {source}")]
     InSection {
         /// Path of the section.
         key: &'static str,
-        /// The error in it.
+        /// The error in the section. Its paths are relative to the section.
         source: Box<ConfigError>,
     },
-    /// A key is missing, unknown or of another type, as serde found.
+    /// A key is missing, unknown or of the wrong type, as reported by serde.
     #[error("key \"{key}\": {source}")]
     Deserialize {
         /// Path of the key.
         key: String,
-        /// The error of serde.
+        /// The error that serde reported.
         source: serde_json::Error,
     },
-    /// The settings of the decision module can't be read.
+    /// The settings of the decision engine are invalid.
     #[error("key \"settings\": {0}")]
     Settings(#[source] ParseError),
     /// The file of the OpenAPI description can't be read.
     #[error("key \"description\": {file}: {reason}")]
     DescriptionUnreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The error of the system.
+        /// The error of the operating system.
         reason: String,
     },
-    /// The OpenAPI description has errors.
+    /// The OpenAPI description contains errors.
     #[error("key \"description\": {file}: {source}")]
     Description {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// All errors that it has.
+        /// All errors in the description.
         source: DescriptionErrors,
     },
 }
 
 impl ConfigError {
-    /// The error for a value that is missing or has the wrong form; null counts as missing.
+    /// Returns the error for a value that is missing or does not have the wanted form. Null counts as
+    /// missing.
     pub(super) fn wrong_value(key: String, value: &Value, wanted: &str) -> Self {
         let wanted = wanted.to_owned();
         match value {
--- a/src/config/membership.rs
+++ b/src/config/membership.rs
@@ -1,4 +1,4 @@
-//! The section `fleet`: a process's place among the limiters or allocators that know each other.
+//! Reads the section `fleet`, which makes a limiter or an allocator a member of a fleet.
 
 use super::reader::{parse_address, Section};
 use super::ConfigError;
@@ -12,7 +12,8 @@
 use serde_json::Value;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// The keys of the section. Any other is an error, so that a misspelt key does not silently get its default.
+/// The keys of the section. Other keys are errors, so that a misspelled key does not silently get its
+/// default.
 const KEYS: [&str; 10] = [
     "name",
     "key",
@@ -25,26 +26,26 @@
     "forget_s",
     "kept",
 ];
-/// The form of an address, as errors name it.
+/// Description of an address in error messages.
 const IPV4_ADDRESS: &str = "an IPv4 host:port";
-/// The least number of hexadecimal digits of the fleet's key.
+/// Minimum number of hexadecimal digits of the fleet's key.
 const MIN_KEY_DIGITS: usize = 32;
-/// The most bytes that the name of a fleet may have.
+/// Maximum length of the name of a fleet, in bytes.
 const MAX_NAME_BYTES: usize = 16;
 
-/// The process that reads the section.
+/// Identity of the process that reads the section.
 #[derive(Clone, Copy)]
 pub(super) struct Member {
-    /// Its number, from 0.
+    /// Number of the process in the fleet, from 0.
     pub(super) number: u32,
-    /// Processes in the fleet.
+    /// Number of processes in the fleet.
     pub(super) fleet_size: u32,
-    /// Seed of its random numbers.
+    /// Seed of the random number generator of the membership protocol.
     pub(super) seed: u64,
 }
 
 impl Member {
-    /// The limiter with these settings.
+    /// Creates the identity of the limiter with these settings.
     pub(super) fn limiter(settings: &Settings, seed: u64) -> Self {
         Self {
             number: settings.limiter,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Reads the key `fleet` of a file; none where it is absent.
+/// Reads the key `fleet` of a file. Returns none if it is absent.
 pub(super) fn read_membership(
     root: &Section<'_>,
     member: Member,
@@ -97,7 +98,7 @@
                 "kept",
                 0.5,
                 "a number from 0.05 to 0.95",
-                read_kept,
+                read_guaranteed_share,
             )?,
         },
         listen: listen.into(),
@@ -108,7 +109,7 @@
 
 fn check_keys(root: &Section<'_>, section: &Section<'_>) -> Result<(), ConfigError> {
     let Some(entries) = section.value.as_object() else {
-        return Err(root.wrong("fleet", "an object"));
+        return Err(root.wrong_value("fleet", "an object"));
     };
     match entries.keys().find(|key| !KEYS.contains(&key.as_str())) {
         Some(key) => Err(ConfigError::UnknownKey {
@@ -118,14 +119,14 @@
     }
 }
 
-/// Reads the address at which other members reach this one.
+/// Reads the address at which other members reach this process.
 fn read_advertised_address(
     section: &Section<'_>,
     listen: SocketAddrV4,
 ) -> Result<SocketAddrV4, ConfigError> {
     let address = section.optional("address", listen, IPV4_ADDRESS, read_ipv4_address)?;
     if address.port() == 0 || address.ip().is_unspecified() {
-        return Err(section.wrong(
+        return Err(section.wrong_value(
             "address",
             "the host:port at which other limiters reach this one",
         ));
@@ -133,7 +134,7 @@
     Ok(address)
 }
 
-/// Reads the seeds; each number and each address may occur once.
+/// Reads the list of seeds. Each number and each address may occur only once.
 fn read_seeds(
     section: &Section<'_>,
     fleet_size: u32,
@@ -151,17 +152,17 @@
             read_ipv4_address(value).filter(|address| address.port() > 0)
         })?;
         if seeds.iter().any(|(other, _)| *other == number) {
-            return Err(entry.wrong("limiter", "a number that no other seed has"));
+            return Err(entry.wrong_value("limiter", "a number that no other seed has"));
         }
         if seeds.iter().any(|(_, other)| *other == address) {
-            return Err(entry.wrong("address", "an address that no other seed has"));
+            return Err(entry.wrong_value("address", "an address that no other seed has"));
         }
         seeds.push((number, address));
     }
     Ok(seeds)
 }
 
-/// Reads the fleet's key; an error does not show the value.
+/// Reads the fleet's key. Errors do not contain the value.
 fn read_key(section: &Section<'_>) -> Result<Vec<u8>, ConfigError> {
     parse_hexadecimal(&section.value["key"]).ok_or(ConfigError::WrongSecret {
         key: "fleet.key",
@@ -194,6 +195,6 @@
         .then(|| name.to_owned())
 }
 
-fn read_kept(value: &Value) -> Option<f64> {
+fn read_guaranteed_share(value: &Value) -> Option<f64> {
     value.as_f64().filter(|share| (0.05..=0.95).contains(share))
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,6 +1,7 @@
-//! Reading of configuration: one module for each section of a file, checks and defaults included.
+//! Reads and validates configuration files and applies defaults. Each section of a file has its own
+//! module.
 //!
-//! Every error is a [`ConfigError`], which names the key.
+//! All errors are of type [`ConfigError`] and name the key.
 
 mod accounts;
 mod allocator;
--- a/src/config/openapi.rs
+++ b/src/config/openapi.rs
@@ -1,13 +1,13 @@
-//! The configuration of a limiter with an OpenAPI front.
+//! Reads the configuration of a limiter with an OpenAPI front.
 
 use super::accounts::{read_accounts, read_plan, AccountConfig, NamedPlan};
 use super::common::{
     bounded_descriptors, bounded_open_requests, MAX_DESCRIPTORS, MAX_OPEN_REQUESTS,
 };
-use super::decision::check;
+use super::decision::check_settings;
 use super::membership::{read_membership, Member};
 use super::reader::{parse, Section};
-use super::store::{read_store, StoreConfig};
+use super::store::{read_store, StoreConfig, StoreSection};
 use super::{CommonConfig, ConfigError, ConnectionSettings, EndpointUpdate, QuotaLeaseConfig};
 use crate::decision::{Endpoint, Limits, Micros, Prices, Readiness, Safety, Settings};
 use crate::openapi::description::Description;
@@ -15,11 +15,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between two ticks of the decision module, in microseconds.
+/// Time between two ticks of the decision engine, in microseconds.
 const TICK: Micros = 2_000;
-/// Default header that names the account.
-const ACCOUNT_HEADER: &str = "X-Agent-Account";
-/// Safety rules of the decision module, which no key of the file changes.
+/// Default name of the header that contains the account.
+const DEFAULT_ACCOUNT_HEADER: &str = "X-Agent-Account";
+/// Safety rules of the decision engine. They are not configurable.
 const SAFETY: Safety = Safety {
     drain_grace: 1_000_000,
     initial_capacity: 0.2,
@@ -30,24 +30,25 @@
 
 /// The configuration of a limiter with an OpenAPI front.
 pub struct OpenApiConfig {
-    /// What every limiter has.
+    /// Configuration that is common to all limiters.
     pub common: CommonConfig,
-    /// Routes, classes and units.
+    /// Routes, request classes and units, from the OpenAPI description.
     pub description: Description,
-    /// The header that names the account.
+    /// Name of the header that contains the account.
     pub account_header: String,
     /// Accounts by name.
     pub accounts: HashMap<String, AccountConfig>,
-    /// Where counts are shared.
+    /// Store through which limiters share the use of quotas.
     pub store: StoreConfig,
 }
 
-/// Reads the configuration of a limiter with an OpenAPI front. `read` reads the description, by a path relative to that
-/// of the file.
+/// Reads the configuration of a limiter with an OpenAPI front. `read` reads the OpenAPI description; its
+/// argument is a path relative to the folder of the configuration file.
 ///
 /// # Errors
 ///
-/// Names the first key that is missing or has a value of another form; for the description, all errors that it has.
+/// Returns an error that names the first key which is missing or has an invalid value. For the OpenAPI
+/// description, the error lists all errors in it.
 pub fn openapi(
     text: &str,
     read: impl Fn(&str) -> Result<String, String>,
@@ -61,11 +62,11 @@
     let endpoints = root.entries("ticket_nodes", read_endpoint)?;
     let store = read_store(&root, limiters.number)?;
     let settings = read_settings(&root, limiters, &description, plans, &store)?;
-    check(&settings)?;
+    check_settings(&settings)?;
     let common = read_common(&root, settings, store.leases, &description, endpoints)?;
     Ok(OpenApiConfig {
         common,
-        account_header: root.text_or("account_header", ACCOUNT_HEADER)?,
+        account_header: root.text_or("account_header", DEFAULT_ACCOUNT_HEADER)?,
         accounts,
         description,
         store: store.store,
@@ -90,9 +91,9 @@
 /// The limiters that share the quotas.
 #[derive(Clone, Copy)]
 struct Limiters {
-    /// Number of this one, from 0.
+    /// Number of this limiter, from 0.
     number: u32,
-    /// Limiters in all.
+    /// Total number of limiters.
     count: u32,
 }
 
@@ -121,7 +122,7 @@
     limiters: Limiters,
     description: &Description,
     plans: Vec<NamedPlan<'_>>,
-    store: &super::store::Store,
+    store: &StoreSection,
 ) -> Result<Settings, ConfigError> {
     let limits = root.section("limits");
     Ok(Settings {
@@ -158,11 +159,11 @@
     settings: Settings,
     leases: Option<QuotaLeaseConfig>,
     description: &Description,
-    nodes: Vec<(Endpoint, SocketAddr)>,
+    endpoints: Vec<(Endpoint, SocketAddr)>,
 ) -> Result<CommonConfig, ConfigError> {
     let limits = root.section("limits");
     let seed = root.integer_or("seed", u64::from(std::process::id()))?;
-    let links = ConnectionSettings {
+    let connections = ConnectionSettings {
         idle_timeout: Duration::from_millis(limits.integer_or("idle_ms", 30_000)?),
         connect_timeout: Duration::from_millis(limits.integer_or("connect_ms", 250)?.max(1)),
     };
@@ -177,12 +178,12 @@
         seed,
         max_descriptors: bounded_descriptors(limits.integer_or("sockets", MAX_DESCRIPTORS)?),
         max_open_requests: bounded_open_requests(limits.integer_or("max_open", MAX_OPEN_REQUESTS)?),
-        connections: links,
+        connections,
         settings,
         initial_endpoints: EndpointUpdate {
             generation: 0,
             is_snapshot: true,
-            endpoints: nodes,
+            endpoints,
         },
     })
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,9 +1,9 @@
-//! The configuration of a limiter on the platform.
+//! Reads the configuration of a limiter on the platform.
 
 use super::common::{
     bounded_descriptors, bounded_open_requests, MAX_DESCRIPTORS, MAX_OPEN_REQUESTS,
 };
-use super::decision::check;
+use super::decision::check_settings;
 use super::endpoints::read_endpoint_update;
 use super::membership::{read_membership, Member};
 use super::reader::{parse, positive, Section};
@@ -13,40 +13,40 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Keys that environment variables stand in for where the file lacks them.
-const ENVIRONMENT: [(&str, &str); 4] = [
+/// Keys, and the environment variables that replace them if they are absent from the file.
+const ENVIRONMENT_VARIABLES: [(&str, &str); 4] = [
     ("name", "EDGE_NAME"),
     ("listen", "EDGE_LISTEN"),
     ("discovery", "EDGE_DISCOVERY"),
     ("control", "EDGE_CONTROL"),
 ];
 /// Default time after which upstream servers close idle connections, in microseconds.
-const DEFAULT_IDLE: Micros = 30_000_000;
+const DEFAULT_IDLE_TIMEOUT: Micros = 30_000_000;
 /// Default time within which a connection must be established, in microseconds.
-const DEFAULT_CONNECT: Micros = 250_000;
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
 /// The configuration of a limiter on the platform.
 pub struct PlatformConfig {
-    /// What every limiter has.
+    /// Configuration that is common to all limiters.
     pub common: CommonConfig,
     /// Address of service discovery.
     pub discovery: SocketAddr,
-    /// Address of the quota counter, if there is one.
+    /// Address of the quota counter, if the platform has one.
     pub quota_counter: Option<SocketAddr>,
-    /// Names of classes and plans.
+    /// Names of request classes and plans.
     pub names: Names,
-    /// Names of the figures of a load report, in the order of the decision module's settings.
+    /// Names of the fields of a load report, in the order of the decision engine's settings.
     pub load_fields: Vec<String>,
-    /// Most units that a request may take.
+    /// Maximum number of units of a request.
     pub max_units: f64,
 }
 
-/// Reads the configuration of a limiter on the platform. `env` looks up the environment variables that stand in for
-/// absent keys.
+/// Reads the configuration of a limiter on the platform. `env` looks up the environment variables that
+/// replace absent keys.
 ///
 /// # Errors
 ///
-/// Names the first key that is missing or has a value of another form.
+/// Returns an error that names the first key which is missing or has an invalid value.
 pub fn platform(
     text: &str,
     env: impl Fn(&str) -> Option<String>,
@@ -55,7 +55,7 @@
     if !file.is_object() {
         return Err(ConfigError::NotAnObject);
     }
-    for (key, variable) in ENVIRONMENT {
+    for (key, variable) in ENVIRONMENT_VARIABLES {
         if !file[key].is_null() {
             continue;
         }
@@ -77,11 +77,11 @@
     })?;
     let quota_counter = root.optional_address("counter")?;
     check_peers(root, &settings, quota_counter)?;
-    let known = read_known(root)?;
+    let initial_endpoints = read_known_endpoints(root)?;
     let max_open = section
         .section("limits")
         .integer_or("maxOpen", MAX_OPEN_REQUESTS)?;
-    let links = read_connection_settings(&section)?;
+    let connections = read_connection_settings(&section)?;
     let names = Names::from_settings(section.value);
     Ok(PlatformConfig {
         discovery: root.address("discovery")?,
@@ -99,9 +99,9 @@
             seed,
             max_descriptors: bounded_descriptors(sockets),
             max_open_requests: bounded_open_requests(max_open),
-            connections: links,
+            connections,
             settings,
-            initial_endpoints: known,
+            initial_endpoints,
         },
         names,
     })
@@ -110,8 +110,8 @@
 fn read_connection_settings(settings: &Section<'_>) -> Result<ConnectionSettings, ConfigError> {
     let limits = settings.section("limits");
     Ok(ConnectionSettings {
-        idle_timeout: limits.micros_or("connIdle", DEFAULT_IDLE)?,
-        connect_timeout: limits.micros_or("connectTimeout", DEFAULT_CONNECT)?,
+        idle_timeout: limits.micros_or("connIdle", DEFAULT_IDLE_TIMEOUT)?,
+        connect_timeout: limits.micros_or("connectTimeout", DEFAULT_CONNECT_TIMEOUT)?,
     })
 }
 
@@ -126,29 +126,29 @@
         value.is_object().then_some(value)
     })?;
     let settings = simulator::settings(value).map_err(ConfigError::Settings)?;
-    check(&settings)?;
+    check_settings(&settings)?;
     Ok(settings)
 }
 
-/// Checks that the addresses of peers agree with what the settings allow.
+/// Checks that the addresses of the counter and the fleet are consistent with the settings.
 fn check_peers(
     root: &Section<'_>,
     settings: &Settings,
     quota_counter: Option<SocketAddr>,
 ) -> Result<(), ConfigError> {
     if settings.counter && quota_counter.is_none() {
-        return Err(root.wrong("counter", "host:port"));
+        return Err(root.wrong_value("counter", "host:port"));
     }
     if root.value["fleet"].is_object() && !settings.limits.peer_messages {
         return Err(ConfigError::Inconsistent {
             key: "fleet",
-            reason: "is there, and the settings allow no messages between limiters",
+            reason: "is present, but the settings do not allow messages between limiters",
         });
     }
     Ok(())
 }
 
-fn read_known(root: &Section<'_>) -> Result<EndpointUpdate, ConfigError> {
+fn read_known_endpoints(root: &Section<'_>) -> Result<EndpointUpdate, ConfigError> {
     let known = &root.value["known"];
     if known.is_null() {
         return Ok(EndpointUpdate::default());
--- a/src/config/quota_lease.rs
+++ b/src/config/quota_lease.rs
@@ -1,4 +1,4 @@
-//! The configuration of quota leases in a limiter's file: the section `store` of kind `leases`.
+//! Reads the configuration of quota leases from a limiter's file: the section `store` of kind `leases`.
 
 use super::ranges::{millis_within, DEFAULT_LIFETIME_MS, LIFETIME_MS, TIMEOUT_MS};
 use super::ConfigError;
@@ -11,51 +11,51 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Shortest interval between two reports of a limiter to an allocator, in milliseconds.
-const MIN_INTERVAL_MS: u64 = 10;
+/// Minimum interval between two reports of a limiter to an allocator, in milliseconds.
+const MIN_REPORT_INTERVAL_MS: u64 = 10;
 
 /// How a limiter obtains quota leases.
 #[derive(Clone, Debug)]
 pub struct QuotaLeaseConfig {
-    /// Addresses of the allocators, by number.
+    /// Addresses of the allocators, indexed by their numbers.
     pub allocators: Vec<SocketAddr>,
-    /// Timeouts of connections to them.
+    /// Timeouts of connections to the allocators.
     pub timeouts: LinkTimeouts,
     settings: HolderSettings,
 }
 
 impl QuotaLeaseConfig {
-    /// Reads the key `store` of the file of the limiter with this number.
+    /// Reads the section `store` from the file of the limiter with this number.
     ///
     /// # Errors
     ///
-    /// Names the key that is missing, unknown, or has a value of another form.
+    /// Returns an error that names the key which is missing, unknown or has an invalid value.
     pub fn from_store(store: &Value, limiter: u32) -> Result<Self, ConfigError> {
         let keys: StoreKeys = serde_path_to_error::deserialize(store).map_err(|error| {
             let path = error.path().to_string();
-            let dot = if path == "." { "" } else { "." };
+            let separator = if path == "." { "" } else { "." };
             ConfigError::Deserialize {
-                key: format!("store{dot}{}", path.trim_start_matches('.')),
+                key: format!("store{separator}{}", path.trim_start_matches('.')),
                 source: error.into_inner(),
             }
         })?;
         let allocators = keys.addresses()?;
         let lifetime = millis_within("store.lifetime_ms", keys.lifetime_ms, LIFETIME_MS)?;
-        let interval = keys.interval()?;
-        let answer = millis_within("store.answer_ms", keys.answer_ms, TIMEOUT_MS)?;
+        let report_interval = keys.report_interval()?;
+        let answer_timeout = millis_within("store.answer_ms", keys.answer_ms, TIMEOUT_MS)?;
         keys.check_fallback()?;
         Ok(Self {
             timeouts: LinkTimeouts {
                 connect: millis_within("store.connect_ms", keys.connect_ms, TIMEOUT_MS)?,
-                write: answer,
-                answer,
+                write: answer_timeout,
+                answer: answer_timeout,
             },
             settings: HolderSettings {
                 limiter,
                 allocators: allocators.len() as u32,
                 lease: lifetime.as_micros() as Micros,
-                report_interval: interval.as_micros() as Micros,
-                unavailable_after: answer.as_micros() as Micros,
+                report_interval: report_interval.as_micros() as Micros,
+                unavailable_after: answer_timeout.as_micros() as Micros,
                 fallback_thousandths: (keys.fallback * 1_000.0).round() as u32,
                 ..HolderSettings::default()
             },
@@ -63,7 +63,8 @@
         })
     }
 
-    /// Creates the holder of leases of a limiter that starts at `now`. A later start has a higher incarnation.
+    /// Creates the lease holder of a limiter that starts at `now`. The start time is used as the incarnation,
+    /// so a later start has a higher one.
     pub fn holder(&self, now: Micros) -> Holder {
         let settings = HolderSettings {
             incarnation: now.max(1),
@@ -73,7 +74,7 @@
     }
 }
 
-/// The key `store` of a limiter's file.
+/// The keys of the section `store` of a limiter's file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoreKeys {
@@ -120,7 +121,8 @@
         0.5
     }
 
-    /// Addresses by number: all numbers from 0 on, each once.
+    /// Returns the addresses of the allocators, indexed by their numbers. Each number from 0 on must occur
+    /// exactly once.
     fn addresses(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         let count = self.allocators.len();
         if count == 0 || count > MAX_ALLOCATORS as usize {
@@ -138,9 +140,10 @@
         Ok(addresses.into_iter().flatten().collect())
     }
 
-    /// Leases are renewed before they expire, and units that a limiter no longer needs are returned soon after.
-    fn interval(&self) -> Result<Duration, ConfigError> {
-        let range = MIN_INTERVAL_MS..=self.lifetime_ms / 4;
+    /// Returns the interval between two reports. It may be at most a quarter of a lease's lifetime, so that
+    /// leases are renewed before they expire, and units that the limiter no longer needs are returned soon.
+    fn report_interval(&self) -> Result<Duration, ConfigError> {
+        let range = MIN_REPORT_INTERVAL_MS..=self.lifetime_ms / 4;
         millis_within("store.interval_ms", self.interval_ms, range)
     }
 
@@ -157,7 +160,7 @@
 }
 
 impl AllocatorAddress {
-    /// Checks the entry at `index` of the list against the entries before it.
+    /// Checks the entry at `index` of the list against `earlier`, the addresses of the entries before it.
     fn check(&self, index: usize, earlier: &[Option<SocketAddr>]) -> Result<(), ConfigError> {
         let wrong = |name: &str, found: String, wanted: String| {
             let key = format!("store.allocators[{index}].{name}");
@@ -165,20 +168,20 @@
         };
         let number = || self.number.to_string();
         let address = || self.address.to_string();
-        let unique = || "one that no other allocator has".to_owned();
-        let Some(place) = earlier.get(self.number as usize) else {
+        let unique = || "a value that no other allocator has".to_owned();
+        let Some(same_number) = earlier.get(self.number as usize) else {
             let last = earlier.len() - 1;
             let wanted = format!("a whole number from 0 to {last}");
             return wrong("number", number(), wanted);
         };
-        if place.is_some() {
+        if same_number.is_some() {
             return wrong("number", number(), unique());
         }
         if earlier.contains(&Some(self.address)) {
             return wrong("address", address(), unique());
         }
         if self.address.port() == 0 || self.address.ip().is_unspecified() {
-            let wanted = "where the allocator is reached".to_owned();
+            let wanted = "the host:port at which the allocator can be reached".to_owned();
             return wrong("address", address(), wanted);
         }
         Ok(())
--- a/src/config/ranges.rs
+++ b/src/config/ranges.rs
@@ -1,17 +1,17 @@
-//! Ranges of durations in the configuration of quota leases.
+//! Allowed ranges of durations in the configuration of quota leases.
 
 use super::ConfigError;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Shortest and longest lifetime of a lease, in milliseconds.
+/// Allowed lifetimes of a lease, in milliseconds.
 pub(super) const LIFETIME_MS: RangeInclusive<u64> = 100..=600_000;
 /// Default lifetime of a lease, in milliseconds.
 pub(super) const DEFAULT_LIFETIME_MS: u64 = 10_000;
-/// Shortest and longest timeout of a connection, in milliseconds.
+/// Allowed timeouts of a connection, in milliseconds.
 pub(super) const TIMEOUT_MS: RangeInclusive<u64> = 10..=3_600_000;
 
-/// Checks that a number of milliseconds is within a range.
+/// Converts a number of milliseconds to a duration, or returns an error for `key` if it is out of range.
 pub(super) fn millis_within(
     key: &str,
     value: u64,
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -1,4 +1,4 @@
-//! A typed reader of the sections of a JSON configuration, whose errors name the path of the key.
+//! A typed reader for the sections of a JSON configuration. Its errors name the path of the key.
 
 use super::ConfigError;
 use crate::decision::Micros;
@@ -6,36 +6,38 @@
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::time::Duration;
 
-/// The form of a network address, as errors name it.
-const ADDRESS: &str = "host:port";
-/// The form of an integer, as errors name it.
-pub(super) const INTEGER: &str = "a whole number";
+/// Description of a network address in error messages.
+const ADDRESS_FORM: &str = "host:port";
+/// Description of an integer in error messages.
+const INTEGER_FORM: &str = "a whole number";
 
 /// Parses the text of a configuration file.
 pub(super) fn parse(text: &str) -> Result<Value, ConfigError> {
     serde_json::from_str(text).map_err(ConfigError::NotJson)
 }
 
-/// Resolves `host:port`; the first address of a name counts.
+/// Resolves `host:port`. If the host is a name with several addresses, returns the first one.
 pub(super) fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse()
         .ok()
         .or_else(|| text.to_socket_addrs().ok()?.next())
 }
 
-/// Reads a number above 0.
+/// Reads a number that is greater than 0.
 pub(super) fn positive(value: &Value) -> Option<f64> {
     value.as_f64().filter(|number| *number > 0.0)
 }
 
-/// A JSON value with its path. A section that is absent, or not an object, has no keys.
+/// A section of the configuration: a JSON value with its path. A section that is absent or not an object
+/// has no keys.
 pub(super) struct Section<'a> {
     pub(super) value: &'a Value,
     path: String,
 }
 
 impl<'a> Section<'a> {
-    /// The section at `path`, which is empty for the whole file and for an entry of a list.
+    /// Creates the section at `path`. The path is empty for the whole file, and for an entry of a list whose
+    /// index the caller adds to errors.
     pub(super) fn new(value: &'a Value, path: impl Into<String>) -> Self {
         Self {
             value,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The section at a key of this one.
+    /// Returns the section at a key of this section.
     pub(super) fn section(&self, key: &str) -> Self {
         Self::new(&self.value[key], self.path_of(key))
     }
@@ -56,8 +58,9 @@
         }
     }
 
-    /// The error for a key whose value is missing or has another form than `wanted`.
-    pub(super) fn wrong(&self, key: &str, wanted: &str) -> ConfigError {
+    /// Returns the error for a key whose value is missing, or does not have the form that `wanted`
+    /// describes.
+    pub(super) fn wrong_value(&self, key: &str, wanted: &str) -> ConfigError {
         ConfigError::wrong_value(self.path_of(key), &self.value[key], wanted)
     }
 
@@ -68,7 +71,7 @@
         wanted: &str,
         read: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, ConfigError> {
-        read(&self.value[key]).ok_or_else(|| self.wrong(key, wanted))
+        read(&self.value[key]).ok_or_else(|| self.wrong_value(key, wanted))
     }
 
     /// Reads a key that has a default.
@@ -81,16 +84,16 @@
     ) -> Result<T, ConfigError> {
         match &self.value[key] {
             Value::Null => Ok(default),
-            value => read(value).ok_or_else(|| self.wrong(key, wanted)),
+            value => read(value).ok_or_else(|| self.wrong_value(key, wanted)),
         }
     }
 
-    /// Reads a required text.
+    /// Reads a required string.
     pub(super) fn text(&self, key: &str) -> Result<&'a str, ConfigError> {
         self.required(key, "text", Value::as_str)
     }
 
-    /// Reads a text that has a default.
+    /// Reads a string that has a default.
     pub(super) fn text_or(&self, key: &str, default: &str) -> Result<String, ConfigError> {
         self.optional(key, default.to_owned(), "text", |value| {
             value.as_str().map(str::to_owned)
@@ -104,7 +107,7 @@
 
     /// Reads an integer that has a default.
     pub(super) fn integer_or(&self, key: &str, default: u64) -> Result<u64, ConfigError> {
-        self.optional(key, default, INTEGER, Value::as_u64)
+        self.optional(key, default, INTEGER_FORM, Value::as_u64)
     }
 
     /// Reads an integer that has a default and must be within a range.
@@ -128,7 +131,7 @@
 
     /// Reads a required address.
     pub(super) fn address(&self, key: &str) -> Result<SocketAddr, ConfigError> {
-        self.required(key, ADDRESS, read_address)
+        self.required(key, ADDRESS_FORM, read_address)
     }
 
     /// Reads an address that has a default.
@@ -137,15 +140,18 @@
         key: &str,
         default: SocketAddr,
     ) -> Result<SocketAddr, ConfigError> {
-        self.optional(key, default, ADDRESS, read_address)
+        self.optional(key, default, ADDRESS_FORM, read_address)
     }
 
-    /// Reads an address that may be absent.
+    /// Reads an address that may be absent, without a default.
     pub(super) fn optional_address(&self, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
-        self.optional(key, None, ADDRESS, |value| read_address(value).map(Some))
+        self.optional(key, None, ADDRESS_FORM, |value| {
+            read_address(value).map(Some)
+        })
     }
 
-    /// Reads a required list of at least one entry. The paths of an entry's keys begin at the entry.
+    /// Reads a required list with at least one entry. The paths of an entry's keys are relative to the
+    /// entry.
     pub(super) fn entries<T>(
         &self,
         key: &str,
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,17 +1,18 @@
-//! The section `store`: where the limiters with an OpenAPI front share their counts.
+//! Reads the section `store`: the store through which limiters with an OpenAPI front share the use of
+//! quotas.
 
 use super::reader::Section;
 use super::{ConfigError, QuotaLeaseConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The kinds of stores, as errors name them.
+/// Description of the kinds of stores in error messages.
 const KINDS: &str = "none, redis, quota-counter or leases";
 
-/// Where the limiters share their counts.
+/// The store through which limiters share the use of quotas.
 #[derive(Clone, Copy, Debug)]
 pub enum StoreConfig {
-    /// Nowhere: the limiter is alone, or each keeps its share of every quota.
+    /// No store: the limiter is the only one, or each limiter uses its fixed share of every quota.
     None,
     /// A Redis server.
     Redis(SocketAddr),
@@ -22,22 +23,22 @@
 }
 
 impl StoreConfig {
-    /// Whether limiters add to a common counter.
+    /// Whether the store is a counter that all limiters add to.
     pub(super) fn has_counter(self) -> bool {
         matches!(self, Self::Redis(_) | Self::HttpCounterProtocol(_))
     }
 }
 
-/// The section `store`.
-pub(super) struct Store {
-    /// The kind of store, with its address.
+/// The content of the section `store`.
+pub(super) struct StoreSection {
+    /// Kind and address of the store.
     pub(super) store: StoreConfig,
-    /// Configuration of quota leases, for a store of that kind.
+    /// Configuration of quota leases, if the store is [`StoreConfig::Leases`].
     pub(super) leases: Option<QuotaLeaseConfig>,
 }
 
-/// Reads the key `store` of the file of the limiter with this number.
-pub(super) fn read_store(root: &Section<'_>, limiter: u32) -> Result<Store, ConfigError> {
+/// Reads the section `store` from the file of the limiter with this number.
+pub(super) fn read_store(root: &Section<'_>, limiter: u32) -> Result<StoreSection, ConfigError> {
     let section = root.section("store");
     let kind = section.optional("kind", "none", KINDS, Value::as_str)?;
     let store = match kind {
@@ -46,14 +47,14 @@
         "quota-counter" => StoreConfig::HttpCounterProtocol(section.address("address")?),
         "leases" => {
             let leases = QuotaLeaseConfig::from_store(section.value, limiter)?;
-            return Ok(Store {
+            return Ok(StoreSection {
                 store: StoreConfig::Leases,
                 leases: Some(leases),
             });
         }
-        _ => return Err(section.wrong("kind", KINDS)),
+        _ => return Err(section.wrong_value("kind", KINDS)),
     };
-    Ok(Store {
+    Ok(StoreSection {
         store,
         leases: None,
     })
