--- a/src/admin/line.rs
+++ b/src/admin/line.rs
@@ -12,8 +12,8 @@
 
 pub use crate::admin::listener::listen;
 
-/// Time within which the core must confirm a command. Operators wait 1 s for an answer, half of which may
-/// have passed before the call was complete.
+/// Time within which the core must confirm a command. Operators wait 1 s for an answer, half of
+/// which may have passed before the call was complete.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The parts of the process that admin calls need.
--- a/src/admin/listener.rs
+++ b/src/admin/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts operators' connections and serves each on its own thread. The number of connections without a
-//! complete call and the duration of each connection are bounded.
+//! Accepts operators' connections and serves each on its own thread. The number of connections
+//! without a complete call and the duration of each connection are bounded.
 
 use crate::admin::line::AdminContext;
 use crate::admin::{acknowledgement, Call, CallError, MAX_CALL_BYTES};
@@ -12,7 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Maximum number of connections without a complete call. A further connection closes the oldest of them.
+/// Maximum number of connections without a complete call. A further connection closes the oldest of
+/// them.
 const MAX_PENDING_CONNECTIONS: usize = 8;
 /// Time within which a call must be complete, from the start of its connection's thread.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -21,12 +22,13 @@
 /// Wait after a failed accept, for example when no file descriptors are available.
 const ACCEPT_RETRY_WAIT: Duration = Duration::from_millis(20);
 
-/// Starts a thread that listens at `address` and answers operators' calls. Returns the bound address.
+/// Starts a thread that listens at `address` and answers operators' calls. Returns the bound
+/// address.
 ///
 /// # Errors
 ///
-/// Returns an error if the address can't be bound, which names the configuration key and the address, or
-/// if the thread can't be started.
+/// Returns an error if the address can't be bound, which names the configuration key and the
+/// address, or if the thread can't be started.
 pub fn listen(address: SocketAddr, context: AdminContext) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address).map_err(|error| {
         io::Error::new(error.kind(), format!("key \"control\": {address}: {error}"))
@@ -87,6 +89,8 @@
     let work = move || serve(&stream, &thread_pending, &thread_context);
     if let Err(error) = spawn("admin-call", work) {
         warn!(context.log, "no thread for an admin call"; "error" => %error);
+        // The list holds the last reference to this connection, so clearing it closes the
+        // connection.
         pending.clear();
     }
 }
@@ -105,8 +109,8 @@
 
 /// Reads one line and returns it without the line end.
 ///
-/// Guards against operators' tools that send nothing, an incomplete line or an endless one: each of them
-/// gets an answer in time.
+/// Guards against operators' tools that send nothing, an incomplete line or an endless one: each of
+/// them gets an answer in time.
 fn read_line(mut stream: &TcpStream) -> Result<Vec<u8>, CallError> {
     let began = Instant::now();
     let mut line = Vec::new();
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,9 @@
-//! The admin interface: one call per connection, answered within a second even if the limiter is busy.
+//! The admin interface: one call per connection, answered within a second even if the limiter is
+//! busy.
 //!
-//! This module parses calls and renders answers, without I/O. `listener` accepts connections, and `line`
-//! executes calls. Metrics are read without involving the core. Calls that change state are sent to the
-//! core over a separate queue, which the core reads before other input.
+//! This module parses calls and renders answers, without I/O. `listener` accepts connections, and
+//! `line` executes calls. Metrics are read without involving the core. Calls that change state are
+//! sent to the core over a separate queue, which the core reads before other input.
 
 pub mod line;
 mod listener;
@@ -12,7 +13,8 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// Maximum length of a call, in bytes: the longest command, a space and the id of an upstream server.
+/// Maximum length of a call, in bytes: the longest command, a space and the id of an upstream
+/// server.
 pub const MAX_CALL_BYTES: usize = 512;
 
 /// A call from an operator.
@@ -76,8 +78,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the line is not UTF-8, or is not one of the calls with exactly the words that
-    /// the call takes.
+    /// Returns an error if the line is not UTF-8, or is not one of the calls with exactly the words
+    /// that the call takes.
     pub fn parse(line: &[u8]) -> Result<Call, CallError> {
         let text = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
         let mut words = text.split_ascii_whitespace();
@@ -111,7 +113,8 @@
     }
 }
 
-/// Renders the answer to `show-stat`: the metrics of this process, then its fleet membership metrics.
+/// Renders the answer to `show-stat`: the metrics of this process, then its fleet membership
+/// metrics.
 pub fn render_metrics(metrics: &Metrics, fleet_metrics: Vec<(String, u64)>) -> String {
     let mut text = String::new();
     for (name, value) in metrics.all().into_iter().chain(fleet_metrics) {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -9,10 +9,11 @@
 /// Key that exists only in configuration files of limiters on the platform.
 const PLATFORM_KEY: &str = "settings";
 
-/// Checks a configuration file. Prints the result to standard output, or the error to standard error.
+/// Checks a configuration file. Prints the result to standard output, or the error to standard
+/// error.
 pub fn check(path: &Path) -> ExitCode {
-    // Write errors are ignored, for example if the output is closed: the exit code also indicates the
-    // result.
+    // Write errors are ignored, for example if the output is closed: the exit code also indicates
+    // the result.
     match validate(path) {
         Ok(()) => {
             _ = writeln!(io::stdout(), "{}: no fault found", path.display());
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -35,15 +35,16 @@
     })
 }
 
-/// Parses the configuration of a limiter with an OpenAPI front. Its OpenAPI description is read from the
-/// folder of the configuration file.
+/// Parses the configuration of a limiter with an OpenAPI front. Its OpenAPI description is read
+/// from the folder of the configuration file.
 pub fn openapi(path: &Path, text: &str) -> Result<OpenApiConfig, ConfigurationError> {
     let read_sibling =
         |name: &str| read(&path.with_file_name(name)).map_err(|error| error.to_string());
     config::openapi(text, read_sibling).map_err(|error| invalid(path, error))
 }
 
-/// Parses the configuration of a limiter on the platform. Environment variables replace absent keys.
+/// Parses the configuration of a limiter on the platform. Environment variables replace absent
+/// keys.
 pub fn platform(path: &Path, text: &str) -> Result<PlatformConfig, ConfigurationError> {
     config::platform(text, |name| std::env::var(name).ok()).map_err(|error| invalid(path, error))
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -19,12 +19,13 @@
 
 Exit codes: 0 graceful shutdown, or no fault found; 1 error, reported on standard error; 2 wrong usage.";
 
-/// Limits the requests of many clients to the quotas of their accounts, as one of a fleet of gateways.
+/// Limits the requests of many clients to the quotas of their accounts, as one of a fleet of
+/// gateways.
 #[derive(Debug, Parser)]
 #[command(version, after_help = EXAMPLES, args_conflicts_with_subcommands = true, disable_help_subcommand = true)]
 struct Arguments {
-    /// Configuration file of a limiter with an OpenAPI front. Without it, a limiter on the platform is
-    /// started with the configuration file that EDGE_CONFIG names.
+    /// Configuration file of a limiter with an OpenAPI front. Without it, a limiter on the platform
+    /// is started with the configuration file that EDGE_CONFIG names.
     file: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
@@ -41,10 +42,11 @@
     },
 }
 
-/// Runs the program with the arguments of this process. Wrong usage, `--help` and `--version` end the process here.
+/// Runs the program with the arguments of this process. Wrong usage, `--help` and `--version` end
+/// the process here.
 pub fn main() -> ExitCode {
-    // Without arguments the parser is skipped to save start-up time, as a machine may start hundreds of
-    // limiters at once.
+    // Without arguments the parser is skipped to save start-up time, as a machine may start
+    // hundreds of limiters at once.
     if std::env::args_os().len() <= 1 {
         return start::start(None);
     }
--- a/src/cli/start.rs
+++ b/src/cli/start.rs
@@ -1,4 +1,5 @@
-//! Starts a limiter and handles its signals: SIGTERM stops the limiter, SIGHUP reloads its configuration.
+//! Starts a limiter and handles its signals: SIGTERM stops the limiter, SIGHUP reloads its
+//! configuration.
 
 use super::configuration::{self, ConfigurationError};
 use mossrill::client::ClientProtocol;
@@ -14,10 +15,11 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Environment variable that contains the path of the configuration file of a limiter on the platform.
+/// Environment variable that contains the path of the configuration file of a limiter on the
+/// platform.
 const PLATFORM_FILE: &str = "EDGE_CONFIG";
-/// Environment variable that contains the path of a folder that is shared by successive processes of a
-/// limiter, for upgrades.
+/// Environment variable that contains the path of a folder that is shared by successive processes
+/// of a limiter, for upgrades.
 const SHARED_FOLDER: &str = "TMPDIR";
 
 /// The reason why a limiter can't start.
@@ -33,7 +35,8 @@
     Limiter(#[from] io::Error),
 }
 
-/// Runs a limiter until it is stopped. If `file` is none, `EDGE_CONFIG` names the configuration file.
+/// Runs a limiter until it is stopped. If `file` is none, `EDGE_CONFIG` names the configuration
+/// file.
 pub fn start(file: Option<PathBuf>) -> ExitCode {
     let drain =
         slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(io::stderr())).build();
@@ -84,7 +87,8 @@
                 info!(signal_log, "shutdown requested");
                 return stopper.stop();
             }
-            // If the file is invalid or incompletely written, the current configuration stays in use.
+            // If the file is invalid or incompletely written, the current configuration stays in
+            // use.
             match load() {
                 Ok(configuration) => reload(configuration),
                 Err(error) => {
--- a/src/config/allocator.rs
+++ b/src/config/allocator.rs
@@ -19,15 +19,16 @@
 const MAX_LIMITERS: u32 = 100_000;
 /// Allowed intervals between two log lines with metrics, in milliseconds.
 const LOG_INTERVAL_MS: RangeInclusive<u64> = 100..=86_400_000;
-/// Default maximum number of connections per limiter. During an upgrade, or after it has lost a connection,
-/// a limiter temporarily has a second one.
+/// Default maximum number of connections per limiter. During an upgrade, or after it has lost a
+/// connection, a limiter temporarily has a second one.
 const DEFAULT_CONNECTIONS_PER_LIMITER: u32 = 2;
 
 /// Reads the configuration file of an allocator.
 ///
 /// # Errors
 ///
-/// Returns an error that names the file, and the key that is missing, unknown or has an invalid value.
+/// Returns an error that names the file, and the key that is missing, unknown or has an invalid
+/// value.
 pub fn allocator_from_file(path: &Path) -> Result<ServerSettings, ConfigError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
--- a/src/config/common.rs
+++ b/src/config/common.rs
@@ -7,8 +7,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Maximum number of requests that may be open at once. Larger configured values are reduced to it, as
-/// each open request may hold a buffer.
+/// Maximum number of requests that may be open at once. Larger configured values are reduced to it,
+/// as each open request may hold a buffer.
 pub(super) const MAX_OPEN_REQUESTS: u64 = 1_000;
 /// Default and maximum number of file descriptors.
 pub(super) const MAX_DESCRIPTORS: u64 = 1_024;
@@ -21,8 +21,8 @@
     pub listen: SocketAddr,
     /// Address of the admin interface, if it is enabled.
     pub admin_address: Option<SocketAddr>,
-    /// Folder that this process shares with its predecessor and its successor in upgrades. Without it, no
-    /// process can take over from this one.
+    /// Folder that this process shares with its predecessor and its successor in upgrades. Without
+    /// it, no process can take over from this one.
     pub common_folder: Option<PathBuf>,
     /// Configuration of the membership protocol, if the limiter is a member of a fleet.
     pub membership: Option<FleetSettings>,
--- a/src/config/decision.rs
+++ b/src/config/decision.rs
@@ -7,7 +7,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error that names the key whose value is out of range, as the platform's settings call it.
+/// Returns an error that names the key whose value is out of range, as the platform's settings call
+/// it.
 pub(super) fn check_settings(settings: &Settings) -> Result<(), ConfigError> {
     check_limiter(settings)?;
     check_not_empty("settings.classes", settings.classes.is_empty())?;
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// The reason why a configuration is rejected. The message names the key, and the file if it is known.
+/// The reason why a configuration is rejected. The message names the key, and the file if it is
+/// known.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A file can't be read.
@@ -49,8 +50,8 @@
         /// Description of the form that the value must have.
         wanted: String,
     },
-    /// A secret is missing or does not have the form that its key requires. The message does not contain the
-    /// value.
+    /// A secret is missing or does not have the form that its key requires. The message does not
+    /// contain the value.
     #[error("key \"{key}\" is missing or not {wanted}")]
     WrongSecret {
         /// Path of the key.
@@ -84,7 +85,8 @@
         /// The largest number of entries that is allowed.
         maximum: u32,
     },
-    /// The value of a key is inconsistent with that of another key, or is missing where it is required.
+    /// The value of a key is inconsistent with that of another key, or is missing where it is
+    /// required.
     #[error("key \"{key}\" {reason}")]
     Inconsistent {
         /// Path of the key.
@@ -172,8 +174,8 @@
 }
 
 impl ConfigError {
-    /// Returns the error for a value that is missing or does not have the wanted form. Null counts as
-    /// missing.
+    /// Returns the error for a value that is missing or does not have the wanted form. Null counts
+    /// as missing.
     pub(super) fn wrong_value(key: String, value: &Value, wanted: &str) -> Self {
         let wanted = wanted.to_owned();
         match value {
--- a/src/config/membership.rs
+++ b/src/config/membership.rs
@@ -12,8 +12,8 @@
 use serde_json::Value;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// The keys of the section. Other keys are errors, so that a misspelled key does not silently get its
-/// default.
+/// The keys of the section. Other keys are errors, so that a misspelled key does not silently get
+/// its default.
 const KEYS: [&str; 10] = [
     "name",
     "key",
--- a/src/config/openapi.rs
+++ b/src/config/openapi.rs
@@ -42,13 +42,13 @@
     pub store: StoreConfig,
 }
 
-/// Reads the configuration of a limiter with an OpenAPI front. `read` reads the OpenAPI description; its
-/// argument is a path relative to the folder of the configuration file.
+/// Reads the configuration of a limiter with an OpenAPI front. `read` reads the OpenAPI
+/// description; its argument is a path relative to the folder of the configuration file.
 ///
 /// # Errors
 ///
-/// Returns an error that names the first key which is missing or has an invalid value. For the OpenAPI
-/// description, the error lists all errors in it.
+/// Returns an error that names the first key which is missing or has an invalid value. For the
+/// OpenAPI description, the error lists all errors in it.
 pub fn openapi(
     text: &str,
     read: impl Fn(&str) -> Result<String, String>,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -41,8 +41,8 @@
     pub max_units: f64,
 }
 
-/// Reads the configuration of a limiter on the platform. `env` looks up the environment variables that
-/// replace absent keys.
+/// Reads the configuration of a limiter on the platform. `env` looks up the environment variables
+/// that replace absent keys.
 ///
 /// # Errors
 ///
--- a/src/config/quota_lease.rs
+++ b/src/config/quota_lease.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration of quota leases from a limiter's file: the section `store` of kind `leases`.
+//! Reads the configuration of quota leases from a limiter's file: the section `store` of kind
+//! `leases`.
 
 use super::ranges::{millis_within, DEFAULT_LIFETIME_MS, LIFETIME_MS, TIMEOUT_MS};
 use super::ConfigError;
@@ -63,8 +64,8 @@
         })
     }
 
-    /// Creates the lease holder of a limiter that starts at `now`. The start time is used as the incarnation,
-    /// so a later start has a higher one.
+    /// Creates the lease holder of a limiter that starts at `now`. The start time is used as the
+    /// incarnation, so a later start has a higher one.
     pub fn holder(&self, now: Micros) -> Holder {
         let settings = HolderSettings {
             incarnation: now.max(1),
@@ -121,8 +122,8 @@
         0.5
     }
 
-    /// Returns the addresses of the allocators, indexed by their numbers. Each number from 0 on must occur
-    /// exactly once.
+    /// Returns the addresses of the allocators, indexed by their numbers. Each number from 0 on
+    /// must occur exactly once.
     fn addresses(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         let count = self.allocators.len();
         if count == 0 || count > MAX_ALLOCATORS as usize {
@@ -140,8 +141,9 @@
         Ok(addresses.into_iter().flatten().collect())
     }
 
-    /// Returns the interval between two reports. It may be at most a quarter of a lease's lifetime, so that
-    /// leases are renewed before they expire, and units that the limiter no longer needs are returned soon.
+    /// Returns the interval between two reports. It may be at most a quarter of a lease's lifetime,
+    /// so that leases are renewed before they expire, and units that the limiter no longer needs
+    /// are returned soon.
     fn report_interval(&self) -> Result<Duration, ConfigError> {
         let range = MIN_REPORT_INTERVAL_MS..=self.lifetime_ms / 4;
         millis_within("store.interval_ms", self.interval_ms, range)
@@ -160,7 +162,8 @@
 }
 
 impl AllocatorAddress {
-    /// Checks the entry at `index` of the list against `earlier`, the addresses of the entries before it.
+    /// Checks the entry at `index` of the list against `earlier`, the addresses of the entries
+    /// before it.
     fn check(&self, index: usize, earlier: &[Option<SocketAddr>]) -> Result<(), ConfigError> {
         let wrong = |name: &str, found: String, wanted: String| {
             let key = format!("store.allocators[{index}].{name}");
--- a/src/config/ranges.rs
+++ b/src/config/ranges.rs
@@ -11,7 +11,8 @@
 /// Allowed timeouts of a connection, in milliseconds.
 pub(super) const TIMEOUT_MS: RangeInclusive<u64> = 10..=3_600_000;
 
-/// Converts a number of milliseconds to a duration, or returns an error for `key` if it is out of range.
+/// Converts a number of milliseconds to a duration, or returns an error for `key` if it is out of
+/// range.
 pub(super) fn millis_within(
     key: &str,
     value: u64,
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -28,16 +28,16 @@
     value.as_f64().filter(|number| *number > 0.0)
 }
 
-/// A section of the configuration: a JSON value with its path. A section that is absent or not an object
-/// has no keys.
+/// A section of the configuration: a JSON value with its path. A section that is absent or not an
+/// object has no keys.
 pub(super) struct Section<'a> {
     pub(super) value: &'a Value,
     path: String,
 }
 
 impl<'a> Section<'a> {
-    /// Creates the section at `path`. The path is empty for the whole file, and for an entry of a list whose
-    /// index the caller adds to errors.
+    /// Creates the section at `path`. The path is empty for the whole file, and for an entry of a
+    /// list whose index the caller adds to errors.
     pub(super) fn new(value: &'a Value, path: impl Into<String>) -> Self {
         Self {
             value,
@@ -150,8 +150,8 @@
         })
     }
 
-    /// Reads a required list with at least one entry. The paths of an entry's keys are relative to the
-    /// entry.
+    /// Reads a required list with at least one entry. The paths of an entry's keys are relative to
+    /// the entry.
     pub(super) fn entries<T>(
         &self,
         key: &str,
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,5 +1,5 @@
-//! Reads the section `store`: the store through which limiters with an OpenAPI front share the use of
-//! quotas.
+//! Reads the section `store`: the store through which limiters with an OpenAPI front share the use
+//! of quotas.
 
 use super::reader::Section;
 use super::{ConfigError, QuotaLeaseConfig};
--- a/src/counter/connection.rs
+++ b/src/counter/connection.rs
@@ -10,8 +10,9 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Idle time after which a connection is not used again. The counter closes connections that are idle for
-/// about 10 s or less, and the result of a call that is written while it does so would be unknown.
+/// Idle time after which a connection is not used again. The counter closes connections that are
+/// idle for about 10 s or less, and the result of a call that is written while it does so would be
+/// unknown.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A call that was written or is being written, and whose reply has not been received.
@@ -24,7 +25,8 @@
 pub(super) struct CounterConnection {
     stream: TcpStream,
     pending: Mutex<VecDeque<PendingCall>>,
-    /// Set when no further calls are written. The connection is then closed after the last pending reply.
+    /// Set when no further calls are written. The connection is then closed after the last pending
+    /// reply.
     draining: AtomicBool,
 }
 
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Whether another call may be written. If calls are pending, the oldest must have waited for less than
-    /// `reply_timeout`; otherwise `last_call`, the time of the last call, must be recent.
+    /// Whether another call may be written. If calls are pending, the oldest must have waited for
+    /// less than `reply_timeout`; otherwise `last_call`, the time of the last call, must be recent.
     pub(super) fn is_usable(&self, last_call: Instant, reply_timeout: Duration) -> bool {
         match lock(&self.pending).front() {
             Some(oldest) => oldest.written_at.elapsed() < reply_timeout,
@@ -62,8 +64,8 @@
         (&self.stream).write_all(bytes)
     }
 
-    /// Removes this call, which was added last, if it is still pending. Returns false if the reader thread
-    /// has already reported it.
+    /// Removes this call, which was added last, if it is still pending. Returns false if the reader
+    /// thread has already reported it.
     pub(super) fn withdraw(&self, call: u64) -> bool {
         let mut pending = lock(&self.pending);
         let is_last = pending.back().is_some_and(|last| last.number == call);
@@ -72,7 +74,8 @@
 
     /// Reads replies until the connection ends, and reports the result of each call to `on_result`.
     ///
-    /// Calls without a reply are then reported as timed out, as the counter may have added their amounts.
+    /// Calls without a reply are then reported as timed out, as the counter may have added their
+    /// amounts.
     pub(super) fn read(&self, protocol: &dyn CounterProtocol, on_result: &Counted) {
         protocol.read(&self.stream, &mut |outcome, total| {
             self.complete_oldest(outcome, total, on_result)
--- a/src/counter/http.rs
+++ b/src/counter/http.rs
@@ -45,10 +45,11 @@
     }
 }
 
-/// Parses a total, a decimal number. It is negative if units were returned to a counter that had been lost.
+/// Parses a total, a decimal number. It is negative if units were returned to a counter that had
+/// been lost.
 ///
-/// `NaN` and `inf`, which Rust accepts as numbers, are rejected: such a total would block an account
-/// permanently.
+/// `NaN` and `inf`, which Rust accepts as numbers, are rejected: such a total would block an
+/// account permanently.
 pub(super) fn parse_total(text: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(text).ok()?.trim();
     let is_decimal = text
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of connections to the counter. All calls with the same counter name use the same connection, so
-/// their replies arrive in the order of the calls.
+/// Number of connections to the counter. All calls with the same counter name use the same
+/// connection, so their replies arrive in the order of the calls.
 const CONNECTIONS: usize = 4;
 
-/// Callback that receives the result of a call: the call number, the outcome, and the total after the
-/// addition (0 unless the outcome is `Ok`).
+/// Callback that receives the result of a call: the call number, the outcome, and the total after
+/// the addition (0 unless the outcome is `Ok`).
 pub type Counted = Arc<dyn Fn(u64, Outcome, f64) + Send + Sync>;
 
 /// Encodes calls to a counter and decodes the replies.
@@ -28,10 +28,11 @@
     /// Encodes a call to the counter at this address.
     fn encode(&self, addition: &Addition, address: SocketAddr) -> Vec<u8>;
 
-    /// Reads replies from the connection and passes the outcome and the total of each to `on_reply`.
+    /// Reads replies from the connection and passes the outcome and the total of each to
+    /// `on_reply`.
     ///
-    /// Returns when `on_reply` returns false, when the connection ends, or after a reply that can't be
-    /// decoded: the bytes after such a reply can't be matched to calls.
+    /// Returns when `on_reply` returns false, when the connection ends, or after a reply that can't
+    /// be decoded: the bytes after such a reply can't be matched to calls.
     fn read(&self, stream: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool);
 }
 
@@ -39,7 +40,7 @@
 pub struct Addition {
     /// Number of the call, which is passed to the callback with the result.
     pub call_number: u64,
-    /// Name of the counter.
+    /// Name of the counter, which is a number.
     pub counter: u64,
     /// Amount to add, in units; negative if units are returned.
     pub amount: f64,
@@ -99,8 +100,8 @@
 impl CounterClient {
     /// Creates a client and starts one writer thread per connection.
     ///
-    /// Connect and write timeouts are derived from `call_timeout`, the timeout of a call. `on_result`
-    /// receives the result of each call.
+    /// Connect and write timeouts are derived from `call_timeout`, the timeout of a call.
+    /// `on_result` receives the result of each call.
     ///
     /// # Errors
     ///
@@ -129,16 +130,16 @@
         Ok(Self { writers })
     }
 
-    /// Starts a call. Its result is passed to the callback later, possibly after the core has stopped
-    /// waiting for it.
+    /// Starts a call. Its result is passed to the callback later, possibly after the core has
+    /// stopped waiting for it.
     pub fn add(&self, addition: Addition) {
         let writer = &self.writers[addition.counter as usize % CONNECTIONS];
         // The send can't fail: a writer thread runs until the process ends, so the channel is open.
         _ = writer.send(Command::Add(addition));
     }
 
-    /// Sends all further calls to another address. Replies that are pending at the old address are still
-    /// read.
+    /// Sends all further calls to another address. Replies that are pending at the old address are
+    /// still read.
     pub fn move_to(&self, address: SocketAddr) {
         for writer in &self.writers {
             _ = writer.send(Command::ChangeAddress(address));
--- a/src/counter/redis.rs
+++ b/src/counter/redis.rs
@@ -55,8 +55,8 @@
 }
 
 impl ReplyDecoder {
-    /// Decodes all complete replies. Returns the offset of the incomplete rest, or none if no more replies
-    /// are to be read.
+    /// Decodes all complete replies. Returns the offset of the incomplete rest, or none if no more
+    /// replies are to be read.
     fn decode(
         &mut self,
         bytes: &[u8],
--- a/src/counter/writer.rs
+++ b/src/counter/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that writes the calls of one connection, and replaces the connection when it is no longer
-//! usable.
+//! The thread that writes the calls of one connection, and replaces the connection when it is no
+//! longer usable.
 
 use crate::counter::connection::CounterConnection;
 use crate::counter::{Addition, Counted, CounterProtocol};
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Minimum reply timeout of a connection. A connection is replaced when a reply takes longer than its reply
-/// timeout, as the missing reply blocks all replies behind it.
+/// Minimum reply timeout of a connection. A connection is replaced when a reply takes longer than
+/// its reply timeout, as the missing reply blocks all replies behind it.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 /// Reply timeout of a connection, as a multiple of the timeout of a call.
 const REPLY_TIMEOUT_CALL_TIMEOUTS: u32 = 5;
@@ -83,7 +83,7 @@
     fn add(&mut self, addition: &Addition) {
         self.close_unusable();
         self.last_call = Instant::now();
-        match self.connection() {
+        match self.get_or_connect() {
             Ok(connection) => {
                 self.is_unreachable = false;
                 self.write(&connection, addition);
@@ -114,7 +114,7 @@
     }
 
     /// Returns the open connection. If there is none, opens one and starts its reader thread.
-    fn connection(&mut self) -> io::Result<Arc<CounterConnection>> {
+    fn get_or_connect(&mut self) -> io::Result<Arc<CounterConnection>> {
         if let Some(connection) = &self.connection {
             return Ok(connection.clone());
         }
@@ -139,8 +139,8 @@
         {
             return;
         }
-        // The counter does not execute an incomplete call, so the call has failed without effect, unless the
-        // reader thread has already reported it as timed out.
+        // The counter does not execute an incomplete call, so the call has failed without effect,
+        // unless the reader thread has already reported it as timed out.
         if connection.withdraw(addition.call_number) {
             (self.on_result)(addition.call_number, Outcome::ConnectFailed, 0.0);
         }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Service discovery: watches the endpoint list and reports every change. A broken watch is replaced by
-//! a new one without losing changes.
+//! Service discovery: watches the endpoint list and reports every change. A broken watch is
+//! replaced by a new one without losing changes.
 
 pub mod poll_wait;
 mod timed_reader;
@@ -25,8 +25,8 @@
 }
 
 impl Watch {
-    /// Moves the watch to another address. The generations there may be unrelated to those of the old
-    /// address, so the full list is read first.
+    /// Moves the watch to another address. The generations there may be unrelated to those of the
+    /// old address, so the full list is read first.
     pub fn move_to(&self, address: SocketAddr) {
         _ = self.address_changes.send(address);
         if let Some(stream) = &*lock(&self.connection) {
@@ -37,7 +37,8 @@
 
 /// Settings that determine the waits between polls of the endpoint list.
 pub struct PollSettings {
-    /// Number of limiters that poll the list, including this one. It may change while the watch runs.
+    /// Number of limiters that poll the list, including this one. It may change while the watch
+    /// runs.
     pub limiter_count: Arc<AtomicU32>,
     /// Time for which requests may still be sent to a draining upstream server.
     pub drain_grace: Duration,
@@ -45,8 +46,8 @@
     pub seed: u64,
 }
 
-/// Starts a thread that watches the endpoint list at `address` for changes after `generation`. Every
-/// update is passed to `on_update`, in order.
+/// Starts a thread that watches the endpoint list at `address` for changes after `generation`.
+/// Every update is passed to `on_update`, in order.
 ///
 /// # Errors
 ///
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -50,8 +50,8 @@
 
 /// The receiving side of address changes, which [`Watch::move_to`] sends.
 pub(super) struct AddressChanges {
-    /// Holds the connection in use. It also holds a sender of the channel: without any sender the channel
-    /// would be closed, and a wait on it would return immediately.
+    /// Holds the connection in use. It also holds a sender of the channel: without any sender the
+    /// channel would be closed, and a wait on it would return immediately.
     pub(super) watch: Watch,
     pub(super) receiver: Receiver<SocketAddr>,
 }
@@ -118,8 +118,8 @@
     pub(super) fn run(&mut self) {
         self.wait_limit = self.fleet_poll_time();
         loop {
-            // The first poll waits too: limiters that start together would otherwise all poll within a few
-            // milliseconds.
+            // The first poll waits too: limiters that start together would otherwise all poll
+            // within a few milliseconds.
             self.wait_for_next_poll();
             let started = Instant::now();
             self.last_result = PollResult::Failed;
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Waits until the next poll is due or the address changes, and applies all pending address changes.
+    /// Waits until the next poll is due or the address changes, and applies all pending address
+    /// changes.
     fn wait_for_next_poll(&mut self) {
         self.update_wait_limit(self.last_result);
         let wait = jittered_wait(self.wait_limit, self.last_result, self.rng.f64());
@@ -189,7 +190,7 @@
         let (head, list) = reader.response_with_body(MAX_UPDATE_BYTES, false)?;
         self.unanswered_polls = 0;
         if head.status != 200 {
-            return Err(self.rejected("status 200 with the endpoint list"));
+            return Err(self.rejected_poll("status 200 with the endpoint list"));
         }
         self.report_updates(&list, UpdateKind::FullList)?;
         self.generation.ok_or(WatchError::NoList)
@@ -204,15 +205,15 @@
         self.unanswered_polls = 0;
         reader.source().allow_while_active()?;
         if head.status != 200 || head.body != Body::Chunked {
-            return Err(self.rejected("status 200 with a chunked body"));
+            return Err(self.rejected_poll("status 200 with a chunked body"));
         }
         let mut text = Vec::new();
         let mut searched_bytes = 0;
         while reader.chunk(&mut text, MAX_UPDATE_BYTES)? {
             match text.trim_ascii_start().first() {
                 None => text.clear(),
-                // The bytes received since the last search contain no closing brace, so no object can be
-                // complete.
+                // The bytes received since the last search contain no closing brace, so no object
+                // can be complete.
                 Some(b'{') if !text[searched_bytes..].contains(&b'}') => {}
                 Some(_) => {
                     let reported_bytes = self.report_updates(&text, UpdateKind::WatchEvents)?;
@@ -228,8 +229,8 @@
         let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         *lock(&self.address_changes.watch.connection) = Some(stream.try_clone()?);
-        // An address change during the connection attempt found no connection to close, so it is checked
-        // here.
+        // An address change during the connection attempt found no connection to close, so it is
+        // checked here.
         if self.address_changes.is_pending() {
             return Err(WatchError::AddressChanged);
         }
@@ -242,17 +243,17 @@
         stream.write_all(head.as_bytes())
     }
 
-    /// Records the poll as rejected, unless it succeeded in reading the full list before. Returns the
-    /// error for the unexpected response.
-    fn rejected(&mut self, expected: &'static str) -> WatchError {
+    /// Records the poll as rejected, unless it succeeded in reading the full list before. Returns
+    /// the error for the unexpected response.
+    fn rejected_poll(&mut self, expected: &'static str) -> WatchError {
         if self.last_result == PollResult::Failed {
             self.last_result = PollResult::Rejected;
         }
         WatchError::UnexpectedResponse(expected)
     }
 
-    /// Reports each complete JSON object of the text and returns their total length in bytes. An object may
-    /// span several lines.
+    /// Reports each complete JSON object of the text and returns their total length in bytes. An
+    /// object may span several lines.
     fn report_updates(&mut self, text: &[u8], kind: UpdateKind) -> Result<usize, WatchError> {
         let mut objects = serde_json::Deserializer::from_slice(text).into_iter::<Value>();
         let mut reported_bytes = 0;
@@ -263,7 +264,7 @@
                 Some(Err(error)) if error.is_eof() && kind == UpdateKind::WatchEvents => {
                     return Ok(reported_bytes);
                 }
-                Some(Err(_)) => return Err(self.unreadable("not JSON")),
+                Some(Err(_)) => return Err(self.unreadable_update("not JSON")),
             }
             reported_bytes = objects.byte_offset();
         }
@@ -276,7 +277,7 @@
         }
         let mut update = match config::read_endpoint_update(value) {
             Ok(update) => update,
-            Err(error) => return Err(self.unreadable(&error.to_string())),
+            Err(error) => return Err(self.unreadable_update(&error.to_string())),
         };
         update.is_snapshot |= kind == UpdateKind::FullList;
         let generation = update.generation;
@@ -290,9 +291,9 @@
         Ok(())
     }
 
-    /// Logs an update that can't be read and returns the error for it. Without this update, later changes
-    /// would result in a wrong list, so the full list is read next.
-    fn unreadable(&mut self, reason: &str) -> WatchError {
+    /// Logs an update that can't be read and returns the error for it. Without this update, later
+    /// changes would result in a wrong list, so the full list is read next.
+    fn unreadable_update(&mut self, reason: &str) -> WatchError {
         warn!(self.log, "endpoint update unreadable"; "error" => reason);
         self.generation = None;
         WatchError::UnreadableUpdate
--- a/src/handover/coordinator.rs
+++ b/src/handover/coordinator.rs
@@ -21,8 +21,8 @@
 const SOCKET_NAME: &str = "mossrill-upgrade";
 /// During an upgrade, the interval between checks of conditions that no message reports.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for which a successor keeps trying to join, as an earlier upgrade may not be finished yet. It is
-/// less than the 6 s within which the successor has to be ready.
+/// Time for which a successor keeps trying to join, as an earlier upgrade may not be finished yet.
+/// It is less than the 6 s within which the successor has to be ready.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time between two attempts to join, or to accept a successor.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -123,8 +123,8 @@
     }
 
     /// Starts the thread that takes over from the predecessor, if there is one, and then waits for
-    /// successors. `endpoints_known` waits up to the given duration for an endpoint list and returns
-    /// whether one is known.
+    /// successors. `endpoints_known` waits up to the given duration for an endpoint list and
+    /// returns whether one is known.
     ///
     /// # Errors
     ///
@@ -149,9 +149,9 @@
         })
     }
 
-    /// Starts the thread that sends messages to the other process, and returns the queue of messages.
-    /// Messages are dropped while no other process is connected. The queue is unbounded, as the core
-    /// must not block.
+    /// Starts the thread that sends messages to the other process, and returns the queue of
+    /// messages. Messages are dropped while no other process is connected. The queue is unbounded,
+    /// as the core must not block.
     ///
     /// # Errors
     ///
--- a/src/handover/learned_state.rs
+++ b/src/handover/learned_state.rs
@@ -1,6 +1,7 @@
 //! Export and import of the learned state of a decision engine in a hand-over.
 //!
-//! The code here copies values between the engine and the hand-over messages; it makes no decisions.
+//! The code here copies values between the engine and the hand-over messages; it makes no
+//! decisions.
 
 use super::message::{
     AccountState, ClassFailures, FinalReport, LearnedState, ServerState, UnreportedUnits,
@@ -16,7 +17,8 @@
     /// Exports the learned state for a successor process.
     ///
     /// Units that were not reported to the counter move to the exported state, so that only the
-    /// successor reports them. Units of a token bucket that waiting requests need stay in this engine.
+    /// successor reports them. Units of a token bucket that waiting requests need stay in this
+    /// engine.
     pub fn learned_state(&mut self) -> LearnedState {
         LearnedState {
             accounts: self.export_accounts(),
@@ -41,12 +43,12 @@
     fn export_accounts(&mut self) -> Vec<AccountState> {
         let requests = &self.requests;
         let waiting_units = |account: &Account| -> f64 {
-            let waiting = account.waiting.iter().filter_map(|id| requests.get(id));
-            waiting.map(|open| open.request.units).sum()
+            let waiting_requests = account.waiting.iter().filter_map(|id| requests.get(id));
+            waiting_requests.map(|open| open.request.units).sum()
         };
         let mut records = Vec::new();
         for (id, account) in &mut self.accounts {
-            let retained = waiting_units(account).min(account.tokens.max(0.0));
+            let retained_units = waiting_units(account).min(account.tokens.max(0.0));
             // The counter receives the units of a call in flight, although the successor never sees
             // the reply.
             let units_in_call = account
@@ -58,7 +60,7 @@
                 plan: account.plan as u32,
                 limiter_count: account.limiter_count,
                 finish_tag: account.finish_tag,
-                bucket_level: account.tokens - retained,
+                bucket_level: account.tokens - retained_units,
                 bucket_filled_at: account.refilled_at,
                 unreported_units: std::mem::take(&mut account.unreported),
                 window: account.window,
@@ -68,7 +70,7 @@
                 last_request: account.last_request_at,
                 in_flight: account.in_flight,
             });
-            account.tokens = retained;
+            account.tokens = retained_units;
         }
         records
     }
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Adopts the learned state of a predecessor. Returns the number of the predecessor's attempts in
-    /// flight for each account that has any.
+    /// Adopts the learned state of a predecessor. Returns the number of the predecessor's attempts
+    /// in flight for each account that has any.
     pub fn adopt_state(&mut self, now: Micros, state: LearnedState) -> HashMap<AccountId, u32> {
         self.adopt_averages(now, &state);
         for record in state.servers {
@@ -165,13 +167,13 @@
         let valid = record
             .failures
             .into_iter()
-            .filter(|class| is_valid(class.share));
-        let failure_rate = |class: ClassFailures| {
+            .filter(|entry| is_valid(entry.share));
+        let failure_rate = |entry: ClassFailures| {
             let rate = FailureRate {
-                rate: class.share.min(1.0),
-                updated_at: class.at.min(now),
+                rate: entry.share.min(1.0),
+                updated_at: entry.at.min(now),
             };
-            (class.class as usize, rate)
+            (entry.class as usize, rate)
         };
         server.health.failures = valid.map(failure_rate).collect();
     }
@@ -246,8 +248,8 @@
         {
             let id = AccountId::from(&*entry.id);
             if let Some(account) = self.accounts.get_mut(&id) {
-                // Units that the predecessor claimed and did not use (negative entries) are not added to
-                // this copy of the token bucket.
+                // Units that the predecessor claimed and did not use (negative entries) are not
+                // added to this copy of the token bucket.
                 account.tokens -= entry.units.max(0.0);
                 account.unreported += entry.units;
                 let synced_at = account.synced_at;
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -71,8 +71,8 @@
 }
 
 impl ReceiveBuffer {
-    /// Removes and returns the next message, with its file descriptor if it has one. Returns none if
-    /// the message has not been received completely.
+    /// Removes and returns the next message, with its file descriptor if it has one. Returns none
+    /// if the message has not been received completely.
     fn take_message(&mut self) -> Result<Option<(HandoverMessage, Option<OwnedFd>)>, ReceiveError> {
         let Some(length) = self.bytes.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
@@ -106,7 +106,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the peer is a process of another user, or the stream can't be configured.
+    /// Returns an error if the peer is a process of another user, or the stream can't be
+    /// configured.
     pub fn new(stream: UnixStream) -> io::Result<Self> {
         let peer = rustix::net::sockopt::socket_peercred(&stream)?;
         if peer.uid != rustix::process::geteuid() {
@@ -127,8 +128,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the message is longer than [`MAX_FRAME_BYTES`], the peer does not read, or
-    /// the connection is closed.
+    /// Returns an error if the message is longer than [`MAX_FRAME_BYTES`], the peer does not read,
+    /// or the connection is closed.
     pub fn send(&self, message: HandoverMessage, descriptor: Option<BorrowedFd>) -> io::Result<()> {
         let bytes = encode(message)?;
         let _guard = lock(&self.send_lock);
@@ -160,8 +161,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the timeout expired, the connection is closed, or the peer has violated the
-    /// protocol.
+    /// Returns an error if the timeout expired, the connection is closed, or the peer has violated
+    /// the protocol.
     pub fn receive(
         &self,
         timeout: Option<Duration>,
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -44,7 +44,8 @@
     /// An upstream server was banned, or its ban was lifted.
     #[prost(message, tag = "9")]
     Ban(Ban),
-    /// An attempt that was in flight when the state was sent has ended. Contains the id of its account.
+    /// An attempt that was in flight when the state was sent has ended. Contains the id of its
+    /// account.
     #[prost(string, tag = "10")]
     Ended(String),
 }
@@ -119,7 +120,8 @@
     /// Time at which the bucket had `bucket_level` units.
     #[prost(uint64, tag = "6")]
     pub bucket_filled_at: u64,
-    /// Units that were forwarded and not yet reported to the counter. Only the successor reports them.
+    /// Units that were forwarded and not yet reported to the counter. Only the successor reports
+    /// them.
     #[prost(double, tag = "7")]
     pub unreported_units: f64,
     /// Number of the counting window that `reported_units` and `units_elsewhere` refer to.
@@ -193,8 +195,8 @@
 /// The last message that a predecessor sends before it exits.
 #[derive(Clone, PartialEq, Message)]
 pub struct FinalReport {
-    /// For each account, the units forwarded since the state was sent, less the units that were claimed
-    /// from the counter but not forwarded.
+    /// For each account, the units forwarded since the state was sent, less the units that were
+    /// claimed from the counter but not forwarded.
     #[prost(message, repeated, tag = "1")]
     pub unreported: Vec<UnreportedUnits>,
 }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,5 +1,5 @@
-//! Upgrade of a limiter without downtime: a new process, the successor, takes over the listener, the
-//! client connections and the learned state of the running process, the predecessor.
+//! Upgrade of a limiter without downtime: a new process, the successor, takes over the listener,
+//! the client connections and the learned state of the running process, the predecessor.
 //!
 //! [`stage`] contains the state machines of both processes and does no I/O. [`UpgradeCoordinator`]
 //! executes their steps over a Unix socket in a folder that both processes are configured with. If
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -17,8 +17,8 @@
 const JOIN_MESSAGE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl UpgradeCoordinator {
-    /// Waits for successors until this process has handed over to one, or the socket can't be created
-    /// any more. Creates the socket if `socket` is none.
+    /// Waits for successors until this process has handed over to one, or the socket can't be
+    /// created any more. Creates the socket if `socket` is none.
     pub(super) fn serve_successors<L: LimiterProcess>(
         &self,
         socket: Option<UnixListener>,
@@ -101,6 +101,7 @@
         }
     }
 
+    /// Waits for a message or the end of a poll interval. Returns the resulting event, if any.
     fn next_event(&self) -> Option<Event> {
         match self.link.receive(Some(POLL_INTERVAL)) {
             Ok((message, descriptor)) => {
@@ -111,6 +112,7 @@
         }
     }
 
+    /// Checks the conditions that no message reports, after a poll interval without a message.
     fn on_poll_interval(&self) -> Option<Event> {
         if self.stage == PredecessorStage::Draining && self.process.is_drained() {
             return Some(Event::Drained);
@@ -122,8 +124,8 @@
         (self.stage_entered_at.elapsed() >= limit).then_some(Event::TimedOut)
     }
 
-    /// Executes a step. A failed send is ignored here: the next call of [`Link::receive`] reports the
-    /// lost connection.
+    /// Executes a step. A failed send is ignored here: the next call of [`Link::receive`] reports
+    /// the lost connection.
     fn execute(&self, step: Step) {
         match step {
             Step::Send(signal) => self.send(signal),
@@ -141,6 +143,7 @@
         }
     }
 
+    /// Sends the message of this kind, with its content.
     fn send(&self, signal: Signal) {
         match signal {
             Signal::Accept => {
@@ -167,6 +170,7 @@
         }
     }
 
+    /// Accepts connections again and stops handing them over.
     fn resume_serving(&self, failure: HandoverFailure) {
         warn!(self.coordinator.log, "upgrade: aborted, serving again"; "error" => %failure);
         self.process.hand_over_connections(None);
--- a/src/handover/stage/mod.rs
+++ b/src/handover/stage/mod.rs
@@ -1,10 +1,10 @@
 //! The state machines of a hand-over, one for each process. They do no I/O.
 //!
-//! The predecessor serves before the hand-over, the successor after it. Until the predecessor sends its
-//! state, it serves as if there were no successor; sending the state commits the hand-over. Until the
-//! successor then confirms that it serves, the predecessor has only stopped accepting connections: it
-//! keeps the listener and resumes serving if the successor fails. The design is described in
-//! `docs/upgrade.md`.
+//! The predecessor serves before the hand-over, the successor after it. Until the predecessor sends
+//! its state, it serves as if there were no successor; sending the state commits the hand-over.
+//! Until the successor then confirms that it serves, the predecessor has only stopped accepting
+//! connections: it keeps the listener and resumes serving if the successor fails. The design is
+//! described in `docs/upgrade.md`.
 
 mod predecessor;
 mod successor;
@@ -63,7 +63,8 @@
     Serve,
     /// Accept connections without the predecessor's state, as the hand-over has failed.
     ServeAlone(HandoverFailure),
-    /// Close the connection to the other process. Messages that it sent before can still be received.
+    /// Close the connection to the other process. Messages that it sent before can still be
+    /// received.
     CloseConnection,
     /// Stop accepting connections.
     StopAccepting,
--- a/src/handover/stage/predecessor.rs
+++ b/src/handover/stage/predecessor.rs
@@ -17,8 +17,8 @@
     SuccessorPreparing,
     /// The state was sent; the successor has not confirmed yet that it serves.
     StateSent,
-    /// The successor did not confirm in time, and the connection was closed so that it no longer can. A
-    /// confirmation that it sent before that still counts.
+    /// The successor did not confirm in time, and the connection was closed so that it no longer
+    /// can. A confirmation that it sent before that still counts.
     ConfirmationOverdue,
     /// The successor serves; this process completes its open requests.
     Draining,
@@ -27,8 +27,8 @@
 }
 
 impl PredecessorStage {
-    /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage has no
-    /// time limit.
+    /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage
+    /// has no time limit.
     pub fn limit(self) -> Option<Duration> {
         match self {
             Self::SuccessorPreparing => Some(PREPARE_TIMEOUT),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns the name of the stage in log lines. Operators rely on these names, which differ from those
-    /// of the variants.
+    /// Returns the name of the stage in log lines. Operators rely on these names, which differ from
+    /// those of the variants.
     pub fn log_name(self) -> &'static str {
         match self {
             Self::Serving => "Alone",
@@ -79,7 +79,8 @@
                 Self::Finished,
                 vec![Step::Exit, Step::Send(Signal::Finished)],
             ),
-            // The state was not sent yet, so this process still serves and has nothing to take back.
+            // The state was not sent yet, so this process still serves and has nothing to take
+            // back.
             (
                 Self::SuccessorPreparing,
                 Event::ConnectionLost | Event::TimedOut | Event::Received(_),
--- a/src/handover/stage/successor.rs
+++ b/src/handover/stage/successor.rs
@@ -15,8 +15,8 @@
     AwaitingEndpoints,
     /// This process has requested the predecessor's state.
     AwaitingState,
-    /// This process has received the state and confirms that it serves. If the confirmation can still be
-    /// sent, this process owns the state; otherwise the predecessor does.
+    /// This process has received the state and confirms that it serves. If the confirmation can
+    /// still be sent, this process owns the state; otherwise the predecessor does.
     Confirming,
     /// This process serves while the predecessor drains.
     Sharing,
@@ -25,8 +25,8 @@
 }
 
 impl SuccessorStage {
-    /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage has no
-    /// time limit.
+    /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage
+    /// has no time limit.
     pub fn limit(self) -> Option<Duration> {
         match self {
             Self::Joining | Self::AwaitingState => Some(ANSWER_TIMEOUT),
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 impl UpgradeCoordinator {
-    /// Takes over from the predecessor. Blocks until this process serves alone, and returns the socket
-    /// for later successors if it was created.
+    /// Takes over from the predecessor. Blocks until this process serves alone, and returns the
+    /// socket for later successors if it was created.
     pub(super) fn take_over<L: LimiterProcess>(
         &self,
         predecessor: PredecessorConnection,
@@ -55,13 +55,16 @@
     endpoints_known: bool,
     /// The predecessor's state, between its receipt and its adoption.
     state: Option<LearnedState>,
-    /// Messages about ended attempts that were received before the state was adopted. Processed earlier,
-    /// they would have no effect, and the state's attempts would count as in flight forever.
+    /// Messages about ended attempts that were received before the state was adopted. Processed
+    /// earlier, they would have no effect, and the state's attempts would count as in flight
+    /// forever.
     early_attempt_ends: Vec<HandoverMessage>,
     socket: Option<UnixListener>,
 }
 
 impl<L: LimiterProcess, F: Fn(Duration) -> bool> TakeOver<'_, L, F> {
+    /// Runs the hand-over until this process serves alone. Returns the socket for later successors
+    /// if it was created.
     fn run(mut self) -> Option<UnixListener> {
         while self.stage != SuccessorStage::ServingAlone {
             let Some(event) = self.next_event() else {
@@ -76,6 +79,7 @@
         self.socket
     }
 
+    /// Waits for a message or the end of a poll interval. Returns the resulting event, if any.
     fn next_event(&mut self) -> Option<Event> {
         match self.link.receive(Some(POLL_INTERVAL)) {
             Ok((message, descriptor)) => self.on_message(message, descriptor),
@@ -102,6 +106,7 @@
         }
     }
 
+    /// Checks the conditions that no message reports, after a poll interval without a message.
     fn on_poll_interval(&mut self) -> Option<Event> {
         if self.stage == SuccessorStage::AwaitingEndpoints {
             self.endpoints_known = self.endpoints_known || (self.poll_endpoints)(Duration::ZERO);
@@ -111,6 +116,7 @@
         (self.stage_entered_at.elapsed() >= limit).then_some(Event::TimedOut)
     }
 
+    /// Applies an event to the state machine and executes the resulting steps.
     fn apply_event(&mut self, event: Event) {
         let mut steps = VecDeque::from(self.stage.on(event));
         while let Some(step) = steps.pop_front() {
@@ -146,6 +152,7 @@
         self.stage.on(event)
     }
 
+    /// Begins to serve with the predecessor's state, while the predecessor drains.
     fn serve(&mut self) {
         if let Some(state) = self.state.take() {
             self.process.adopt_state(state);
@@ -153,17 +160,19 @@
         for message in self.early_attempt_ends.drain(..) {
             self.process.process_message(message);
         }
-        // The socket must exist before readiness is reported, as the next upgrade may start right after.
+        // The socket must exist before readiness is reported, as the next upgrade may start right
+        // after.
         self.socket = self.coordinator.bind_socket();
         self.process.set_accepting(true);
         self.process.begin_serving();
         info!(self.coordinator.log, "upgrade: state received");
     }
 
+    /// Begins to serve without the predecessor's state, once an endpoint list is known.
     fn serve_alone(&mut self, failure: HandoverFailure) {
         warn!(self.coordinator.log, "upgrade: serving alone"; "error" => %failure);
-        // No socket is created: the predecessor may still serve and own it, and a later successor joins
-        // the owner of the socket.
+        // No socket is created: the predecessor may still serve and own it, and a later successor
+        // joins the owner of the socket.
         while !self.endpoints_known {
             self.endpoints_known = (self.poll_endpoints)(Duration::MAX);
         }
