--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Shown at the end of `--help`.
-const EXAMPLES: &str = "\
+/// Text at the end of `--help`.
+const AFTER_HELP: &str = "\
 Examples:
   mossrill openapi.json          start a limiter with an OpenAPI front
   EDGE_CONFIG=edge.json mossrill start a limiter on the platform
@@ -22,7 +22,7 @@
 /// Limits the requests of many clients to the quotas of their accounts, as one of a fleet of
 /// gateways.
 #[derive(Debug, Parser)]
-#[command(version, after_help = EXAMPLES, args_conflicts_with_subcommands = true, disable_help_subcommand = true)]
+#[command(version, after_help = AFTER_HELP, args_conflicts_with_subcommands = true, disable_help_subcommand = true)]
 struct Arguments {
     /// Configuration file of a limiter with an OpenAPI front. Without it, a limiter on the platform
     /// is started with the configuration file that EDGE_CONFIG names.
@@ -42,8 +42,8 @@
     },
 }
 
-/// Runs the program with the arguments of this process. Wrong usage, `--help` and `--version` end
-/// the process here.
+/// Runs the program with the arguments of this process. Exits the process directly on wrong usage,
+/// `--help` and `--version`.
 pub fn main() -> ExitCode {
     // Without arguments the parser is skipped to save start-up time, as a machine may start
     // hundreds of limiters at once.
