--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -86,7 +86,7 @@
         };
         Endpoint {
             started_at: started,
-            ..member(&format!("s{number:02}"), "z0")
+            ..endpoint(&format!("s{number:02}"), "z0")
         }
     };
     (0..SERVERS).map(server).collect()
@@ -130,7 +130,7 @@
         while let Some(event) = events.pop() {
             let mut actions = Vec::new();
             self.engines[limiter].on_event(now, event, &mut actions);
-            for (id, server) in sends(&actions) {
+            for (id, server) in sent_attempts(&actions) {
                 sent.push(
                     server.0[1..]
                         .parse()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,12 +5,12 @@
 use mossrill::Engine;
 
 /// A decision engine with its clock.
-pub struct Bench {
-    pub gateway: Engine,
+pub struct EngineHarness {
+    pub engine: Engine,
     /// Current time in µs.
     pub now: Micros,
     /// Actions of the last event.
-    pub acts: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
 /// Returns a request class of this idempotency.
@@ -82,7 +82,7 @@
 }
 
 /// Returns a ready endpoint of an upstream server.
-pub fn member(id: &str, zone: &str) -> Endpoint {
+pub fn endpoint(id: &str, zone: &str) -> Endpoint {
     Endpoint {
         id: id.into(),
         zone: zone.into(),
@@ -93,45 +93,45 @@
     }
 }
 
-impl Bench {
+impl EngineHarness {
     /// Returns an engine that knows `servers` upstream servers, `s0` and on, in zones `z0` and `z1`
     /// by turns.
     pub fn new(settings: Settings, servers: usize) -> Self {
-        let mut bench = Bench {
-            gateway: Engine::new(settings, 7),
+        let mut harness = EngineHarness {
+            engine: Engine::new(settings, 7),
             now: 1_000_000,
-            acts: Vec::new(),
+            actions: Vec::new(),
         };
         let endpoints = (0..servers)
-            .map(|n| member(&format!("s{n}"), &format!("z{}", n % 2)))
+            .map(|n| endpoint(&format!("s{n}"), &format!("z{}", n % 2)))
             .collect();
-        bench.on(Event::EndpointUpdate {
+        harness.handle(Event::EndpointUpdate {
             scope: UpdateScope::Snapshot,
             endpoints,
         });
-        bench
+        harness
     }
 
     /// Passes an event to the engine and returns its actions.
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
-        self.acts.clear();
-        self.gateway.on_event(self.now, event, &mut self.acts);
-        self.acts.clone()
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.actions.clear();
+        self.engine.on_event(self.now, event, &mut self.actions);
+        self.actions.clone()
     }
 
     /// Advances the clock by `duration` µs with a timer event every 5 ms, and returns all actions.
-    pub fn pass(&mut self, duration: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
         let (end, mut all) = (self.now + duration, Vec::new());
         while self.now < end {
             self.now = (self.now + 5_000).min(end);
-            all.extend(self.on(Event::TimerExpired { token: 0 }));
+            all.extend(self.handle(Event::TimerExpired { token: 0 }));
         }
         all
     }
 
     /// Passes a request for one unit to the engine and returns its actions.
-    pub fn ask(&mut self, id: &str, class: usize, plan: usize, account: &str) -> Vec<Action> {
-        self.on(Event::Request(Request {
+    pub fn request(&mut self, id: &str, class: usize, plan: usize, account: &str) -> Vec<Action> {
+        self.handle(Event::Request(Request {
             id: id.into(),
             class,
             plan,
@@ -144,14 +144,14 @@
     }
 
     /// Ends an attempt after 20 ms with this outcome and returns the engine's actions.
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: &str,
         attempt: usize,
         server: &ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.on(Event::AttemptEnded(AttemptResult {
+        self.handle(Event::AttemptEnded(AttemptResult {
             id: id.into(),
             attempt,
             server: server.clone(),
@@ -165,11 +165,16 @@
 
     /// Answers every counter call in `actions` with this total and outcome, and returns the
     /// engine's actions.
-    pub fn count(&mut self, actions: &[Action], total: f64, outcome: Outcome) -> Vec<Action> {
+    pub fn answer_counter_calls(
+        &mut self,
+        actions: &[Action],
+        total: f64,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         let mut all = Vec::new();
         for action in actions {
             if let Action::AddToCounter { key, .. } = action {
-                all.extend(self.on(Event::CounterReply {
+                all.extend(self.handle(Event::CounterReply {
                     key: *key,
                     total,
                     outcome,
@@ -181,7 +186,7 @@
 }
 
 /// Returns the request and the server of each attempt sent.
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
+pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
     let pick = |a: &Action| match a {
         Action::Send { id, server, .. } => Some((id.clone(), server.clone())),
         _ => None,
@@ -190,7 +195,7 @@
 }
 
 /// Returns the number of counter calls.
-pub fn counts(actions: &[Action]) -> usize {
+pub fn counter_call_count(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::AddToCounter { .. }))
@@ -198,7 +203,7 @@
 }
 
 /// Returns the number of rejected requests.
-pub fn refused(actions: &[Action]) -> usize {
+pub fn rejection_count(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Reject { .. }))
@@ -206,7 +211,7 @@
 }
 
 /// Returns the number of failed requests.
-pub fn failed(actions: &[Action]) -> usize {
+pub fn failure_count(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Fail { .. }))
--- a/tests/decision/account_quota.rs
+++ b/tests/decision/account_quota.rs
@@ -1,6 +1,6 @@
 //! Token buckets of accounts and the totals of the counter that correct them.
 
-use crate::common::{counts, sends, settings, Bench};
+use crate::common::{counter_call_count, sent_attempts, settings, EngineHarness};
 use crate::counter_sync::counter_amounts;
 use mossrill::decision::{Action, Event, Outcome, Request, Settings};
 
@@ -8,21 +8,21 @@
 fn local_bucket_admits_as_much_as_the_shared_bucket() {
     // A rate of 10 and a burst of 20 over two limiters: the local share is 10 until the counter
     // answers. Its total shows no use by other limiters, so that the rest may be used too.
-    let mut bench = Bench::new(settings(), 4);
+    let mut harness = EngineHarness::new(settings(), 4);
     let mut sent = 0;
     let mut total = 0.0;
     for n in 0..60 {
-        let actions = bench.ask(&format!("r{n}"), 0, 0, "a");
+        let actions = harness.request(&format!("r{n}"), 0, 0, "a");
         let mut all = actions.clone();
         let calls = actions.iter().filter_map(|a| match a {
             Action::AddToCounter { amount, .. } => Some(*amount),
             _ => None,
         });
         total += calls.sum::<f64>();
-        all.extend(bench.count(&actions, total, Outcome::Ok));
-        for (id, server) in sends(&all) {
+        all.extend(harness.answer_counter_calls(&actions, total, Outcome::Ok));
+        for (id, server) in sent_attempts(&all) {
             sent += 1;
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
         }
     }
     assert!(
@@ -33,32 +33,32 @@
 
 #[test]
 fn units_used_by_other_limiters_are_taken_from_the_bucket() {
-    let mut bench = Bench::new(settings(), 4);
-    let actions = bench.ask("r0", 0, 0, "a");
+    let mut harness = EngineHarness::new(settings(), 4);
+    let actions = harness.request("r0", 0, 0, "a");
     assert_eq!(
-        counts(&actions),
+        counter_call_count(&actions),
         1,
         "a new account calls the counter at once"
     );
     // Other limiters have used the whole burst and all units refilled since the window began.
-    bench.count(&actions, 1e4, Outcome::Ok);
-    assert!(sends(&bench.ask("r1", 0, 0, "a")).is_empty());
+    harness.answer_counter_calls(&actions, 1e4, Outcome::Ok);
+    assert!(sent_attempts(&harness.request("r1", 0, 0, "a")).is_empty());
 }
 
 #[test]
 fn unreachable_counter_leaves_the_quota_share() {
-    let mut bench = Bench::new(settings(), 4);
+    let mut harness = EngineHarness::new(settings(), 4);
     let mut sent = 0;
     let mut calls = 0;
     for n in 0..400 {
-        let mut all = bench.ask(&format!("r{n}"), 0, 0, "a");
-        all.extend(bench.pass(25_000));
-        calls += counts(&all);
-        let more = bench.count(&all.clone(), 0.0, Outcome::Timeout);
+        let mut all = harness.request(&format!("r{n}"), 0, 0, "a");
+        all.extend(harness.advance(25_000));
+        calls += counter_call_count(&all);
+        let more = harness.answer_counter_calls(&all.clone(), 0.0, Outcome::Timeout);
         all.extend(more);
-        for (id, server) in sends(&all) {
+        for (id, server) in sent_attempts(&all) {
             sent += 1;
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
         }
     }
     // In 10 s half of the rate of 10 and half of the burst of 20 give 60 units; the whole quota
@@ -77,14 +77,14 @@
 fn ceiling_is_enforced_by_each_limiter_on_its_share() {
     // A ceiling of 4 units per second over 2 limiters allows at most 2 per second here. As the
     // bucket starts empty, this also holds after a restart.
-    let mut bench = Bench::new(settings(), 4);
+    let mut harness = EngineHarness::new(settings(), 4);
     let mut sent = 0;
     for n in 0..200 {
-        let mut actions = bench.ask(&format!("r{n}"), 0, 2, "a");
-        actions.extend(bench.pass(20_000));
-        for (id, server) in sends(&actions) {
+        let mut actions = harness.request(&format!("r{n}"), 0, 2, "a");
+        actions.extend(harness.advance(20_000));
+        for (id, server) in sent_attempts(&actions) {
             sent += 1;
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
         }
     }
     assert!(
@@ -97,17 +97,17 @@
 fn sent_request_is_removed_from_the_waiting_requests_of_its_account() {
     // A sent request that stayed among its account's waiting requests was queued, sent and claimed
     // again.
-    let mut bench = Bench::new(
+    let mut harness = EngineHarness::new(
         Settings {
             limiters: 200,
             ..settings()
         },
         600,
     );
-    let ask = |bench: &mut Bench, id: &str| {
+    let request = |harness: &mut EngineHarness, id: &str| {
         let (account, limiter_count) = ("a".into(), 200);
         let (id, timeout) = (id.into(), 2_000_000);
-        bench.on(Event::Request(Request {
+        harness.handle(Event::Request(Request {
             id,
             class: 0,
             plan: 0,
@@ -130,13 +130,16 @@
             })
             .collect()
     };
-    let first = ask(&mut bench, "r0");
+    let first = request(&mut harness, "r0");
     assert_eq!(claims(&first), [1.0]);
     // With this total the bucket is exactly full before the claim, so that no correction is
     // reported.
-    let total = 10.0 * (bench.now % 20_000_000) as f64 / 1e6 + 1.0;
-    assert_eq!(sends(&bench.count(&first, total, Outcome::Ok)).len(), 1);
-    assert_eq!(claims(&ask(&mut bench, "r1")), [1.0]);
+    let total = 10.0 * (harness.now % 20_000_000) as f64 / 1e6 + 1.0;
+    assert_eq!(
+        sent_attempts(&harness.answer_counter_calls(&first, total, Outcome::Ok)).len(),
+        1
+    );
+    assert_eq!(claims(&request(&mut harness, "r1")), [1.0]);
 }
 
 #[test]
@@ -145,7 +148,7 @@
     // to refill, and was rejected although the whole quota was unused.
     let mut settings = settings();
     settings.limiters = 4;
-    let mut bench = Bench::new(settings, 4);
+    let mut harness = EngineHarness::new(settings, 4);
     let (id, account) = ("big".into(), "once".into());
     let request = Request {
         id,
@@ -157,56 +160,71 @@
         limiter_count: 4,
         first_limiter: 0,
     };
-    let actions = bench.on(Event::Request(request));
-    assert_eq!((sends(&actions).len(), counts(&actions)), (0, 1));
-    assert_eq!(sends(&bench.count(&actions, 0.0, Outcome::Ok)).len(), 1);
+    let actions = harness.handle(Event::Request(request));
+    assert_eq!(
+        (sent_attempts(&actions).len(), counter_call_count(&actions)),
+        (0, 1)
+    );
+    assert_eq!(
+        sent_attempts(&harness.answer_counter_calls(&actions, 0.0, Outcome::Ok)).len(),
+        1
+    );
 }
 
 #[test]
 fn last_units_of_a_bucket_go_to_one_limiter() {
     // Limiters that waited for the same units all found them in the total and sent their requests:
     // a twentieth of all units was sent beyond the quotas.
-    let mut bench = Bench::new(settings(), 4);
-    let first = bench.ask("a", 0, 0, "account");
-    bench.count(&first, 1.0, Outcome::Ok);
-    assert_eq!(sends(&bench.ask("b", 0, 0, "account")).len(), 1);
-    let reported = bench.pass(2_200_000);
+    let mut harness = EngineHarness::new(settings(), 4);
+    let first = harness.request("a", 0, 0, "account");
+    harness.answer_counter_calls(&first, 1.0, Outcome::Ok);
+    assert_eq!(
+        sent_attempts(&harness.request("b", 0, 0, "account")).len(),
+        1
+    );
+    let reported = harness.advance(2_200_000);
     assert_eq!(counter_amounts(&reported), [1.0]);
     // Other limiters have used all but 1.5 of the 20 units that the bucket holds by now.
-    bench.count(&reported, 20.5, Outcome::Ok);
-    let claimed = bench.ask("c", 0, 0, "account");
+    harness.answer_counter_calls(&reported, 20.5, Outcome::Ok);
+    let claimed = harness.request("c", 0, 0, "account");
     assert_eq!(
-        (sends(&claimed).len(), counter_amounts(&claimed)),
+        (sent_attempts(&claimed).len(), counter_amounts(&claimed)),
         (0, vec![1.0])
     );
     // Another limiter was faster: its units are in the total beside the unit claimed here, which is
     // given back.
-    let not_granted = bench.count(&claimed, 23.0, Outcome::Ok);
+    let not_granted = harness.answer_counter_calls(&claimed, 23.0, Outcome::Ok);
     assert_eq!(
-        (sends(&not_granted).len(), counter_amounts(&not_granted)),
+        (
+            sent_attempts(&not_granted).len(),
+            counter_amounts(&not_granted)
+        ),
         (0, vec![-1.0])
     );
-    bench.count(&not_granted, 22.0, Outcome::Ok);
-    let claimed = bench.pass(150_000);
+    harness.answer_counter_calls(&not_granted, 22.0, Outcome::Ok);
+    let claimed = harness.advance(150_000);
     assert_eq!(counter_amounts(&claimed), [1.0]);
-    assert_eq!(sends(&bench.count(&claimed, 23.0, Outcome::Ok)).len(), 1);
+    assert_eq!(
+        sent_attempts(&harness.answer_counter_calls(&claimed, 23.0, Outcome::Ok)).len(),
+        1
+    );
 }
 
 #[test]
 fn first_total_is_not_offset_by_the_overflow_of_a_full_bucket() {
     // Many units were used in the 19 s of the window, but the total does not show when: of the 210
     // units available, an unknown number overflowed from a full bucket.
-    let mut bench = Bench::new(settings(), 4);
-    bench.now = 39_000_000;
-    let first = bench.ask("a", 0, 0, "account");
-    bench.count(&first, 120.0, Outcome::Ok);
+    let mut harness = EngineHarness::new(settings(), 4);
+    harness.now = 39_000_000;
+    let first = harness.request("a", 0, 0, "account");
+    harness.answer_counter_calls(&first, 120.0, Outcome::Ok);
     let mut sent = 0;
-    for (id, server) in sends(&first) {
-        bench.end(&id.0, 0, &server, Outcome::Ok);
+    for (id, server) in sent_attempts(&first) {
+        harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
     }
     for n in 0..15 {
-        for (id, server) in sends(&bench.ask(&format!("b{n}"), 0, 0, "account")) {
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+        for (id, server) in sent_attempts(&harness.request(&format!("b{n}"), 0, 0, "account")) {
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
             sent += 1;
         }
     }
--- a/tests/decision/counter_sync.rs
+++ b/tests/decision/counter_sync.rs
@@ -1,16 +1,16 @@
 //! Which counter calls are made, and the effects of late, unanswered and rejected calls.
 
-use crate::common::{counts, sends, settings, Bench};
+use crate::common::{counter_call_count, sent_attempts, settings, EngineHarness};
 use mossrill::decision::{Action, AttemptResult, Event, Micros, Outcome, Request, Settings};
 
 #[test]
 fn plan_without_quota_never_calls_the_counter() {
     let mut settings = settings();
     settings.plans[1].max_concurrent = 0;
-    let mut bench = Bench::new(settings, 4);
-    let mut actions = bench.ask("r0", 0, 1, "a");
-    let (id, server) = sends(&actions).remove(0);
-    actions.extend(bench.ask("r1", 0, 1, "a"));
+    let mut harness = EngineHarness::new(settings, 4);
+    let mut actions = harness.request("r0", 0, 1, "a");
+    let (id, server) = sent_attempts(&actions).remove(0);
+    actions.extend(harness.request("r1", 0, 1, "a"));
     // The units are settled after the attempt, but the plan has no counter total to correct.
     let (outcome, load, settled_units) = (Outcome::Ok, Vec::new(), Some(4.0));
     let result = AttemptResult {
@@ -23,15 +23,15 @@
         load,
         settled_units,
     };
-    actions.extend(bench.on(Event::AttemptEnded(result)));
-    actions.extend(bench.pass(3_000_000));
-    assert_eq!(counts(&actions), 0);
+    actions.extend(harness.handle(Event::AttemptEnded(result)));
+    actions.extend(harness.advance(3_000_000));
+    assert_eq!(counter_call_count(&actions), 0);
 }
 
 /// Returns the number of counter calls at the arrival of the second hundred of 200 requests, if the
 /// counter answers each call after `delay`.
 fn counter_calls(delay: Micros) -> usize {
-    let mut bench = Bench::new(
+    let mut harness = EngineHarness::new(
         Settings {
             limiters: 200,
             ..settings()
@@ -55,23 +55,27 @@
             limiter_count,
             first_limiter: 0,
         };
-        let mut actions = bench.on(Event::Request(request));
-        calls.push(counts(&actions));
-        let (end, mut sent) = (bench.now + 100_000, Vec::new());
+        let mut actions = harness.handle(Event::Request(request));
+        calls.push(counter_call_count(&actions));
+        let (end, mut sent) = (harness.now + 100_000, Vec::new());
         // All calls are answered, also those that answers cause: an unanswered call would delay
         // later ones.
-        while counts(&actions) > 0 {
-            bench.now += delay;
-            sent.extend(sends(&actions));
+        while counter_call_count(&actions) > 0 {
+            harness.now += delay;
+            sent.extend(sent_attempts(&actions));
             // Half of the claims are not granted, so that the value of a claim does not fall by
             // itself.
-            actions = bench.count(&actions, if n % 2 == 0 { 1.0 } else { 1e6 }, Outcome::Ok);
+            actions = harness.answer_counter_calls(
+                &actions,
+                if n % 2 == 0 { 1.0 } else { 1e6 },
+                Outcome::Ok,
+            );
         }
-        sent.extend(sends(&actions));
+        sent.extend(sent_attempts(&actions));
         for (id, server) in sent {
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
         }
-        bench.now = bench.now.max(end);
+        harness.now = harness.now.max(end);
     }
     calls[100..].iter().sum()
 }
@@ -100,15 +104,19 @@
 fn overloaded_counter_is_still_called() {
     // Two rejected calls in a row made every account wait for 100 ms, although an overloaded
     // counter rejects one call in three.
-    let mut bench = Bench::new(settings(), 4);
+    let mut harness = EngineHarness::new(settings(), 4);
     for n in 0..3 {
-        let actions = bench.ask(&format!("r{n}"), 0, 0, &format!("c{n}"));
-        assert_eq!(counts(&actions), 1, "expected a call for account {n}");
-        bench.count(&actions, 0.0, Outcome::Rejected);
-        for (id, server) in sends(&actions) {
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+        let actions = harness.request(&format!("r{n}"), 0, 0, &format!("c{n}"));
+        assert_eq!(
+            counter_call_count(&actions),
+            1,
+            "expected a call for account {n}"
+        );
+        harness.answer_counter_calls(&actions, 0.0, Outcome::Rejected);
+        for (id, server) in sent_attempts(&actions) {
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
         }
-        bench.pass(20_000);
+        harness.advance(20_000);
     }
 }
 
@@ -116,7 +124,7 @@
 fn units_rejected_by_an_overloaded_counter_are_reported_later() {
     // Units of a rejected call were reported again at the next event, so that the limiter itself
     // kept the counter overloaded.
-    let mut bench = Bench::new(
+    let mut harness = EngineHarness::new(
         Settings {
             limiters: 200,
             ..settings()
@@ -126,10 +134,10 @@
     let (mut calls, mut unhandled) = (0, Vec::new());
     for n in 0..200 {
         let mut actions = std::mem::take(&mut unhandled);
-        actions.extend(bench.ask(&format!("r{n}"), 0, 0, &format!("c{}", n % 50)));
-        actions.extend(bench.pass(5_000));
-        for (id, server) in sends(&actions) {
-            bench.end(&id.0, 0, &server, Outcome::Ok);
+        actions.extend(harness.request(&format!("r{n}"), 0, 0, &format!("c{}", n % 50)));
+        actions.extend(harness.advance(5_000));
+        for (id, server) in sent_attempts(&actions) {
+            harness.end_attempt(&id.0, 0, &server, Outcome::Ok);
         }
         for call in actions
             .iter()
@@ -142,7 +150,11 @@
             } else {
                 Outcome::Rejected
             };
-            unhandled.extend(bench.count(std::slice::from_ref(call), 1.0, outcome));
+            unhandled.extend(harness.answer_counter_calls(
+                std::slice::from_ref(call),
+                1.0,
+                outcome,
+            ));
         }
     }
     assert!(
@@ -151,8 +163,8 @@
     );
     // Half a minute later a call is worth its price again, as the price has an upper bound.
     for _ in 0..600 {
-        unhandled.extend(bench.pass(50_000));
-        unhandled = bench.count(&unhandled, 1.0, Outcome::Ok);
+        unhandled.extend(harness.advance(50_000));
+        unhandled = harness.answer_counter_calls(&unhandled, 1.0, Outcome::Ok);
     }
     let (id, account) = ("later".into(), "later".into());
     let request = Request {
@@ -165,29 +177,43 @@
         limiter_count: 200,
         first_limiter: 0,
     };
-    assert_eq!(counts(&bench.on(Event::Request(request))), 1);
+    assert_eq!(
+        counter_call_count(&harness.handle(Event::Request(request))),
+        1
+    );
 }
 
 #[test]
 fn unanswered_claim_is_decided_by_the_next_total() {
     // An unanswered claim was taken as granted, so that the request was sent beyond the quota if
     // another limiter had used the units first.
-    let mut bench = Bench::new(settings(), 4);
-    let first = bench.ask("a", 0, 0, "account");
-    bench.count(&first, 1.0, Outcome::Ok);
-    bench.ask("b", 0, 0, "account");
-    let reported = bench.pass(2_200_000);
-    bench.count(&reported, 20.5, Outcome::Ok);
-    let claimed = bench.ask("c", 0, 0, "account");
+    let mut harness = EngineHarness::new(settings(), 4);
+    let first = harness.request("a", 0, 0, "account");
+    harness.answer_counter_calls(&first, 1.0, Outcome::Ok);
+    harness.request("b", 0, 0, "account");
+    let reported = harness.advance(2_200_000);
+    harness.answer_counter_calls(&reported, 20.5, Outcome::Ok);
+    let claimed = harness.request("c", 0, 0, "account");
     assert_eq!(
-        (sends(&claimed).len(), counter_amounts(&claimed)),
+        (sent_attempts(&claimed).len(), counter_amounts(&claimed)),
         (0, vec![1.0])
     );
-    assert_eq!(bench.count(&claimed, 0.0, Outcome::Timeout).len(), 0);
-    let unresolved = bench.pass(5_000);
     assert_eq!(
-        (sends(&unresolved).len(), counter_amounts(&unresolved)),
+        harness
+            .answer_counter_calls(&claimed, 0.0, Outcome::Timeout)
+            .len(),
+        0
+    );
+    let unresolved = harness.advance(5_000);
+    assert_eq!(
+        (
+            sent_attempts(&unresolved).len(),
+            counter_amounts(&unresolved)
+        ),
         (0, vec![0.0])
     );
-    assert_eq!(sends(&bench.count(&unresolved, 21.5, Outcome::Ok)).len(), 1);
+    assert_eq!(
+        sent_attempts(&harness.answer_counter_calls(&unresolved, 21.5, Outcome::Ok)).len(),
+        1
+    );
 }
--- a/tests/overload/world.rs
+++ b/tests/overload/world.rs
@@ -1,6 +1,6 @@
 //! A discrete-event simulation of clients, limiters and upstream servers.
 
-use crate::common::{class, member, settings};
+use crate::common::{class, endpoint, settings};
 use crate::server::{SimulatedRequest, SimulatedServer, CORES, MEAN_SERVICE_MICROS, MS};
 use mossrill::decision::{
     Action, AttemptResult, Endpoint, Event, Idempotency, Limits, Micros, Outcome, Plan, Request,
@@ -76,11 +76,11 @@
 
 impl World {
     pub fn new(limiters: u32, servers: usize, seed: u64) -> Self {
-        let class = |effect| RequestClass {
+        let class = |idempotency| RequestClass {
             latency_objective: LATENCY_OBJECTIVE,
             deadline: DEADLINE,
             priority_weight: 1.0,
-            ..class(effect)
+            ..class(idempotency)
         };
         let settings = Settings {
             limiters,
@@ -141,7 +141,7 @@
         servers
             .map(|server| Endpoint {
                 started_at: self.servers[server].started_at,
-                ..member(&server.to_string(), "z0")
+                ..endpoint(&server.to_string(), "z0")
             })
             .collect()
     }
--- a/tests/quota_lease_io.rs
+++ b/tests/quota_lease_io.rs
@@ -279,15 +279,16 @@
     assert!(config::allocator_from_file(std::path::Path::new("/nonexistent")).is_err());
 }
 
-/// Returns a bench with quota leases whose first plan has the given concurrency limit; 0 means none.
-fn lease_bench(max_concurrent: u32) -> Bench {
+/// Returns a harness whose engine has quota leases and whose first plan has the given concurrency
+/// limit; 0 means none.
+fn lease_harness(max_concurrent: u32) -> EngineHarness {
     let mut settings = Settings {
         quota_leases: true,
         counter: false,
         ..settings()
     };
     settings.plans[0].max_concurrent = max_concurrent;
-    Bench::new(settings, 2)
+    EngineHarness::new(settings, 2)
 }
 
 /// Returns the requests for which a lease is requested, with their units.
@@ -301,43 +302,49 @@
 
 #[test]
 fn request_is_forwarded_once_its_units_are_leased() {
-    let mut bench = lease_bench(0);
-    let requested = bench.ask("a", 0, 0, "c");
+    let mut harness = lease_harness(0);
+    let requested = harness.request("a", 0, 0, "c");
     assert_eq!(lease_requests(&requested), [("a".into(), 1.0)]);
-    assert!(sends(&requested).is_empty() && refused(&requested) == 0);
+    assert!(sent_attempts(&requested).is_empty() && rejection_count(&requested) == 0);
     // Until the reply arrives, the request is not sent and its units are not requested again.
-    let meanwhile = bench.pass(100_000);
+    let meanwhile = harness.advance(100_000);
     assert!(
-        sends(&meanwhile).is_empty()
+        sent_attempts(&meanwhile).is_empty()
             && lease_requests(&meanwhile).is_empty()
-            && counts(&meanwhile) == 0
+            && counter_call_count(&meanwhile) == 0
     );
-    let sent = bench.on(Event::LeaseReply {
+    let sent = harness.handle(Event::LeaseReply {
         id: "a".into(),
         granted: true,
     });
-    assert_eq!(sends(&sent).len(), 1);
-    assert_eq!(counts(&sent), 0);
+    assert_eq!(sent_attempts(&sent).len(), 1);
+    assert_eq!(counter_call_count(&sent), 0);
 }
 
 #[test]
 fn request_without_units_is_rejected_at_once() {
-    let mut bench = lease_bench(0);
-    bench.ask("a", 0, 0, "c");
-    bench.ask("b", 0, 0, "c");
-    let answered = bench.on(Event::LeaseReply {
+    let mut harness = lease_harness(0);
+    harness.request("a", 0, 0, "c");
+    harness.request("b", 0, 0, "c");
+    let answered = harness.handle(Event::LeaseReply {
         id: "a".into(),
         granted: false,
     });
-    assert_eq!((refused(&answered), sends(&answered).len()), (1, 0));
-    let answered = bench.on(Event::LeaseReply {
+    assert_eq!(
+        (rejection_count(&answered), sent_attempts(&answered).len()),
+        (1, 0)
+    );
+    let answered = harness.handle(Event::LeaseReply {
         id: "b".into(),
         granted: true,
     });
-    assert_eq!((refused(&answered), sends(&answered).len()), (0, 1));
+    assert_eq!(
+        (rejection_count(&answered), sent_attempts(&answered).len()),
+        (0, 1)
+    );
     // A reply for a request that has already ended has no effect.
-    assert!(bench
-        .on(Event::LeaseReply {
+    assert!(harness
+        .handle(Event::LeaseReply {
             id: "a".into(),
             granted: true
         })
@@ -346,14 +353,14 @@
 
 #[test]
 fn concurrency_limit_holds_beside_leases() {
-    let mut bench = lease_bench(2);
+    let mut harness = lease_harness(2);
     for id in ["a", "b", "c"] {
-        bench.ask(id, 0, 0, "c");
+        harness.request(id, 0, 0, "c");
     }
     // The limit of two is divided between two limiters, so this limiter may send one request.
     let sent: usize = ["a", "b", "c"]
         .map(|id| {
-            sends(&bench.on(Event::LeaseReply {
+            sent_attempts(&harness.handle(Event::LeaseReply {
                 id: id.into(),
                 granted: true,
             }))
@@ -368,9 +375,9 @@
 fn whole_burst_is_requested_regardless_of_earlier_use() {
     // With the counter, requests above a fair share are rejected before the counter is called. With
     // leases they are not.
-    let mut bench = lease_bench(0);
+    let mut harness = lease_harness(0);
     let requested: usize = (0..40)
-        .map(|n| lease_requests(&bench.ask(&format!("r{n}"), 0, 0, "c")).len())
+        .map(|n| lease_requests(&harness.request(&format!("r{n}"), 0, 0, "c")).len())
         .sum();
     assert_eq!(requested, 40);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -133,16 +133,16 @@
 /// Advances the clock by up to 12 ms, feeds one random event to the engine, and checks the actions
 /// that result.
 fn apply_random_event(
-    bench: &mut Bench,
+    harness: &mut EngineHarness,
     checker: &mut RuleChecker,
     rng: &mut fastrand::Rng,
     request_number: usize,
     settings: &Settings,
 ) {
-    bench.now += rng.u64(0..12_000);
+    harness.now += rng.u64(0..12_000);
     for tracked in checker.requests.values() {
         assert!(
-            tracked.answered || tracked.client_closed || bench.now <= tracked.deadline + 12_000,
+            tracked.answered || tracked.client_closed || harness.now <= tracked.deadline + 12_000,
             "a request has no answer 12 ms after its deadline"
         );
     }
@@ -154,8 +154,8 @@
             checker
                 .ceiling_buckets
                 .entry(account.clone())
-                .or_insert((0.0, bench.now));
-            let deadline = bench.now + timeout;
+                .or_insert((0.0, harness.now));
+            let deadline = harness.now + timeout;
             let (attempts, account_id) = (Vec::new(), account.as_str().into());
             checker.requests.insert(
                 id.clone(),
@@ -180,7 +180,7 @@
                 limiter_count: 2,
                 first_limiter: 0,
             };
-            bench.on(Event::Request(request))
+            harness.handle(Event::Request(request))
         }
         30..=64 => {
             let open_attempts: Vec<(String, usize)> = checker
@@ -213,10 +213,10 @@
             tracked.attempts[attempt].2 = Some(outcome);
             tracked.answered |= outcome == Outcome::Ok && !tracked.client_closed;
             let server = tracked.attempts[attempt].0.clone();
-            let actions = bench.end(&id, attempt, &server, outcome);
-            checker.check(bench.now, &actions, settings);
+            let actions = harness.end_attempt(&id, attempt, &server, outcome);
+            checker.check(harness.now, &actions, settings);
             // A duplicate of the event must not cause an action that breaks the rules.
-            bench.end(&id, attempt, &server, outcome)
+            harness.end_attempt(&id, attempt, &server, outcome)
         }
         65..=69 => {
             let scope = if rng.bool() {
@@ -227,7 +227,7 @@
             let mut members = Vec::new();
             for server in 0..6 {
                 if rng.u32(0..10) < 7 {
-                    let mut endpoint = member(&format!("s{server}"), &format!("z{}", server % 2));
+                    let mut endpoint = endpoint(&format!("s{server}"), &format!("z{}", server % 2));
                     endpoint.readiness = [
                         Readiness::Ready,
                         Readiness::Ready,
@@ -245,7 +245,7 @@
                     .server_ready
                     .insert(endpoint.id.clone(), endpoint.readiness == Readiness::Ready);
             }
-            bench.on(Event::EndpointUpdate {
+            harness.handle(Event::EndpointUpdate {
                 scope,
                 endpoints: members,
             })
@@ -260,21 +260,21 @@
             };
             tracked.client_closed = true;
             let id = id.as_str().into();
-            bench.on(Event::ClientDisconnected { id })
+            harness.handle(Event::ClientDisconnected { id })
         }
         75..=79 => {
             let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][rng.usize(0..3)];
-            let actions = bench.acts.clone();
-            bench.count(&actions, rng.f64() * 50.0, outcome)
+            let actions = harness.actions.clone();
+            harness.answer_counter_calls(&actions, rng.f64() * 50.0, outcome)
         }
-        _ => bench.on(Event::TimerExpired {
+        _ => harness.handle(Event::TimerExpired {
             token: rng.u64(0..3),
         }),
     };
-    checker.check(bench.now, &actions, settings);
+    checker.check(harness.now, &actions, settings);
     // The host of an engine fires its timer at least this often: after each event.
-    let actions = bench.on(Event::TimerExpired { token: 0 });
-    checker.check(bench.now, &actions, settings);
+    let actions = harness.handle(Event::TimerExpired { token: 0 });
+    checker.check(harness.now, &actions, settings);
 }
 
 #[test]
@@ -288,7 +288,7 @@
         // deadline.
         settings.classes[2].late_weight = 0.2;
         settings.classes[3].late_weight = 0.2;
-        let mut bench = Bench::new(settings.clone(), 6);
+        let mut harness = EngineHarness::new(settings.clone(), 6);
         let mut checker = RuleChecker::default();
         for server in 0..6 {
             checker
@@ -297,7 +297,7 @@
         }
         for request_number in 0..1_500 {
             apply_random_event(
-                &mut bench,
+                &mut harness,
                 &mut checker,
                 &mut rng,
                 request_number,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -127,7 +127,7 @@
         },
     );
     let names: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
-    let mut servers: Vec<Endpoint> = names.iter().map(|name| member(name, "z0")).collect();
+    let mut servers: Vec<Endpoint> = names.iter().map(|name| endpoint(name, "z0")).collect();
     let plans = vec![Plan {
         rate: 1e6,
         burst: 1e6,
@@ -199,7 +199,9 @@
             ..settings()
         },
     );
-    let mut servers: Vec<Endpoint> = (0..60).map(|n| member(&format!("s{n:02}"), "z0")).collect();
+    let mut servers: Vec<Endpoint> = (0..60)
+        .map(|n| endpoint(&format!("s{n:02}"), "z0"))
+        .collect();
     let plans = vec![Plan {
         rate: 1e6,
         burst: 1e6,
@@ -283,7 +285,7 @@
 /// admits. `counter_accepts` tells whether the counter accepts calls, by the time in seconds.
 fn sent_and_bucket_units(demand: f64, counter_accepts: impl Fn(f64) -> bool) -> (f64, f64) {
     let now = 1000 * SECOND;
-    let mut fleet = Fleet::new(200, &settings(), &[member("s0", "z0")], now);
+    let mut fleet = Fleet::new(200, &settings(), &[endpoint("s0", "z0")], now);
     let (mut level, mut admitted, mut sent, mut last) = (20.0_f64, 0.0, 0.0, now);
     let gap = (SECOND as f64 / (10.0 * demand)) as Micros;
     for n in 0..(100.0 * demand * 10.0) as u64 {
@@ -336,7 +338,7 @@
 fn idle_account_saves_no_more_than_its_burst() {
     // 15 s at a fifth of the rate leave 120 units of the quota unused; the burst is 20 units.
     let now = 1000 * SECOND;
-    let mut fleet = Fleet::new(200, &settings(), &[member("s0", "z0")], now);
+    let mut fleet = Fleet::new(200, &settings(), &[endpoint("s0", "z0")], now);
     let mut sent_after_idling = 0;
     for n in 0..130_u64 {
         let time = if n < 30 {
@@ -375,9 +377,9 @@
         counter: false,
         ..settings()
     };
-    let mut bench = Bench::new(settings, 60);
+    let mut harness = EngineHarness::new(settings, 60);
     let (start, mut in_flight, mut means) = (
-        bench.now,
+        harness.now,
         Vec::<(Micros, RequestId, ServerId)>::new(),
         Vec::new(),
     );
@@ -386,15 +388,15 @@
         for step in 0..200 {
             let mut actions = Vec::new();
             if step % 10 == 0 {
-                actions = bench.ask(
+                actions = harness.request(
                     &format!("r{second}-{step}"),
                     2,
                     0,
                     &format!("c{second}-{step}"),
                 );
             }
-            actions.extend(bench.pass(5_000));
-            let now = bench.now;
+            actions.extend(harness.advance(5_000));
+            let now = harness.now;
             while let Some(index) = in_flight.iter().position(|(due, ..)| *due <= now) {
                 let (due, id, server) = in_flight.swap_remove(index);
                 let (latency, attempt, is_final, load, settled_units) =
@@ -410,10 +412,10 @@
                     load,
                     settled_units,
                 };
-                actions.extend(bench.on(Event::AttemptEnded(ended)));
+                actions.extend(harness.handle(Event::AttemptEnded(ended)));
             }
             in_flight.extend(
-                sends(&actions)
+                sent_attempts(&actions)
                     .into_iter()
                     .map(|(id, server)| (now + latency_at(now - start), id, server)),
             );
@@ -448,7 +450,7 @@
     // With full token buckets and an unbounded initial concurrency limit, a fleet sent fifty
     // requests to each server before the first answer showed their load.
     for (limiters, servers, expected) in [(300, 60, 1..=1), (3, 12, 4..=4), (1, 1, 1..=1)] {
-        let mut bench = Bench::new(
+        let mut harness = EngineHarness::new(
             Settings {
                 limiters,
                 counter: false,
@@ -457,7 +459,9 @@
             servers,
         );
         let sent: usize = (0..20)
-            .map(|n| sends(&bench.ask(&format!("r{n}"), 2, 0, &format!("c{n}"))).len())
+            .map(|n| {
+                sent_attempts(&harness.request(&format!("r{n}"), 2, 0, &format!("c{n}"))).len()
+            })
             .sum();
         assert!(
             expected.contains(&sent),
@@ -476,7 +480,7 @@
     let mut fleet = Fleet::new(
         3,
         &settings(),
-        &[member("s0", "z0"), member("s1", "z0")],
+        &[endpoint("s0", "z0"), endpoint("s1", "z0")],
         now,
     );
     let mut bucket = 20.0_f64;
