--- a/src/client/accept.rs
+++ b/src/client/accept.rs
@@ -66,7 +66,7 @@
             if let Some((_, connection)) = evictable.min_by_key(|(order, _)| *order) {
                 connection.evict();
             } else if began.elapsed() >= CAPACITY_TIMEOUT {
-                if let Some(suppressed) = self.connection_limit_log.permit() {
+                if let Some(suppressed) = self.connection_limit_throttle.permit() {
                     warn!(self.log, "client connection limit reached"; "open" => connections.len(), "suppressed" => suppressed);
                 }
                 return false;
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -64,9 +64,9 @@
     connection_opened: Condvar,
     log: Logger,
     /// Limits the rate of log lines about malformed commands.
-    malformed_log: LogThrottle,
+    malformed_throttle: LogThrottle,
     /// Limits the rate of log lines about the connection limit.
-    connection_limit_log: LogThrottle,
+    connection_limit_throttle: LogThrottle,
 }
 
 impl<P: ClientProtocol> ClientListener<P> {
@@ -96,8 +96,8 @@
             connection_ended: Condvar::new(),
             connection_opened: Condvar::new(),
             log,
-            malformed_log: LogThrottle::default(),
-            connection_limit_log: LogThrottle::default(),
+            malformed_throttle: LogThrottle::default(),
+            connection_limit_throttle: LogThrottle::default(),
         })
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Whether a command may be received soon on any connection.
-    pub fn has_partial_command(&self) -> bool {
+    pub fn may_receive_command_soon(&self) -> bool {
         lock(&self.connections)
             .values()
             .any(|connection| lock(&connection.state).may_receive_command_soon())
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -170,7 +170,7 @@
 
     /// Logs at a limited rate what is wrong with a client's command.
     pub fn log_malformed(&self, error: &str) {
-        if let Some(suppressed) = self.front.malformed_log.permit() {
+        if let Some(suppressed) = self.front.malformed_throttle.permit() {
             info!(self.front.log, "malformed command"; "error" => error, "suppressed" => suppressed);
         }
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -38,7 +38,7 @@
 
     /// Returns the instant of a Unix time in microseconds. Times before the start of the clock are
     /// mapped to its start.
-    pub fn moment(&self, at: Micros) -> Instant {
+    pub fn instant_of(&self, at: Micros) -> Instant {
         self.origin + Duration::from_micros(at.saturating_sub(self.unix_origin))
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -210,8 +210,8 @@
         };
         let ends_at = now + attempt_time(timeout, time_left);
         let deadlines = AttemptDeadlines {
-            answer: self.clock.moment(ends_at),
-            write: self.clock.moment(write_before.min(ends_at)),
+            answer: self.clock.instant_of(ends_at),
+            write: self.clock.instant_of(write_before.min(ends_at)),
         };
         self.transport
             .start_attempt(attempt, &server, &request.call, deadlines, client);
--- a/src/core/bans.rs
+++ b/src/core/bans.rs
@@ -24,7 +24,7 @@
 
 impl ServerBans {
     /// Applies an update of the endpoint list. Returns the endpoints as the engine should use them.
-    pub fn news(&mut self, scope: UpdateScope, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
+    pub fn apply_update(&mut self, scope: UpdateScope, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             self.listed.clear();
         }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -21,7 +21,7 @@
                 self.transport.block_server(&server);
             }
         }
-        let endpoints = self.bans.news(scope, endpoints);
+        let endpoints = self.bans.apply_update(scope, endpoints);
         self.notify_endpoints(now, scope, endpoints);
         if has_ready {
             _ = self.endpoints_known.try_send(());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -173,7 +173,7 @@
         // deadline has passed.
         while self.must_continue() || !(self.phase == Phase::Stopped || inputs.is_empty()) {
             let input = match self.next_wake() {
-                Some(at) => inputs.recv_deadline(self.clock.moment(at)),
+                Some(at) => inputs.recv_deadline(self.clock.instant_of(at)),
                 None => inputs.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             let now = self.clock.now();
--- a/src/core/upgrade.rs
+++ b/src/core/upgrade.rs
@@ -76,14 +76,14 @@
                 let running = self.upgrade.predecessor_attempts.get_mut(&account);
                 if let Some(running) = running.filter(|running| **running > 0) {
                     *running -= 1;
-                    self.engine.ended_before(&account);
+                    self.engine.predecessor_attempt_ended(&account);
                 }
             }
             HandoverMessage::FinalReport(report) => {
                 // The predecessor exits after this report, so all of its attempts have ended.
                 for (account, running) in take(&mut self.upgrade.predecessor_attempts) {
                     for _ in 0..running {
-                        self.engine.ended_before(&account);
+                        self.engine.predecessor_attempt_ended(&account);
                     }
                 }
                 self.engine.take_unreported(report);
--- a/src/counter/connection.rs
+++ b/src/counter/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a counter, with the calls that are waiting for a reply on it.
 
-use crate::counter::{Counted, CounterProtocol};
+use crate::counter::{CounterProtocol, CounterReplyHandler};
 use crate::decision::Outcome;
 use crate::threads::lock;
 use std::collections::VecDeque;
@@ -76,7 +76,7 @@
     ///
     /// Calls without a reply are then reported as timed out, as the counter may have added their
     /// amounts.
-    pub(super) fn read(&self, protocol: &dyn CounterProtocol, on_result: &Counted) {
+    pub(super) fn read(&self, protocol: &dyn CounterProtocol, on_result: &CounterReplyHandler) {
         protocol.read(&self.stream, &mut |outcome, total| {
             self.complete_oldest(outcome, total, on_result)
         });
@@ -87,7 +87,12 @@
     }
 
     /// Reports the reply to the oldest pending call. Returns whether further replies are possible.
-    fn complete_oldest(&self, outcome: Outcome, total: f64, on_result: &Counted) -> bool {
+    fn complete_oldest(
+        &self,
+        outcome: Outcome,
+        total: f64,
+        on_result: &CounterReplyHandler,
+    ) -> bool {
         let mut pending = lock(&self.pending);
         let oldest = pending.pop_front();
         let more_replies = !pending.is_empty() || !self.draining.load(Ordering::SeqCst);
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -21,7 +21,7 @@
 
 /// Callback that receives the result of a call: the call number, the outcome, and the total after
 /// the addition (0 unless the outcome is `Ok`).
-pub type Counted = Arc<dyn Fn(u64, Outcome, f64) + Send + Sync>;
+pub type CounterReplyHandler = Arc<dyn Fn(u64, Outcome, f64) + Send + Sync>;
 
 /// Encodes calls to a counter and decodes the replies.
 pub trait CounterProtocol: Send + Sync + 'static {
@@ -110,7 +110,7 @@
         address: SocketAddr,
         call_timeout: Duration,
         protocol: impl CounterProtocol,
-        on_result: Counted,
+        on_result: CounterReplyHandler,
         log: &Logger,
     ) -> io::Result<Self> {
         let protocol: Arc<dyn CounterProtocol> = Arc::new(protocol);
--- a/src/counter/writer.rs
+++ b/src/counter/writer.rs
@@ -2,7 +2,7 @@
 //! longer usable.
 
 use crate::counter::connection::CounterConnection;
-use crate::counter::{Addition, Counted, CounterProtocol};
+use crate::counter::{Addition, CounterProtocol, CounterReplyHandler};
 use crate::decision::Outcome;
 use crate::threads::spawn;
 use crossbeam_channel::Receiver;
@@ -33,7 +33,7 @@
     address: SocketAddr,
     call_timeout: Duration,
     protocol: Arc<dyn CounterProtocol>,
-    on_result: Counted,
+    on_result: CounterReplyHandler,
     log: Logger,
     connection: Option<Arc<CounterConnection>>,
     /// Time of the last call.
@@ -48,7 +48,7 @@
         address: SocketAddr,
         call_timeout: Duration,
         protocol: Arc<dyn CounterProtocol>,
-        on_result: Counted,
+        on_result: CounterReplyHandler,
         log: Logger,
     ) -> Self {
         Self {
--- a/src/decision/account.rs
+++ b/src/decision/account.rs
@@ -73,7 +73,7 @@
     /// Units that this limiter has reported in this window.
     pub(crate) reported: f64,
     /// Units used by other limiters in this window, as of the last total.
-    pub(crate) seen_elsewhere: f64,
+    pub(crate) window_units_elsewhere: f64,
     /// The call of the counter that is in flight.
     pub(crate) call: Option<CounterCall>,
     /// Units granted by the counter and not used yet.
@@ -204,7 +204,7 @@
         if current != self.window {
             self.window = current;
             self.reported = 0.0;
-            self.seen_elsewhere = 0.0;
+            self.window_units_elsewhere = 0.0;
             if plan.rate <= 0.0 {
                 // Each limiter reports its slots in use again; those of a dead limiter are freed.
                 self.unreported = self.granted + f64::from(self.in_flight);
@@ -226,9 +226,9 @@
         let seconds = (now - call.window * counter_window(plan)) as f64 / SECOND;
         let level = plan.burst + plan.rate * seconds - total;
         let granted = (claim + level.min(0.0)).floor().clamp(0.0, claim.max(0.0));
-        let others = total - self.seen_elsewhere - call.reported - claim;
+        let others = total - self.window_units_elsewhere - call.reported - claim;
         self.units_elsewhere_since_request += others.max(0.0).min(plan.burst);
-        self.seen_elsewhere = total;
+        self.window_units_elsewhere = total;
         self.granted += granted;
         self.unreported -= claim - granted;
         self.correct_counter(call, level, plan);
@@ -266,7 +266,7 @@
         } else {
             self.apply_rise(elsewhere);
         }
-        self.seen_elsewhere = elsewhere.max(0.0);
+        self.window_units_elsewhere = elsewhere.max(0.0);
         self.total_at = Some(now);
     }
 
@@ -289,9 +289,9 @@
     /// the bucket, so that a rise does not lower it below zero. If the total falls because others
     /// gave a claim back, at most the units that the last rise took are restored.
     fn apply_rise(&mut self, elsewhere: f64) {
-        let rise = (elsewhere - self.seen_elsewhere).max(0.0);
+        let rise = (elsewhere - self.window_units_elsewhere).max(0.0);
         let before = self.tokens;
-        let returned = (self.seen_elsewhere - elsewhere).clamp(0.0, self.last_rise);
+        let returned = (self.window_units_elsewhere - elsewhere).clamp(0.0, self.last_rise);
         self.tokens = (before - rise).max(before.min(0.0)) + returned;
         self.last_rise = (before - self.tokens).max(0.0);
         self.units_elsewhere_since_request += rise;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -35,7 +35,7 @@
     /// Latency relative to the mean of its class.
     pub(crate) relative_latency: f64,
     /// When the latency was last updated.
-    pub(crate) judged_at: Micros,
+    pub(crate) latency_updated_at: Micros,
     /// Failure rates by class.
     pub(crate) failures: BTreeMap<usize, FailureRate>,
 }
@@ -44,7 +44,7 @@
     fn default() -> Self {
         Self {
             relative_latency: 1.0,
-            judged_at: 0,
+            latency_updated_at: 0,
             failures: BTreeMap::new(),
         }
     }
@@ -67,7 +67,7 @@
     /// Returns the latency relative to the mean of its class. Without further answers it decays to
     /// 1.
     pub fn latency_at(&self, now: Micros, lifetime: f64) -> f64 {
-        1.0 + (self.relative_latency - 1.0) * decay(now, self.judged_at, lifetime)
+        1.0 + (self.relative_latency - 1.0) * decay(now, self.latency_updated_at, lifetime)
     }
 
     /// Returns the factor on the cost of this server for its failures in a class.
@@ -111,7 +111,7 @@
     ) {
         let sample = (latency / class_latency.mean.max(1.0)).min(MAX_SAMPLE);
         self.relative_latency = self.latency_at(now, lifetime);
-        self.judged_at = now;
+        self.latency_updated_at = now;
         let Some(failure) = self.record_latency(class_latency, outcome, sample, latency) else {
             return;
         };
--- a/src/handover/learned_state.rs
+++ b/src/handover/learned_state.rs
@@ -65,7 +65,7 @@
                 unreported_units: std::mem::take(&mut account.unreported),
                 window: account.window,
                 reported_units: account.reported + units_in_call,
-                units_elsewhere: account.seen_elsewhere,
+                units_elsewhere: account.window_units_elsewhere,
                 last_counter_reply: account.total_at.unwrap_or(0),
                 last_request: account.last_request_at,
                 in_flight: account.in_flight,
@@ -90,7 +90,7 @@
                 id: id.0.to_string(),
                 started: server.started_at,
                 latency_ratio: server.health.relative_latency,
-                ratio_updated_at: server.health.judged_at,
+                ratio_updated_at: server.health.latency_updated_at,
                 failures: failures(&server.health.failures),
             })
             .collect()
@@ -163,7 +163,7 @@
             return;
         }
         server.health.relative_latency = record.latency_ratio;
-        server.health.judged_at = record.ratio_updated_at.min(now);
+        server.health.latency_updated_at = record.ratio_updated_at.min(now);
         let valid = record
             .failures
             .into_iter()
@@ -204,7 +204,7 @@
             unreported: record.unreported_units,
             window: record.window,
             reported: record.reported_units,
-            seen_elsewhere: record.units_elsewhere,
+            window_units_elsewhere: record.units_elsewhere,
             synced_at: record.last_counter_reply.min(now),
             total_at: Some(record.last_counter_reply.min(now)).filter(|at| *at > 0),
             last_request_at: record.last_request.min(now),
@@ -221,7 +221,7 @@
     }
 
     /// Records the end of an attempt of the predecessor.
-    pub fn ended_before(&mut self, id: &AccountId) {
+    pub fn predecessor_attempt_ended(&mut self, id: &AccountId) {
         if let Some(account) = self.accounts.get_mut(id) {
             account.in_flight = account.in_flight.saturating_sub(1);
         }
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -12,7 +12,7 @@
 use crate::config::CommonConfig;
 use crate::config::QuotaLeaseConfig;
 use crate::core::{Command, Core, CoreOptions};
-use crate::counter::{Counted, CounterClient};
+use crate::counter::{CounterClient, CounterReplyHandler};
 use crate::decision::{QuotaShares, RequestClass, UpdateScope};
 use crate::handover::{LimiterProcess, UpgradeCoordinator};
 use crate::membership::fleet::{Fleet, FleetSettings};
@@ -40,7 +40,7 @@
         mut common: CommonConfig,
         client_protocol: P,
         upstream_protocol: P::Upstream,
-        counter: impl FnOnce(Counted) -> io::Result<Option<CounterClient>>,
+        counter: impl FnOnce(CounterReplyHandler) -> io::Result<Option<CounterClient>>,
         log: &Logger,
     ) -> io::Result<Self> {
         let (input_sender, inputs) = unbounded();
@@ -135,7 +135,7 @@
         protocol: P::Upstream,
     ) -> UpstreamPool<P::Upstream> {
         UpstreamPool::new(UpstreamPoolOptions {
-            links: common.connections,
+            connection_settings: common.connections,
             max_connections: self.limits.upstream(false),
             protocol,
             events: self.queue.upstream_events(),
--- a/src/process/core_queue.rs
+++ b/src/process/core_queue.rs
@@ -4,7 +4,7 @@
 use crate::client::{ClientEvent, ClientEventSink, ClientProtocol, Undelivered};
 use crate::config::EndpointUpdate;
 use crate::core::{Command, Input};
-use crate::counter::Counted;
+use crate::counter::CounterReplyHandler;
 use crate::decision::{QuotaShares, UpdateScope};
 use crate::quota_lease::link::AllocatorEventHandler;
 use crate::upstream::{UpstreamEvent, UpstreamEventSink, UpstreamPool, UpstreamProtocol};
@@ -91,7 +91,7 @@
     }
 
     /// Returns a function that forwards the replies of the counter to the core.
-    pub(super) fn counter_replies(&self) -> Counted {
+    pub(super) fn counter_replies(&self) -> CounterReplyHandler {
         let inputs = self.inputs.clone();
         Arc::new(move |call, outcome, total| {
             _ = inputs.send(Input::CounterReply {
--- a/src/process/stopper.rs
+++ b/src/process/stopper.rs
@@ -50,7 +50,7 @@
     /// Waits for clients that have sent part of a command. Writing a command may take a client
     /// seconds, and ending before that would leave the command without an answer.
     fn wait_for_partial_commands(&self, started: Instant, max_wait: Duration) {
-        while self.front.has_partial_command() && started.elapsed() < max_wait {
+        while self.front.may_receive_command_soon() && started.elapsed() < max_wait {
             thread::sleep(PARTIAL_COMMAND_POLL);
         }
     }
--- a/src/quota_lease/server/owner.rs
+++ b/src/quota_lease/server/owner.rs
@@ -137,7 +137,7 @@
     /// to log the end of the allocator's own lease.
     fn wake_at(&self, next_metrics_log: Instant) -> Instant {
         if self.lease.logged_held {
-            next_metrics_log.min(self.clock.moment(self.lease.ends))
+            next_metrics_log.min(self.clock.instant_of(self.lease.ends))
         } else {
             next_metrics_log
         }
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -23,7 +23,7 @@
 /// Options of a pool of upstream connections.
 pub struct UpstreamPoolOptions<S: UpstreamProtocol> {
     /// Time-outs of connections.
-    pub links: ConnectionSettings,
+    pub connection_settings: ConnectionSettings,
     /// Maximum number of connections to all servers together.
     pub max_connections: usize,
     /// The protocol of the servers.
@@ -60,7 +60,7 @@
     pub(super) metrics: Arc<Metrics>,
     log: Logger,
     /// Limits the rate of log lines about the connection limit.
-    connection_limit_log: LogThrottle,
+    connection_limit_throttle: LogThrottle,
 }
 
 impl<S: UpstreamProtocol> Shared<S> {
@@ -70,7 +70,7 @@
 
     /// Logs at a limited rate that no connection can be opened.
     fn log_limit_reached(&self) {
-        let Some(suppressed) = self.connection_limit_log.permit() else {
+        let Some(suppressed) = self.connection_limit_throttle.permit() else {
             return;
         };
         warn!(self.log, "no file descriptor left for an upstream connection";
@@ -103,18 +103,18 @@
 impl<S: UpstreamProtocol> UpstreamPool<S> {
     /// Returns a pool without servers.
     pub fn new(options: UpstreamPoolOptions<S>) -> Self {
-        let table = ServerTable::new(max_idle_time(options.links.idle_timeout));
+        let table = ServerTable::new(max_idle_time(options.connection_settings.idle_timeout));
         Self {
             shared: Arc::new(Shared {
                 table: Mutex::new(table),
-                settings: options.links,
+                settings: options.connection_settings,
                 max_connections: AtomicUsize::new(options.max_connections),
                 connections: ConnectionCount::default(),
                 protocol: options.protocol,
                 events: options.events,
                 metrics: options.metrics,
                 log: options.log,
-                connection_limit_log: LogThrottle::default(),
+                connection_limit_throttle: LogThrottle::default(),
             }),
         }
     }
--- a/tests/units/bans.rs
+++ b/tests/units/bans.rs
@@ -27,7 +27,7 @@
     use Readiness::{Draining, Ready, Removed};
     let mut bans = ServerBans::default();
     let (a, b) = (ServerId::from("a"), ServerId::from("b"));
-    bans.news(
+    bans.apply_update(
         UpdateScope::Snapshot,
         vec![endpoint("a", Ready), endpoint("b", Ready)],
     );
@@ -42,21 +42,21 @@
     // The ban holds when the server is reported again, when a full list is received, and when the
     // server is removed and comes back under its id.
     assert_eq!(
-        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Ready)])),
+        summary(&bans.apply_update(UpdateScope::Delta, vec![endpoint("a", Ready)])),
         [("a", Draining, 5)]
     );
-    let full_list = bans.news(
+    let full_list = bans.apply_update(
         UpdateScope::Snapshot,
         vec![endpoint("a", Ready), endpoint("b", Ready)],
     );
     assert_eq!(summary(&full_list), [("a", Draining, 5), ("b", Ready, 5)]);
     assert_eq!(
-        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Removed)])),
+        summary(&bans.apply_update(UpdateScope::Delta, vec![endpoint("a", Removed)])),
         [("a", Removed, 5)]
     );
     assert_eq!(bans.counts(), (1, 0));
     assert_eq!(
-        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Ready)])),
+        summary(&bans.apply_update(UpdateScope::Delta, vec![endpoint("a", Ready)])),
         [("a", Draining, 5)]
     );
     // Once enabled, the server counts as just started, also if the list reports an earlier start
@@ -66,7 +66,7 @@
         [("a", Ready, 77)]
     );
     assert_eq!(
-        summary(&bans.news(UpdateScope::Delta, vec![endpoint("a", Ready)])),
+        summary(&bans.apply_update(UpdateScope::Delta, vec![endpoint("a", Ready)])),
         [("a", Ready, 77)]
     );
     // Enabling a server that is not disabled changes nothing.
