--- a/lab/src/lease_mechanism.rs
+++ b/lab/src/lease_mechanism.rs
@@ -11,7 +11,9 @@
 use crate::scenario::Quota;
 use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
-use mossrill::quota_lease::holder::{Answer, Holder, HolderSettings, Outcome, TakeResult, Ticket};
+use mossrill::quota_lease::holder::{
+    Answer, Holder, HolderSettings, Outcome, TakeResult, WaiterId,
+};
 use mossrill::quota_lease::message::{AccountKey, Grant, PlanLimits, Report};
 use prost::Message;
 use std::collections::HashMap;
@@ -49,7 +51,7 @@
     allocator_settings: AllocatorSettings,
     holders: Vec<Holder>,
     wake_at: Vec<Micros>,
-    waiting: HashMap<(u32, Ticket), Waiting>,
+    waiting: HashMap<(u32, WaiterId), Waiting>,
     allocators: Vec<Option<Allocator>>,
     /// Incarnations of holders and allocators grow with each start.
     starts: u64,
@@ -141,8 +143,8 @@
     }
 
     fn answer(&mut self, now: Micros, limiter: u32, answers: Vec<Answer>, log: &mut QuotaLog) {
-        for Answer { ticket, outcome } in answers {
-            let Some(waiting) = self.waiting.remove(&(limiter, ticket)) else {
+        for Answer { waiter_id, outcome } in answers {
+            let Some(waiting) = self.waiting.remove(&(limiter, waiter_id)) else {
                 continue;
             };
             let waited = Some(now - waiting.since);
@@ -246,13 +248,13 @@
         match self.holders[limiter as usize].take(now, key, limits, shape.spread, milli) {
             TakeResult::Taken(_) => log.sent(now, tenant, units, None),
             TakeResult::Denied { .. } => log.refused(None),
-            TakeResult::Waiting(ticket) => {
+            TakeResult::Waiting(waiter_id) => {
                 let waiting = Waiting {
                     tenant,
                     units,
                     since: now,
                 };
-                self.waiting.insert((limiter, ticket), waiting);
+                self.waiting.insert((limiter, waiter_id), waiting);
             }
         }
         self.set_wake(limiter, now);
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use crate::decision::{AccountId, Event, Micros, Plan, RequestId};
 use crate::quota_lease::holder::{
-    Answer, Holder, HolderFigures, Outcome, Receipt, TakeResult, Ticket,
+    Answer, Holder, HolderFigures, Outcome, Receipt, TakeResult, WaiterId,
 };
 use crate::quota_lease::link::AllocatorEvent;
 use crate::quota_lease::message::{AccountKey, DroppedMessages, MilliUnits, PlanLimits, Report};
@@ -30,7 +30,7 @@
 /// State of the units of an open request.
 enum Units {
     /// The units were requested from an allocator, which has not answered.
-    Waiting(Ticket),
+    Waiting(WaiterId),
     /// The units were taken from a lease.
     Taken(Receipt),
 }
@@ -54,7 +54,7 @@
     /// The open requests whose units are taken from a lease or requested from an allocator.
     requests: HashMap<RequestId, Units>,
     /// The open requests that wait for an allocator.
-    waiting: HashMap<Ticket, RequestId>,
+    waiting: HashMap<WaiterId, RequestId>,
     next_log: Micros,
 }
 
@@ -96,9 +96,9 @@
                 self.requests.insert(id.clone(), Units::Taken(receipt));
                 Some(LeaseResult { id, granted: true })
             }
-            TakeResult::Waiting(ticket) => {
-                self.waiting.insert(ticket, id.clone());
-                self.requests.insert(id, Units::Waiting(ticket));
+            TakeResult::Waiting(waiter_id) => {
+                self.waiting.insert(waiter_id, id.clone());
+                self.requests.insert(id, Units::Waiting(waiter_id));
                 None
             }
             TakeResult::Denied { .. } => Some(LeaseResult { id, granted: false }),
@@ -110,7 +110,7 @@
     pub(crate) fn close(&mut self, now: Micros, id: &RequestId, was_forwarded: bool) {
         match self.requests.remove(id) {
             Some(Units::Taken(receipt)) if !was_forwarded => self.holder.put_back(now, receipt),
-            Some(Units::Waiting(ticket)) => _ = self.waiting.remove(&ticket),
+            Some(Units::Waiting(waiter_id)) => _ = self.waiting.remove(&waiter_id),
             Some(Units::Taken(_)) | None => {}
         }
     }
@@ -120,7 +120,7 @@
     pub(crate) fn handle_event(&mut self, now: Micros, event: AllocatorEvent) -> Vec<LeaseResult> {
         let answers = match event {
             AllocatorEvent::Answer(grant) => self.holder.on_grant(now, &grant).unwrap_or_default(),
-            AllocatorEvent::Unreadable { reason, .. } => {
+            AllocatorEvent::InvalidAnswer { reason, .. } => {
                 self.holder.count_dropped(&reason);
                 Vec::new()
             }
@@ -154,7 +154,7 @@
             return None;
         }
         self.next_log = now + LOG_INTERVAL;
-        Some((self.holder.figures(), self.holder.dropped()))
+        Some((self.holder.metrics(), self.holder.dropped()))
     }
 
     fn results(&mut self, now: Micros, answers: Vec<Answer>) -> Vec<LeaseResult> {
@@ -165,7 +165,7 @@
     }
 
     fn result(&mut self, now: Micros, answer: Answer) -> Option<LeaseResult> {
-        match (self.waiting.remove(&answer.ticket), answer.outcome) {
+        match (self.waiting.remove(&answer.waiter_id), answer.outcome) {
             (Some(id), Outcome::Taken(receipt)) => {
                 self.requests.insert(id.clone(), Units::Taken(receipt));
                 Some(LeaseResult { id, granted: true })
--- a/src/quota_lease/allocator/mod.rs
+++ b/src/quota_lease/allocator/mod.rs
@@ -198,7 +198,7 @@
         for entry in report.entries() {
             grant.push(&self.grant_addressed(now, report.addressed_to, entry));
         }
-        grant.leave_out_zeros();
+        grant.omit_zero_columns();
         grant
     }
 
--- a/src/quota_lease/holder/answers.rs
+++ b/src/quota_lease/holder/answers.rs
@@ -61,7 +61,7 @@
         };
         if granted.units > 0 {
             account.add_lease(origin, granted.units);
-            self.figures.granted += granted.units;
+            self.metrics.granted += granted.units;
         }
         let hold_off = Micros::from(granted.hold_off_ms) * MICROS_PER_MILLI;
         if hold_off > 0 {
--- a/src/quota_lease/holder/mod.rs
+++ b/src/quota_lease/holder/mod.rs
@@ -32,14 +32,14 @@
 
 pub use receipt::Receipt;
 pub use settings::HolderSettings;
-pub use types::{Answer, HolderFigures, Outcome, Poll, TakeResult, Ticket};
+pub use types::{Answer, HolderFigures, Outcome, Poll, TakeResult, WaiterId};
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
 /// A request that waits for units.
 #[derive(Clone, Debug)]
 struct Waiter {
-    ticket: Ticket,
+    id: WaiterId,
     units: MilliUnits,
     /// The allocator for which a report that requests the units is in flight, if any.
     requested_from: Option<u32>,
@@ -68,9 +68,9 @@
     /// Time at which the fallback share of an account that is not in memory is assumed to have been
     /// empty.
     fallback_empty_since: Micros,
-    next_ticket: u64,
+    next_waiter_id: u64,
     dropped: DroppedMessages,
-    figures: HolderFigures,
+    metrics: HolderFigures,
 }
 
 impl Holder {
@@ -90,9 +90,9 @@
             timers: BTreeSet::new(),
             reassigned: 0,
             fallback_empty_since: now,
-            next_ticket: 0,
+            next_waiter_id: 0,
             dropped: DroppedMessages::default(),
-            figures: HolderFigures::default(),
+            metrics: HolderFigures::default(),
         }
     }
 
@@ -254,8 +254,8 @@
     }
 
     /// Returns the metrics since the start of the holder.
-    pub fn figures(&self) -> HolderFigures {
-        self.figures
+    pub fn metrics(&self) -> HolderFigures {
+        self.metrics
     }
 
     /// Returns the number of dropped grants, by reason.
--- a/src/quota_lease/holder/reports.rs
+++ b/src/quota_lease/holder/reports.rs
@@ -23,9 +23,9 @@
     ) -> Report {
         let exchange = &mut self.exchanges[allocator as usize];
         exchange.address(&mut report, &self.settings);
-        report.leave_out_zeros();
-        self.figures.reports += 1;
-        self.figures.entries += report.accounts.len() as u64;
+        report.omit_zero_columns();
+        self.metrics.reports += 1;
+        self.metrics.entries += report.accounts.len() as u64;
         exchange.record_sent(now, report.clone());
         report
     }
@@ -76,7 +76,7 @@
             entry.fallback_used = std::mem::take(&mut account.unreported_fallback);
             self.unreported.remove(&key);
         }
-        self.figures.returned += returned.iter().map(|lease| lease.units).sum::<MilliUnits>();
+        self.metrics.returned += returned.iter().map(|lease| lease.units).sum::<MilliUnits>();
         if let Some(last) = returned.pop() {
             entry.returned = last.units;
             entry.returned_slot = last.slot;
--- a/src/quota_lease/holder/requests.rs
+++ b/src/quota_lease/holder/requests.rs
@@ -3,7 +3,7 @@
 use super::fallback::FallbackExhausted;
 use super::leased_account::ReportDue;
 use super::receipt::Receipt;
-use super::types::{Answer, Outcome, TakeResult, Ticket};
+use super::types::{Answer, Outcome, TakeResult, WaiterId};
 use super::{Holder, Waiter};
 use crate::decision::Micros;
 use crate::quota_lease::message::{AccountKey, MilliUnits};
@@ -12,7 +12,7 @@
 impl Holder {
     /// Counts a denied request and returns its result.
     pub(super) fn deny(&mut self, retry_after: Micros) -> TakeResult {
-        self.figures.denied += 1;
+        self.metrics.denied += 1;
         TakeResult::Denied { retry_after }
     }
 
@@ -57,26 +57,26 @@
         if self.waiting >= self.settings.max_waiting {
             return self.deny(self.settings.report_interval);
         }
-        let ticket = Ticket(self.next_ticket);
-        self.next_ticket += 1;
+        let waiter_id = WaiterId(self.next_waiter_id);
+        self.next_waiter_id += 1;
         self.waiting += 1;
-        self.figures.waited += 1;
+        self.metrics.waited += 1;
         let waiter = Waiter {
-            ticket,
+            id: waiter_id,
             units,
             requested_from: None,
             repeated_requests: 0,
         };
         self.waiters.entry(key).or_default().push_back(waiter);
         self.mark_due(key, ReportDue::Immediately);
-        TakeResult::Waiting(ticket)
+        TakeResult::Waiting(waiter_id)
     }
 
     /// Takes the units of a request from leases; returns `None` if they hold too few units.
     fn take_leased(&mut self, now: Micros, key: AccountKey, units: MilliUnits) -> Option<Receipt> {
         let account = self.accounts.get_mut(&key)?;
         let parts = account.take_leased(now, units, &self.settings)?;
-        self.figures.taken += units;
+        self.metrics.taken += units;
         Some(Receipt {
             account: key,
             parts,
@@ -93,7 +93,7 @@
         };
         match account.take_fallback(now, units, &settings) {
             Ok(part) => {
-                self.figures.fallback += units;
+                self.metrics.fallback += units;
                 self.unreported.insert(key);
                 Outcome::Taken(Receipt {
                     account: key,
@@ -109,11 +109,11 @@
     /// Answers a request that has waited. It must have been removed from the waiting requests.
     pub(super) fn resolve(&mut self, waiter: &Waiter, outcome: Outcome, answers: &mut Vec<Answer>) {
         if matches!(outcome, Outcome::Denied { .. }) {
-            self.figures.denied += 1;
+            self.metrics.denied += 1;
         }
         self.waiting -= 1;
         answers.push(Answer {
-            ticket: waiter.ticket,
+            waiter_id: waiter.id,
             outcome,
         });
     }
@@ -130,7 +130,7 @@
             let Some(receipt) = self.take_leased(now, key, waiter.units) else {
                 return;
             };
-            self.take_waiters(key, |other| other.ticket == waiter.ticket);
+            self.take_waiters(key, |other| other.id == waiter.id);
             self.resolve(&waiter, Outcome::Taken(receipt), answers);
         }
     }
--- a/src/quota_lease/holder/types.rs
+++ b/src/quota_lease/holder/types.rs
@@ -6,15 +6,15 @@
 
 /// Identifies a request that waits for units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct WaiterId(pub u64);
 
 /// Result of [`Holder::take`](super::Holder::take).
 #[derive(Debug, PartialEq, Eq)]
 pub enum TakeResult {
     /// The units were taken.
     Taken(Receipt),
-    /// The request waits until the account's owner answers. An [`Answer`] with this ticket follows.
-    Waiting(Ticket),
+    /// The request waits until the account's owner answers. An [`Answer`] with this id follows.
+    Waiting(WaiterId),
     /// The units are not available.
     Denied {
         /// Time in µs for which the units will not be available; [`Micros::MAX`] if they never will be.
@@ -37,8 +37,8 @@
 /// Answer to a request that has waited for units.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The ticket that the request received with [`TakeResult::Waiting`].
-    pub ticket: Ticket,
+    /// The id that the request received with [`TakeResult::Waiting`].
+    pub waiter_id: WaiterId,
     /// Result of the request.
     pub outcome: Outcome,
 }
--- a/src/quota_lease/link.rs
+++ b/src/quota_lease/link.rs
@@ -48,7 +48,7 @@
     /// The allocator answered a report.
     Answer(Grant),
     /// The allocator's answer is invalid. The connection is closed.
-    Unreadable {
+    InvalidAnswer {
         /// Number of the allocator.
         allocator: u32,
         /// Why the answer is invalid.
@@ -209,7 +209,7 @@
             self.backoff.record_failure(Instant::now());
         }
         if let LinkError::Message(reason) = error {
-            (self.on_event)(AllocatorEvent::Unreadable { allocator, reason });
+            (self.on_event)(AllocatorEvent::InvalidAnswer { allocator, reason });
         }
         (self.on_event)(AllocatorEvent::Lost { allocator });
     }
--- a/src/quota_lease/message/columns.rs
+++ b/src/quota_lease/message/columns.rs
@@ -35,7 +35,7 @@
 /// entry or is left out.
 pub(super) fn check_columns(entries: usize, lengths: &[usize]) -> Result<(), MessageError> {
     if entries > MAX_ENTRIES {
-        return Err(MessageError::Entries("too many"));
+        return Err(MessageError::Entries("too many entries"));
     }
     if lengths
         .iter()
@@ -49,7 +49,7 @@
 /// Checks that no number of units exceeds [`MAX_UNITS`].
 pub(super) fn check_units(mut units: impl Iterator<Item = MilliUnits>) -> Result<(), MessageError> {
     if units.any(|units| units > MAX_UNITS) {
-        return Err(MessageError::Entries("too many units"));
+        return Err(MessageError::Entries("number of units out of range"));
     }
     Ok(())
 }
--- a/src/quota_lease/message/grant.rs
+++ b/src/quota_lease/message/grant.rs
@@ -104,12 +104,12 @@
             .iter()
             .any(|verdict| Verdict::try_from(*verdict).is_err())
         {
-            return Err(MessageError::Entries("verdict"));
+            return Err(MessageError::Entries("unknown verdict"));
         }
         check_units(self.units.iter().copied())
     }
 
-    /// Adds an entry. Must not be called after [`Self::leave_out_zeros`], which empties columns.
+    /// Adds an entry. Must not be called after [`Self::omit_zero_columns`], which empties columns.
     pub fn push(&mut self, entry: &GrantEntry) {
         self.entries += 1;
         self.verdict.push(entry.verdict as i32);
@@ -118,7 +118,7 @@
     }
 
     /// Empties the columns that hold only zeros, so that they are left out of the encoded message.
-    pub fn leave_out_zeros(&mut self) {
+    pub fn omit_zero_columns(&mut self) {
         omit_if_zero(&mut self.verdict);
         omit_if_zero(&mut self.units);
         omit_if_zero(&mut self.hold_off_ms);
--- a/src/quota_lease/message/report.rs
+++ b/src/quota_lease/message/report.rs
@@ -119,14 +119,14 @@
             return Err(MessageError::Entries("too many plans"));
         }
         if !self.accounts.is_empty() && self.plans.is_empty() {
-            return Err(MessageError::Entries("no plan"));
+            return Err(MessageError::Entries("entries without a plan"));
         }
         if self
             .plan_index
             .iter()
             .any(|plan| *plan as usize >= self.plans.len())
         {
-            return Err(MessageError::Entries("index of a plan"));
+            return Err(MessageError::Entries("plan index out of range"));
         }
         let plan_values = self.plans.iter().flat_map(|plan| [plan.rate, plan.burst]);
         let entry_columns = [
@@ -139,7 +139,7 @@
     }
 
     /// Adds an entry, and its plan if the report does not have it yet. Must not be called after
-    /// [`Self::leave_out_zeros`], which empties columns.
+    /// [`Self::omit_zero_columns`], which empties columns.
     pub fn push(&mut self, entry: &ReportEntry) {
         let existing = self.plans.iter().position(|plan| *plan == entry.limits);
         let plan = existing.unwrap_or_else(|| {
@@ -156,7 +156,7 @@
     }
 
     /// Empties the columns that hold only zeros, so that they are left out of the encoded message.
-    pub fn leave_out_zeros(&mut self) {
+    pub fn omit_zero_columns(&mut self) {
         omit_if_zero(&mut self.plan_index);
         omit_if_zero(&mut self.waiting);
         omit_if_zero(&mut self.expected);
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -195,7 +195,7 @@
     let mut report = header;
     report.push(&first);
     report.push(&second);
-    report.leave_out_zeros();
+    report.omit_zero_columns();
     report
 }
 
--- a/tests/quota_lease/allocator.rs
+++ b/tests/quota_lease/allocator.rs
@@ -773,6 +773,9 @@
             ..entry
         };
         let result = allocator.on_report(now, &report(0, 20, 0, &[excessive]));
-        assert_eq!(result, Err(MessageError::Entries("too many units")));
+        assert_eq!(
+            result,
+            Err(MessageError::Entries("number of units out of range"))
+        );
     }
 }
--- a/tests/quota_lease/figures.rs
+++ b/tests/quota_lease/figures.rs
@@ -226,7 +226,7 @@
                 holder_ns += start.elapsed().as_nanos();
             }
         }
-        let entries_sent = holder.figures().entries.max(1);
+        let entries_sent = holder.metrics().entries.max(1);
         println!(
             "{entries:>7}  {:>22}  {:>19}",
             allocator_ns / u128::from(entries_sent),
--- a/tests/quota_lease/holder.rs
+++ b/tests/quota_lease/holder.rs
@@ -3,7 +3,7 @@
 
 use mossrill::decision::Micros;
 use mossrill::quota_lease::holder::{
-    Answer, Holder, HolderSettings, Outcome, Receipt, TakeResult, Ticket,
+    Answer, Holder, HolderSettings, Outcome, Receipt, TakeResult, WaiterId,
 };
 use mossrill::quota_lease::message::{
     AccountKey, Grant, GrantEntry, MessageError, PlanLimits, Report, ReportEntry, Verdict, FORMAT,
@@ -58,10 +58,10 @@
     matches!(take, TakeResult::Taken(_))
 }
 
-/// Returns the ticket of a waiting request.
-fn ticket(take: TakeResult) -> Ticket {
+/// Returns the id of a waiting request.
+fn waiter_id(take: TakeResult) -> WaiterId {
     match take {
-        TakeResult::Waiting(ticket) => ticket,
+        TakeResult::Waiting(waiter_id) => waiter_id,
         other => panic!("expected a waiting request, got {other:?}"),
     }
 }
@@ -140,7 +140,7 @@
 #[test]
 fn first_request_is_reported_at_once_and_answered_by_the_grant() {
     let mut holder = holder();
-    let first = ticket(take_unit(&mut holder, START));
+    let first = waiter_id(take_unit(&mut holder, START));
     assert_eq!(holder.next_wake(), 0);
     let report = sent_report(&mut holder, START);
     let entry = only_entry(&report);
@@ -152,14 +152,14 @@
         .on_grant(START + MILLI, &answer(&report, &[granted(3 * UNIT)]))
         .unwrap();
     let [Answer {
-        ticket,
+        waiter_id,
         outcome: Outcome::Taken(receipt),
     }] = &answers[..]
     else {
         panic!("expected one answer with taken units, got {answers:?}")
     };
     assert_eq!(
-        (*ticket, receipt.leased(), receipt.fallback()),
+        (*waiter_id, receipt.leased(), receipt.fallback()),
         (first, UNIT, 0)
     );
     // The remaining units serve two more requests without a report.
@@ -169,7 +169,7 @@
 }
 
 fn assert_second_ticket(take: TakeResult) {
-    assert_eq!(ticket(take), Ticket(1));
+    assert_eq!(waiter_id(take), WaiterId(1));
 }
 
 #[test]
@@ -282,7 +282,7 @@
     };
     holder.on_grant(later, &grant).unwrap();
     assert!(sends_nothing(&mut holder, START + lease()));
-    assert_eq!(holder.figures().returned, 0);
+    assert_eq!(holder.metrics().returned, 0);
     // Answers of the earlier incarnation are dropped.
     take_unit(&mut holder, START + lease());
     let report = sent_report(&mut holder, START + lease());
@@ -300,7 +300,7 @@
     // Units taken from an earlier lease are not added to a later one.
     let early = receipt(take_unit(&mut holder, START + 3 * MILLI));
     let later = START + SECOND;
-    ticket(take_unit(&mut holder, later));
+    waiter_id(take_unit(&mut holder, later));
     let report = sent_report(&mut holder, later);
     holder
         .on_grant(later, &answer(&report, &[granted(3 * UNIT)]))
@@ -314,10 +314,10 @@
 #[test]
 fn exhausted_accounts_send_no_reports_during_the_hold_off_time() {
     let mut holder = holder();
-    let first = ticket(take_unit(&mut holder, START));
-    let second = ticket(take_unit(&mut holder, START));
+    let first = waiter_id(take_unit(&mut holder, START));
+    let second = waiter_id(take_unit(&mut holder, START));
     let report = sent_report(&mut holder, START);
-    let third = ticket(take_unit(&mut holder, START));
+    let third = waiter_id(take_unit(&mut holder, START));
     let answers = holder
         .on_grant(START, &answer(&report, &[exhausted(UNIT, 700)]))
         .unwrap();
@@ -325,13 +325,13 @@
         retry_after: 700 * MILLI,
     };
     assert!(
-        matches!(&answers[0], Answer { ticket, outcome: Outcome::Taken(_) } if *ticket == first)
+        matches!(&answers[0], Answer { waiter_id, outcome: Outcome::Taken(_) } if *waiter_id == first)
     );
-    assert_eq!(answers[1].ticket, second);
+    assert_eq!(answers[1].waiter_id, second);
     assert_eq!(
         (
             answers[1].outcome == denied,
-            answers[2].ticket,
+            answers[2].waiter_id,
             answers[2].outcome == denied
         ),
         (true, third, true)
@@ -343,7 +343,7 @@
         assert_eq!(take_unit(&mut holder, START + passed), expected);
         assert!(sends_nothing(&mut holder, START + passed));
     }
-    ticket(take_unit(&mut holder, START + 700 * MILLI));
+    waiter_id(take_unit(&mut holder, START + 700 * MILLI));
     sent_report(&mut holder, START + 700 * MILLI);
 }
 
@@ -371,7 +371,7 @@
         burst: MAX_UNITS,
     };
     for _ in 0..3 {
-        ticket(holder.take(START, account(), largest, u32::MAX, MAX_UNITS));
+        waiter_id(holder.take(START, account(), largest, u32::MAX, MAX_UNITS));
     }
     assert_eq!(
         only_entry(&sent_report(&mut holder, START)).waiting,
@@ -400,8 +400,8 @@
     let wait_count = |from: usize| waited[from..].iter().filter(|waits| **waits).count();
     assert!(wait_count(0) < 20 && wait_count(100) == 0, "{waited:?}");
     assert!(requested.iter().max() > Some(&(20 * UNIT)), "{requested:?}");
-    let figures = holder.figures();
-    assert!(figures.returned < figures.granted / 10, "{figures:?}");
+    let metrics = holder.metrics();
+    assert!(metrics.returned < metrics.granted / 10, "{metrics:?}");
     // Then no requests: unused units are returned and none are requested.
     for step in 0..60 {
         let now = START + (30 + step) * SECOND;
@@ -415,8 +415,8 @@
             holder.on_grant(now, &answer(&report, &entries)).unwrap();
         }
     }
-    let figures = holder.figures();
-    assert_eq!(figures.granted, figures.taken + figures.returned);
+    let metrics = holder.metrics();
+    assert_eq!(metrics.granted, metrics.taken + metrics.returned);
 
     // One request per minute: each report asks only for the units of that request.
     let mut holder = self::holder();
@@ -433,7 +433,7 @@
             .unwrap();
         assert!(sends_nothing(&mut holder, now + 30 * SECOND));
     }
-    assert_eq!(holder.figures().reports, 10);
+    assert_eq!(holder.metrics().reports, 10);
 }
 
 #[test]
@@ -441,7 +441,7 @@
     // Half of the quota divided by ten limiters: 5 units per second, burst of 10 units.
     let mut holder = holder();
     let mut waiting: Vec<_> = (0..12)
-        .map(|_| ticket(take_unit(&mut holder, START + 50 * SECOND)))
+        .map(|_| waiter_id(take_unit(&mut holder, START + 50 * SECOND)))
         .collect();
     let sent_at = START + 50 * SECOND;
     sent_report(&mut holder, sent_at);
@@ -450,7 +450,7 @@
         .answers
         .is_empty());
     let answers = holder.poll(sent_at + settings().unavailable_after).answers;
-    waiting.retain(|ticket| !answers.iter().any(|answer| answer.ticket == *ticket));
+    waiting.retain(|waiter_id| !answers.iter().any(|answer| answer.waiter_id == *waiter_id));
     assert!(waiting.is_empty());
     let taken = answers
         .iter()
@@ -574,7 +574,7 @@
 #[test]
 fn waiting_request_is_reported_to_the_new_owner_of_its_account() {
     let (mut holder, [first, second, _]) = holder_with_three_allocators();
-    ticket(take_unit(&mut holder, START));
+    waiter_id(take_unit(&mut holder, START));
     let poll = holder.poll(START);
     assert_eq!(poll.reports[0].0, first);
     let refusal = GrantEntry {
@@ -602,7 +602,7 @@
 #[test]
 fn request_that_allocators_refuse_in_turn_uses_the_fallback_share() {
     let (mut holder, [first, second, _]) = holder_with_three_allocators();
-    ticket(take_unit(&mut holder, START));
+    waiter_id(take_unit(&mut holder, START));
     let refusal = GrantEntry {
         verdict: Verdict::NotOwner,
         units: 0,
@@ -635,7 +635,7 @@
 #[test]
 fn reassignments_from_an_allocator_without_its_own_lease_are_ignored() {
     let (mut holder, [first, _, _]) = holder_with_three_allocators();
-    ticket(take_unit(&mut holder, START));
+    waiter_id(take_unit(&mut holder, START));
     let (_, report) = holder.poll(START).reports.remove(0);
     let refusal = GrantEntry {
         verdict: Verdict::NotOwner,
@@ -769,7 +769,7 @@
         },
     );
     for _ in 0..3 {
-        ticket(take_unit(&mut holder, START));
+        waiter_id(take_unit(&mut holder, START));
     }
     assert_eq!(
         take_unit(&mut holder, START),
@@ -828,5 +828,5 @@
         },
     );
     assert!((0..10).all(|_| is_taken(&take_unit(&mut holder, START))));
-    ticket(take_unit(&mut holder, START));
+    waiter_id(take_unit(&mut holder, START));
 }
--- a/tests/quota_lease/messages.rs
+++ b/tests/quota_lease/messages.rs
@@ -80,8 +80,8 @@
         assert_eq!(Grant::read(&grant.encode_to_vec()).as_ref(), Ok(&grant));
         let (report_entries, grant_entries): (Vec<_>, Vec<_>) =
             (report.entries().collect(), grant.entries().collect());
-        report.leave_out_zeros();
-        grant.leave_out_zeros();
+        report.omit_zero_columns();
+        grant.omit_zero_columns();
         assert!(report.entries().eq(report_entries) && grant.entries().eq(grant_entries));
     }
 }
@@ -97,7 +97,7 @@
         ..ReportEntry::new(AccountKey(number), PLAN)
     });
     entries.iter().for_each(|entry| report.push(entry));
-    report.leave_out_zeros();
+    report.omit_zero_columns();
     assert!(
         report.plan_index.is_empty()
             && report.returned.is_empty()
@@ -149,24 +149,27 @@
     assert_report_rejected(|report| report.returned_slot.truncate(1), lengths);
     assert_report_rejected(
         |report| report.plan_index[1] = 1,
-        MessageError::Entries("index of a plan"),
+        MessageError::Entries("plan index out of range"),
     );
     assert_report_rejected(
         |report| report.plan_index[1] = u32::MAX,
-        MessageError::Entries("index of a plan"),
+        MessageError::Entries("plan index out of range"),
     );
     assert_report_rejected(
         |report| report.plans.clear(),
-        MessageError::Entries("no plan"),
+        MessageError::Entries("entries without a plan"),
     );
     let exceed_max_plans = |report: &mut Report| report.plans.resize(MAX_PLANS + 1, PLAN);
     assert_report_rejected(exceed_max_plans, MessageError::Entries("too many plans"));
     let exceed_max_entries = |report: &mut Report| {
         (0..MAX_ENTRIES as u64).for_each(|number| report.push(&entry(number)))
     };
-    assert_report_rejected(exceed_max_entries, MessageError::Entries("too many"));
+    assert_report_rejected(
+        exceed_max_entries,
+        MessageError::Entries("too many entries"),
+    );
     for units in [MAX_UNITS + 1, u64::MAX] {
-        let reason = MessageError::Entries("too many units");
+        let reason = MessageError::Entries("number of units out of range");
         assert_report_rejected(|report| report.waiting[0] = units, reason.clone());
         assert_report_rejected(|report| report.expected[1] = units, reason.clone());
         assert_report_rejected(|report| report.returned[2] = units, reason.clone());
@@ -192,19 +195,19 @@
     assert_eq!(rejection(&|grant| grant.units.truncate(1)), lengths);
     assert_eq!(
         rejection(&|grant| grant.entries = u32::MAX),
-        MessageError::Entries("too many")
+        MessageError::Entries("too many entries")
     );
     assert_eq!(
         rejection(&|grant| grant.verdict[1] = 3),
-        MessageError::Entries("verdict")
+        MessageError::Entries("unknown verdict")
     );
     assert_eq!(
         rejection(&|grant| grant.verdict[1] = -1),
-        MessageError::Entries("verdict")
+        MessageError::Entries("unknown verdict")
     );
     assert_eq!(
         rejection(&|grant| grant.units[1] = u64::MAX),
-        MessageError::Entries("too many units")
+        MessageError::Entries("number of units out of range")
     );
 }
 
--- a/tests/quota_lease/world.rs
+++ b/tests/quota_lease/world.rs
@@ -9,7 +9,7 @@
 use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
 use mossrill::quota_lease::holder::{
-    Answer, Holder, HolderSettings, Outcome, Receipt, TakeResult, Ticket,
+    Answer, Holder, HolderSettings, Outcome, Receipt, TakeResult, WaiterId,
 };
 use mossrill::quota_lease::message::{AccountKey, Grant, PlanLimits, Report, Verdict};
 use prost::Message;
@@ -98,7 +98,7 @@
     holder: Holder,
     incarnation: u64,
     paused_until: Micros,
-    waiting: BTreeMap<Ticket, WaitingRequest>,
+    waiting: BTreeMap<WaiterId, WaitingRequest>,
 }
 
 /// Units of one account that were granted, used and reported, in thousandths.
@@ -360,9 +360,9 @@
         {
             TakeResult::Taken(receipt) => self.record_taken(limiter, account, receipt),
             TakeResult::Denied { .. } => self.denied += 1,
-            TakeResult::Waiting(ticket) => {
+            TakeResult::Waiting(waiter_id) => {
                 node.waiting.insert(
-                    ticket,
+                    waiter_id,
                     WaitingRequest {
                         account,
                         units,
@@ -416,11 +416,11 @@
     }
 
     fn handle_answers(&mut self, limiter: usize, answers: Vec<Answer>) {
-        for Answer { ticket, outcome } in answers {
+        for Answer { waiter_id, outcome } in answers {
             let waiting = self.limiters[limiter]
                 .waiting
-                .remove(&ticket)
-                .expect("an answer should have the ticket of a waiting request");
+                .remove(&waiter_id)
+                .expect("an answer should have the id of a waiting request");
             match outcome {
                 Outcome::Denied { .. } => self.denied += 1,
                 Outcome::Taken(receipt) => {
@@ -628,11 +628,11 @@
             return;
         }
         let grant = Grant::read(&bytes).unwrap();
-        let before = node.holder.figures().granted;
+        let before = node.holder.metrics().granted;
         let Ok(answers) = node.holder.on_grant(self.now, &grant) else {
             return;
         };
-        let accepted = node.holder.figures().granted - before;
+        let accepted = node.holder.metrics().granted - before;
         // The holder drops units for an account that it has evicted since the report.
         assert!(accepted <= grant.entries().map(|entry| entry.units).sum::<u64>());
         self.count_granted(number, &grant);
