--- a/benches/capacity/configuration.rs
+++ b/benches/capacity/configuration.rs
@@ -6,7 +6,7 @@
 use super::report::{Axis, Experiment, Figure, Quantity, Row};
 use super::world::{configuration_text, description_text, route_path, SERVICES};
 use mossrill::config;
-use mossrill::openapi::description::{Description, Found};
+use mossrill::openapi::description::{Description, OperationMatch};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::hint::black_box;
@@ -45,7 +45,7 @@
         let path = route_path(rng.random_range(0..routes)).replace("{item}", "17");
         let found = costs.measure(|| description.find("GET", &path));
         assert!(
-            matches!(found, Found::Operation(_)),
+            matches!(found, OperationMatch::Operation(_)),
             "{path}: GET matches no operation"
         );
     }
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -3,7 +3,7 @@
 use crate::error::LabError;
 use crate::messages::{Command, Reply};
 use crate::stand_in::{self, ZoneCounters};
-use mossrill::protocol::http::{Broken, Reader};
+use mossrill::protocol::http::{ReadError, Reader};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::TcpStream;
@@ -78,10 +78,10 @@
     Reply::Load(zones.iter().map(|zone| zone.load()).collect())
 }
 
-fn serve(counts: &Counts, mut stream: &TcpStream, zone: &ZoneCounters) -> Result<(), Broken> {
+fn serve(counts: &Counts, mut stream: &TcpStream, zone: &ZoneCounters) -> Result<(), ReadError> {
     let mut reader = Reader::new(stream);
     loop {
-        let ask = reader.request()?;
+        let ask = reader.read_request()?;
         let headers: usize = ask
             .headers
             .iter()
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::scenario::Scenario;
 use crate::server_list::ServerList;
 use crate::stand_in::{self, ZoneCounters};
-use mossrill::protocol::http::{Broken, Reader};
+use mossrill::protocol::http::{ReadError, Reader};
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -92,10 +92,10 @@
     })
 }
 
-fn serve(shared: &Shared, stream: &TcpStream, zone: &ZoneCounters) -> Result<(), Broken> {
+fn serve(shared: &Shared, stream: &TcpStream, zone: &ZoneCounters) -> Result<(), ReadError> {
     let mut reader = Reader::new(stream);
     loop {
-        let ask = reader.request()?;
+        let ask = reader.read_request()?;
         // The request line, the host line and the empty one.
         zone.call(ask.method.len() + ask.target.len() + 12 + header_bytes(&ask.headers) + 2);
         wait_for_way(zone);
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -198,7 +198,7 @@
     let text = format!("GET {path} HTTP/1.1\r\nHost: lab\r\n{ACCOUNT_HEADER}: {account}\r\n\r\n");
     stream.write_all(text.as_bytes()).ok()?;
     let (head, _) = Reader::new(stream)
-        .response_with_body(LONGEST_ANSWER, false)
+        .read_response_with_body(LONGEST_ANSWER, false)
         .ok()?;
     let told = header(&head.headers, SERVICE_HEADER);
     let service = told.and_then(|value| std::str::from_utf8(value).ok()?.trim().parse().ok());
--- a/lab/src/upstream.rs
+++ b/lab/src/upstream.rs
@@ -4,7 +4,7 @@
 use crate::error::LabError;
 use crate::messages::{Command, Reply};
 use crate::stand_in::{self, ZoneCounters};
-use mossrill::protocol::http::{Broken, Reader};
+use mossrill::protocol::http::{ReadError, Reader};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::io::Write;
@@ -45,11 +45,11 @@
     server: &ZoneCounters,
     mean_ms: f64,
     mut rng: StdRng,
-) -> Result<(), Broken> {
+) -> Result<(), ReadError> {
     let mut reader = Reader::new(stream);
     loop {
-        let ask = reader.request()?;
-        reader.body(ask.body, LONGEST_BODY)?;
+        let ask = reader.read_request()?;
+        reader.read_body(ask.body, LONGEST_BODY)?;
         server.call(0);
         let began = Instant::now();
         let chance: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -125,7 +125,7 @@
     let value = root.required("settings", "an object", |value| {
         value.is_object().then_some(value)
     })?;
-    let settings = simulator::settings(value).map_err(ConfigError::Settings)?;
+    let settings = simulator::parse_settings(value).map_err(ConfigError::Settings)?;
     check_settings(&settings)?;
     Ok(settings)
 }
--- a/src/counter/http.rs
+++ b/src/counter/http.rs
@@ -26,7 +26,7 @@
 
     fn read(&self, stream: &TcpStream, on_reply: &mut dyn FnMut(Outcome, f64) -> bool) {
         let mut reader = Reader::new(stream);
-        while let Ok((head, body)) = reader.response_with_body(MAX_BODY_BYTES, false) {
+        while let Ok((head, body)) = reader.read_response_with_body(MAX_BODY_BYTES, false) {
             let reply = decode_response(head.status, &body);
             if !on_reply(reply.outcome, reply.total) || !head.keep_alive || reply.is_in_doubt() {
                 break;
--- a/src/counter/redis.rs
+++ b/src/counter/redis.rs
@@ -3,7 +3,7 @@
 use crate::counter::http::parse_total;
 use crate::counter::{Addition, CallReply, CounterProtocol};
 use crate::decision::Outcome;
-use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::buffers::{Buffer, BUFFER_BYTES};
 use crate::protocol::resp::{self, Reply};
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -63,7 +63,7 @@
         on_reply: &mut dyn FnMut(Outcome, f64) -> bool,
     ) -> Option<usize> {
         let mut start = 0;
-        while let Some((reply, next)) = resp::reply(bytes, start).ok()? {
+        while let Some((reply, next)) = resp::parse_reply(bytes, start).ok()? {
             self.reply_count += 1;
             if self.reply_count % REPLIES_PER_CALL == 0 {
                 let call = decode_exec(bytes, &reply);
@@ -73,7 +73,7 @@
             }
             start = next;
         }
-        let fits_buffer = bytes.len() - start < SIZE;
+        let fits_buffer = bytes.len() - start < BUFFER_BYTES;
         fits_buffer.then_some(start)
     }
 }
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -7,7 +7,7 @@
 };
 use crate::discovery::timed_reader::TimedReader;
 use crate::discovery::{PollSettings, Watch};
-use crate::protocol::http::{Body, Broken, Reader};
+use crate::protocol::http::{Body, ReadError, Reader};
 use crate::threads::lock;
 use crossbeam_channel::Receiver;
 use serde_json::Value;
@@ -30,7 +30,7 @@
     AddressChanged,
     /// The connection or the HTTP message failed.
     #[error(transparent)]
-    Http(#[from] Broken),
+    Http(#[from] ReadError),
     /// The response has a different status or body than the request asked for.
     #[error("unexpected response, expected {0}")]
     UnexpectedResponse(&'static str),
@@ -187,7 +187,7 @@
         let stream = self.connect()?;
         self.send_request(&stream, "")?;
         let mut reader = Reader::new(TimedReader::new(&stream, timeout));
-        let (head, list) = reader.response_with_body(MAX_UPDATE_BYTES, false)?;
+        let (head, list) = reader.read_response_with_body(MAX_UPDATE_BYTES, false)?;
         self.unanswered_polls = 0;
         if head.status != 200 {
             return Err(self.rejected_poll("status 200 with the endpoint list"));
@@ -201,7 +201,7 @@
         let stream = self.connect()?;
         self.send_request(&stream, &format!("?watch=1&from={generation}"))?;
         let mut reader = Reader::new(TimedReader::new(&stream, timeout));
-        let head = reader.response()?;
+        let head = reader.read_response()?;
         self.unanswered_polls = 0;
         reader.source().allow_while_active()?;
         if head.status != 200 || head.body != Body::Chunked {
@@ -209,7 +209,7 @@
         }
         let mut text = Vec::new();
         let mut searched_bytes = 0;
-        while reader.chunk(&mut text, MAX_UPDATE_BYTES)? {
+        while reader.read_chunk(&mut text, MAX_UPDATE_BYTES)? {
             match text.trim_ascii_start().first() {
                 None => text.clear(),
                 // The bytes received since the last search contain no closing brace, so no object
--- a/src/openapi/client_protocol.rs
+++ b/src/openapi/client_protocol.rs
@@ -6,9 +6,9 @@
 use crate::config::AccountConfig;
 use crate::core::{Answer, IncomingRequest};
 use crate::decision::AccountId;
-use crate::openapi::description::{Description, Found, Operation};
+use crate::openapi::description::{Description, Operation, OperationMatch};
 use crate::openapi::upstream_protocol::{HttpRequest, HttpResponse, HttpUpstreamProtocol};
-use crate::protocol::http::{header, Body, Broken, Reader, RequestHead};
+use crate::protocol::http::{header, Body, ReadError, Reader, RequestHead};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -176,11 +176,11 @@
         reader: &mut Reader<&mut InterruptibleReader>,
         session: &Session<Self>,
     ) -> Result<Option<ReceivedRequest>, Problem> {
-        let head = match reader.request() {
+        let head = match reader.read_request() {
             Ok(head) => head,
-            Err(Broken::Closed | Broken::Io(_)) => return Ok(None),
-            Err(Broken::Malformed(reason)) => return Err(Problem::new(400, reason)),
-            Err(Broken::TooLarge) => return Err(Problem::new(431, "the header is too large")),
+            Err(ReadError::Closed | ReadError::Io(_)) => return Ok(None),
+            Err(ReadError::Malformed(reason)) => return Err(Problem::new(400, reason)),
+            Err(ReadError::TooLarge) => return Err(Problem::new(431, "the header is too large")),
         };
         check_head(&head)?;
         if awaits_continue(&head) {
@@ -194,7 +194,7 @@
         // The head was consumed, so the connection can't be handed over to another process until
         // the body is read.
         reader.source().set_uninterruptible(true);
-        let body = reader.body(head.body, MAX_BODY_BYTES);
+        let body = reader.read_body(head.body, MAX_BODY_BYTES);
         reader.source().set_uninterruptible(false);
         match body {
             Ok(body) => Ok(Some(ReceivedRequest {
@@ -202,9 +202,9 @@
                 body,
                 received_at: Instant::now(),
             })),
-            Err(Broken::Closed | Broken::Io(_)) => Ok(None),
-            Err(Broken::Malformed(reason)) => Err(Problem::new(400, reason)),
-            Err(Broken::TooLarge) => Err(body_too_large()),
+            Err(ReadError::Closed | ReadError::Io(_)) => Ok(None),
+            Err(ReadError::Malformed(reason)) => Err(Problem::new(400, reason)),
+            Err(ReadError::TooLarge) => Err(body_too_large()),
         }
     }
 
@@ -230,12 +230,12 @@
     fn find_operation(&self, head: &RequestHead) -> Result<&Operation, Problem> {
         let path = head.target.split(['?', '#']).next().unwrap_or("");
         match self.description.find(&head.method, path) {
-            Found::Operation(operation) => Ok(operation),
-            Found::OtherMethods(methods) => {
+            OperationMatch::Operation(operation) => Ok(operation),
+            OperationMatch::OtherMethods(methods) => {
                 let detail = format!("the path has {methods}");
                 Err(Problem::new(405, detail).with_header("Allow", methods))
             }
-            Found::NoPath => Err(Problem::new(404, "no such path in the description")),
+            OperationMatch::NoPath => Err(Problem::new(404, "no such path in the description")),
         }
     }
 
--- a/src/openapi/description/mod.rs
+++ b/src/openapi/description/mod.rs
@@ -74,7 +74,7 @@
 
 /// Result of the search for an operation.
 #[derive(Debug)]
-pub enum Found<'a> {
+pub enum OperationMatch<'a> {
     /// The operation that was found.
     Operation(&'a Operation),
     /// The path matches but lacks the method. Contains the methods that it has, separated by commas.
@@ -146,14 +146,14 @@
     }
 
     /// Finds the operation for a method and the path of a request target.
-    pub fn find(&self, method: &str, path: &str) -> Found<'_> {
+    pub fn find(&self, method: &str, path: &str) -> OperationMatch<'_> {
         let segments: Vec<&str> = path.split('/').collect();
         let Some(path) = self.paths.iter().find(|path| path.matches(&segments)) else {
-            return Found::NoPath;
+            return OperationMatch::NoPath;
         };
         match path.operation(method) {
-            Some(operation) => Found::Operation(operation),
-            None => Found::OtherMethods(path.methods()),
+            Some(operation) => OperationMatch::Operation(operation),
+            None => OperationMatch::OtherMethods(path.methods()),
         }
     }
 }
--- a/src/openapi/upstream_protocol.rs
+++ b/src/openapi/upstream_protocol.rs
@@ -6,7 +6,7 @@
 use crate::decision::Outcome;
 use crate::openapi::description::Operation;
 use crate::platform::upstream_protocol::STALL_TIMEOUT;
-use crate::protocol::http::{Body, Broken, Head, Headers, Reader};
+use crate::protocol::http::{Body, Head, Headers, ReadError, Reader};
 use crate::upstream::{Connection, ConnectionReader, Exchange, UpstreamProtocol};
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
@@ -126,10 +126,10 @@
 
 /// Reads the head of the final response and skips interim responses. A response to HEAD has no
 /// body, even if its header lines announce one.
-fn read_final_head(reader: &mut Reader<ConnectionReader>, method: &str) -> Result<Head, Broken> {
-    let mut head = reader.response()?;
+fn read_final_head(reader: &mut Reader<ConnectionReader>, method: &str) -> Result<Head, ReadError> {
+    let mut head = reader.read_response()?;
     while head.status < 200 {
-        head = reader.response()?;
+        head = reader.read_response()?;
     }
     if method == "HEAD" {
         head.body = Body::Empty;
@@ -144,7 +144,7 @@
     outcome: Outcome,
 ) -> Exchange<HttpResponse> {
     let framing = head.body;
-    let body = match reader.body(framing, MAX_UNSIZED_BODY_BYTES) {
+    let body = match reader.read_body(framing, MAX_UNSIZED_BODY_BYTES) {
         Ok(body) => body,
         Err(error) => return failed(&error),
     };
@@ -192,10 +192,10 @@
 }
 
 /// Returns the exchange for a response that can't be read.
-fn failed(error: &Broken) -> Exchange<HttpResponse> {
+fn failed(error: &ReadError) -> Exchange<HttpResponse> {
     Exchange::failed(match error {
-        Broken::Io(error) if error.kind() == ErrorKind::WouldBlock => Outcome::Timeout,
-        Broken::Closed | Broken::Io(_) => Outcome::Reset,
-        Broken::Malformed(_) | Broken::TooLarge => Outcome::Error,
+        ReadError::Io(error) if error.kind() == ErrorKind::WouldBlock => Outcome::Timeout,
+        ReadError::Closed | ReadError::Io(_) => Outcome::Reset,
+        ReadError::Malformed(_) | ReadError::TooLarge => Outcome::Error,
     })
 }
--- a/src/platform/command_reader.rs
+++ b/src/platform/command_reader.rs
@@ -6,7 +6,7 @@
 use crate::platform::client_protocol::PlatformClientProtocol;
 use crate::platform::command::{CommandError, RequestCommand};
 use crate::platform::upstream_protocol::{PlatformCall, Served, FIELDS_INDEX};
-use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::buffers::{Buffer, BUFFER_BYTES};
 use crate::protocol::resp;
 use std::io;
 use std::ops::{ControlFlow, Range};
@@ -15,7 +15,7 @@
 /// Maximum length of a command, in bytes. It is below the size of a buffer because a command that
 /// is forwarded to an upstream server may get longer: its deadline is replaced by one that can have
 /// more digits.
-const MAX_COMMAND_BYTES: usize = SIZE - 64;
+const MAX_COMMAND_BYTES: usize = BUFFER_BYTES - 64;
 /// Maximum number of consecutive rejected commands; the next one closes the connection.
 const MAX_REJECTED_COMMANDS: u32 = 8;
 /// Pause in reading after the first of several consecutive rejected commands. Each further one adds
@@ -101,7 +101,7 @@
     fn next_command(&mut self) -> Result<Option<Vec<Range<usize>>>, CommandError> {
         let start = self.start;
         let unprocessed = self.unprocessed();
-        let Some((words, size)) = resp::command(unprocessed)? else {
+        let Some((words, size)) = resp::parse_command(unprocessed)? else {
             if unprocessed.len() < MAX_COMMAND_BYTES {
                 return Ok(None);
             }
--- a/src/platform/upstream_protocol.rs
+++ b/src/platform/upstream_protocol.rs
@@ -3,7 +3,7 @@
 
 use crate::decision::Outcome;
 use crate::platform::streamed_value::{StreamEnd, StreamedValue};
-use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::buffers::{Buffer, BUFFER_BYTES};
 use crate::protocol::resp::{self, Reply};
 use crate::upstream::{Connection, Exchange, UpstreamProtocol};
 use crossbeam_channel::bounded;
@@ -168,12 +168,12 @@
             if is_other_array(received) {
                 return failed(Outcome::Error);
             }
-            match resp::reply(received, 0) {
+            match resp::parse_reply(received, 0) {
                 Ok(Some((reply, size))) => {
                     let is_last = size == end;
                     return Answer::Complete(self.decode_reply(buffer, reply, is_last));
                 }
-                Ok(None) if end < SIZE => {}
+                Ok(None) if end < BUFFER_BYTES => {}
                 _ => return failed(Outcome::Error),
             }
         }
@@ -324,8 +324,8 @@
 /// Parses the usage and the load report that follow it. Returns the load report and the index of
 /// its end, or `None` if they are incomplete.
 fn trailing_report(received: &[u8]) -> Result<Option<(Reply, usize)>, resp::RespError> {
-    match resp::reply(received, 0)? {
-        Some((_, usage_end)) => resp::reply(received, usage_end),
+    match resp::parse_reply(received, 0)? {
+        Some((_, usage_end)) => resp::parse_reply(received, usage_end),
         None => Ok(None),
     }
 }
--- a/src/protocol/buffers.rs
+++ b/src/protocol/buffers.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 
 /// Size of a buffer, in bytes.
-pub const SIZE: usize = 68 * 1024;
+pub const BUFFER_BYTES: usize = 68 * 1024;
 /// Maximum number of unused buffers in the pool; further ones are freed. After a burst of requests
 /// the pool thus keeps at most about 3 MiB, of the 32 MB of memory that a limiter may use.
 const MAX_POOLED_BUFFERS: usize = 48;
@@ -26,7 +26,7 @@
     /// Takes a buffer from the pool. It still contains the bytes of its previous use.
     pub fn take() -> Self {
         let pooled = lock(&POOL).pop();
-        Self(pooled.unwrap_or_else(|| vec![0; SIZE].into_boxed_slice()))
+        Self(pooled.unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice()))
     }
 
     /// Returns a buffer without capacity, for a connection that has no unprocessed bytes.
--- a/src/protocol/http/framing.rs
+++ b/src/protocol/http/framing.rs
@@ -1,11 +1,11 @@
 //! Parses message heads, and derives the framing of the body and the persistence of the connection
 //! from the header lines (RFC 9112, sections 6 and 9.3).
 
-use crate::protocol::http::{Body, Broken, Head, Headers, RequestHead, MAX_HEADERS};
+use crate::protocol::http::{Body, Head, Headers, ReadError, RequestHead, MAX_HEADERS};
 use httparse::{Header, Request, Response, Status, EMPTY_HEADER};
 
 /// The length of the parsed head in bytes and the head itself; `None` if the input is incomplete.
-pub(super) type Parsed<T> = Result<Option<(usize, T)>, Broken>;
+pub(super) type Parsed<T> = Result<Option<(usize, T)>, ReadError>;
 
 /// Parses the head of a response.
 pub(super) fn parse_response(bytes: &[u8]) -> Parsed<Head> {
@@ -14,7 +14,7 @@
     let length = match response.parse(bytes) {
         Ok(Status::Complete(length)) => length,
         Ok(Status::Partial) => return Ok(None),
-        Err(_) => return Err(Broken::Malformed("not an HTTP response")),
+        Err(_) => return Err(ReadError::Malformed("not an HTTP response")),
     };
     let status = response.code.unwrap_or(0);
     let framing = Framing::parse(response.headers, response.version)?;
@@ -41,8 +41,8 @@
     let length = match request.parse(bytes) {
         Ok(Status::Complete(length)) => length,
         Ok(Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(Broken::TooLarge),
-        Err(_) => return Err(Broken::Malformed("not an HTTP request")),
+        Err(httparse::Error::TooManyHeaders) => return Err(ReadError::TooLarge),
+        Err(_) => return Err(ReadError::Malformed("not an HTTP request")),
     };
     let framing = Framing::parse(request.headers, request.version)?;
     let head = RequestHead {
@@ -73,7 +73,7 @@
 }
 
 impl Framing {
-    fn parse(headers: &[Header], version: Option<u8>) -> Result<Self, Broken> {
+    fn parse(headers: &[Header], version: Option<u8>) -> Result<Self, ReadError> {
         let mut framing = Self {
             body: None,
             keep_alive: version == Some(1),
@@ -91,8 +91,8 @@
         Ok(framing)
     }
 
-    fn add_content_length(&mut self, value: &str) -> Result<(), Broken> {
-        const MALFORMED: Broken = Broken::Malformed("bad Content-Length");
+    fn add_content_length(&mut self, value: &str) -> Result<(), ReadError> {
+        const MALFORMED: ReadError = ReadError::Malformed("bad Content-Length");
         // Only digits are accepted, as other proxies on the path may parse `+5` or a list
         // differently.
         if !value.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -100,18 +100,18 @@
         }
         let length = Body::Length(value.parse().map_err(|_| MALFORMED)?);
         if self.body.is_some_and(|body| body != length) {
-            return Err(Broken::Malformed("two lengths"));
+            return Err(ReadError::Malformed("two lengths"));
         }
         self.body = Some(length);
         Ok(())
     }
 
-    fn add_transfer_encoding(&mut self, value: &str) -> Result<(), Broken> {
+    fn add_transfer_encoding(&mut self, value: &str) -> Result<(), ReadError> {
         if !value.eq_ignore_ascii_case("chunked") {
-            return Err(Broken::Malformed("unknown Transfer-Encoding"));
+            return Err(ReadError::Malformed("unknown Transfer-Encoding"));
         }
         if self.body.is_some() {
-            return Err(Broken::Malformed("two lengths"));
+            return Err(ReadError::Malformed("two lengths"));
         }
         self.body = Some(Body::Chunked);
         Ok(())
--- a/src/protocol/http/mod.rs
+++ b/src/protocol/http/mod.rs
@@ -70,7 +70,7 @@
 
 /// Reasons why a message can't be read.
 #[derive(Debug, Error)]
-pub enum Broken {
+pub enum ReadError {
     /// The connection ended between two messages.
     #[error("the connection was closed")]
     Closed,
--- a/src/protocol/http/reader.rs
+++ b/src/protocol/http/reader.rs
@@ -1,8 +1,8 @@
 //! Reader of HTTP messages from one connection.
 
-use crate::protocol::buffers::{Buffer, SIZE};
+use crate::protocol::buffers::{Buffer, BUFFER_BYTES};
 use crate::protocol::http::framing::{parse_request, parse_response, Parsed};
-use crate::protocol::http::{Body, Broken, Head, RequestHead, MAX_HEADERS};
+use crate::protocol::http::{Body, Head, ReadError, RequestHead, MAX_HEADERS};
 use httparse::Status;
 use std::io::{self, ErrorKind, Read};
 
@@ -37,16 +37,16 @@
     }
 
     /// Reads the head of a response.
-    pub fn response(&mut self) -> Result<Head, Broken> {
+    pub fn read_response(&mut self) -> Result<Head, ReadError> {
         self.head(parse_response)
     }
 
     /// Reads the head of a request.
-    pub fn request(&mut self) -> Result<RequestHead, Broken> {
+    pub fn read_request(&mut self) -> Result<RequestHead, ReadError> {
         self.head(parse_request)
     }
 
-    fn head<T>(&mut self, parse: impl Fn(&[u8]) -> Parsed<T>) -> Result<T, Broken> {
+    fn head<T>(&mut self, parse: impl Fn(&[u8]) -> Parsed<T>) -> Result<T, ReadError> {
         if self.is_drained() {
             // Returns the buffer to the pool between two messages.
             self.buffer = Buffer::empty();
@@ -61,7 +61,7 @@
             }
             if !self.fill()? {
                 return Err(if self.is_drained() {
-                    Broken::Closed
+                    ReadError::Closed
                 } else {
                     io::Error::from(ErrorKind::UnexpectedEof).into()
                 });
@@ -72,20 +72,20 @@
     /// Reads a final response with its body of at most `max_bytes`, and skips interim responses.
     /// `is_bodyless` states that the request was HEAD: its response has no body, even if the head
     /// announces one.
-    pub fn response_with_body(
+    pub fn read_response_with_body(
         &mut self,
         max_bytes: usize,
         is_bodyless: bool,
-    ) -> Result<(Head, Vec<u8>), Broken> {
+    ) -> Result<(Head, Vec<u8>), ReadError> {
         loop {
-            let mut head = self.response()?;
+            let mut head = self.read_response()?;
             if head.status < MIN_FINAL_STATUS {
                 continue;
             }
             if is_bodyless {
                 head.body = Body::Empty;
             }
-            let body = self.body(head.body, max_bytes)?;
+            let body = self.read_body(head.body, max_bytes)?;
             return Ok((head, body));
         }
     }
@@ -106,7 +106,7 @@
     }
 
     /// Reads the next available bytes of a body: at least one, and at most `max_bytes`.
-    pub fn body_fragment(&mut self, max_bytes: usize) -> Result<&[u8], Broken> {
+    pub fn body_fragment(&mut self, max_bytes: usize) -> Result<&[u8], ReadError> {
         if self.is_drained() {
             self.fill_or_fail()?;
         }
@@ -116,13 +116,13 @@
     }
 
     /// Reads a whole body of at most `max_bytes`.
-    pub fn body(&mut self, body: Body, max_bytes: usize) -> Result<Vec<u8>, Broken> {
+    pub fn read_body(&mut self, body: Body, max_bytes: usize) -> Result<Vec<u8>, ReadError> {
         let mut bytes = Vec::new();
         match body {
             Body::Empty => {}
-            Body::Length(length) if length > max_bytes => return Err(Broken::TooLarge),
+            Body::Length(length) if length > max_bytes => return Err(ReadError::TooLarge),
             Body::Length(length) => self.append(length, &mut bytes)?,
-            Body::Chunked => while self.chunk(&mut bytes, max_bytes)? {},
+            Body::Chunked => while self.read_chunk(&mut bytes, max_bytes)? {},
             Body::UntilClose => self.append_until_close(&mut bytes, max_bytes)?,
         }
         Ok(bytes)
@@ -130,10 +130,10 @@
 
     /// Appends the next chunk of a body to `to`, whose length may not exceed `max_bytes`. Returns
     /// false at the end of the body.
-    pub fn chunk(&mut self, to: &mut Vec<u8>, max_bytes: usize) -> Result<bool, Broken> {
+    pub fn read_chunk(&mut self, to: &mut Vec<u8>, max_bytes: usize) -> Result<bool, ReadError> {
         let size = self.chunk_size()?;
         if size > max_bytes.saturating_sub(to.len()) as u64 {
-            return Err(Broken::TooLarge);
+            return Err(ReadError::TooLarge);
         }
         if size == 0 {
             self.skip_trailers()?;
@@ -141,12 +141,12 @@
         }
         self.append(size as usize, to)?;
         if !self.line()?.is_empty() {
-            return Err(Broken::Malformed("chunk longer than its size"));
+            return Err(ReadError::Malformed("chunk longer than its size"));
         }
         Ok(true)
     }
 
-    fn chunk_size(&mut self) -> Result<u64, Broken> {
+    fn chunk_size(&mut self) -> Result<u64, ReadError> {
         loop {
             match httparse::parse_chunk_size(self.unread()) {
                 Ok(Status::Complete((length, size))) => {
@@ -154,23 +154,23 @@
                     return Ok(size);
                 }
                 Ok(Status::Partial) => self.fill_or_fail()?,
-                Err(_) => return Err(Broken::Malformed("bad chunk size")),
+                Err(_) => return Err(ReadError::Malformed("bad chunk size")),
             }
         }
     }
 
     /// Skips the trailer lines after the last chunk, up to and including the empty line.
-    fn skip_trailers(&mut self) -> Result<(), Broken> {
+    fn skip_trailers(&mut self) -> Result<(), ReadError> {
         for _ in 0..=MAX_HEADERS {
             if self.line()?.is_empty() {
                 return Ok(());
             }
         }
-        Err(Broken::TooLarge)
+        Err(ReadError::TooLarge)
     }
 
     /// Reads a line and returns it without the line end.
-    fn line(&mut self) -> Result<Vec<u8>, Broken> {
+    fn line(&mut self) -> Result<Vec<u8>, ReadError> {
         loop {
             let unread = self.unread();
             if let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
@@ -184,7 +184,7 @@
     }
 
     /// Reads `length` bytes and appends them to `to`.
-    fn append(&mut self, mut length: usize, to: &mut Vec<u8>) -> Result<(), Broken> {
+    fn append(&mut self, mut length: usize, to: &mut Vec<u8>) -> Result<(), ReadError> {
         while length > 0 {
             let fragment = self.body_fragment(length)?;
             to.extend_from_slice(fragment);
@@ -195,12 +195,12 @@
 
     /// Appends all bytes up to the end of the connection to `to`, whose length may not exceed
     /// `max_bytes`.
-    fn append_until_close(&mut self, to: &mut Vec<u8>, max_bytes: usize) -> Result<(), Broken> {
+    fn append_until_close(&mut self, to: &mut Vec<u8>, max_bytes: usize) -> Result<(), ReadError> {
         loop {
             to.extend_from_slice(self.unread());
             self.discard();
             if to.len() > max_bytes {
-                return Err(Broken::TooLarge);
+                return Err(ReadError::TooLarge);
             }
             if !self.fill()? {
                 return Ok(());
@@ -215,14 +215,14 @@
     }
 
     /// Receives more bytes. Returns false at the end of the connection.
-    fn fill(&mut self) -> Result<bool, Broken> {
+    fn fill(&mut self) -> Result<bool, ReadError> {
         if self.start > 0 {
             self.buffer.copy_within(self.start..self.end, 0);
             self.end -= self.start;
             self.start = 0;
         }
-        if self.end == SIZE {
-            return Err(Broken::TooLarge);
+        if self.end == BUFFER_BYTES {
+            return Err(ReadError::TooLarge);
         }
         let received = self.buffer.read(self.end, &mut self.from)?;
         self.end += received;
@@ -230,7 +230,7 @@
     }
 
     /// Receives more bytes. Returns an error at the end of the connection.
-    fn fill_or_fail(&mut self) -> Result<(), Broken> {
+    fn fill_or_fail(&mut self) -> Result<(), ReadError> {
         if self.fill()? {
             Ok(())
         } else {
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -133,7 +133,7 @@
 /// # Errors
 ///
 /// Returns an error if the bytes are not a command. Bytes that follow can't be parsed in that case.
-pub fn command(bytes: &[u8]) -> Parsed<Vec<Range<usize>>> {
+pub fn parse_command(bytes: &[u8]) -> Parsed<Vec<Range<usize>>> {
     match bytes.first() {
         None => return Ok(None),
         Some(b'*') => {}
@@ -176,7 +176,7 @@
 /// # Errors
 ///
 /// Returns an error if the bytes are not RESP2, or exceed a limit of this module.
-pub fn reply(bytes: &[u8], at: usize) -> Parsed<Reply> {
+pub fn parse_reply(bytes: &[u8], at: usize) -> Parsed<Reply> {
     nested(bytes, at, MAX_DEPTH)
 }
 
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -3,7 +3,7 @@
 
 use super::names::{Lookup, SETTINGS_INDEX};
 use super::reader::Message;
-use super::settings::settings;
+use super::settings::parse_settings;
 use super::ParseError;
 use crate::decision::{
     AttemptResult, Endpoint, Event, Micros, Readiness, Request, Settings, UpdateScope,
@@ -75,7 +75,7 @@
     Ok(Line::Start {
         instance: message.integer(INSTANCE_INDEX)?,
         seed: message.integer(2)?,
-        settings: Box::new(settings(value)?),
+        settings: Box::new(parse_settings(value)?),
     })
 }
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -12,4 +12,4 @@
 pub use error::ParseError;
 pub use events::{parse_line, Line};
 pub use names::{Lookup, Names};
-pub use settings::settings;
+pub use settings::parse_settings;
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns an error that names the key whose value is invalid.
-pub fn settings(value: &Value) -> Result<Settings, ParseError> {
+pub fn parse_settings(value: &Value) -> Result<Settings, ParseError> {
     let root = Section::new(value, ROOT_PATH.to_owned());
     let limits = root.section("limits");
     let load = root.section("loadInfo");
--- a/tests/golden/wire_texts.rs
+++ b/tests/golden/wire_texts.rs
@@ -97,7 +97,7 @@
     b"*5\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000a1f\r\n$4\r\nid-1\r\n$28\r\nc=a,t=p,d=900,units=2,spread=1\r\n$4\r\nbody\r\n";
 
 fn platform_call(has_deadline: bool) -> PlatformCall {
-    let (words, _) = resp::command(&command())
+    let (words, _) = resp::parse_command(&command())
         .expect("the command is valid")
         .expect("the command is complete");
     let mut buffer = Buffer::take();
--- a/tests/peers/servers.rs
+++ b/tests/peers/servers.rs
@@ -46,7 +46,7 @@
 /// the bytes that were read beyond the command.
 pub fn read_command(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Vec<String>> {
     loop {
-        if let Ok(Some((words, end))) = resp::command(buffer) {
+        if let Ok(Some((words, end))) = resp::parse_command(buffer) {
             let words = words
                 .into_iter()
                 .map(|range| String::from_utf8_lossy(&buffer[range]).into_owned())
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -4,7 +4,7 @@
     discovery_with_full_list, endpoint_entry, limiter, peer, quota_counter, read_http_message,
     resp_peer, served_reply, settings, wait_until, Client, Program, Running,
 };
-use mossrill::protocol::http::{Body, Broken, Reader};
+use mossrill::protocol::http::{Body, ReadError, Reader};
 use serde_json::Value;
 use socket2::SockRef;
 use std::io::{BufReader, Write};
@@ -281,9 +281,9 @@
 #[test]
 fn body_with_endless_trailers_is_rejected() {
     let text = "0\r\n".to_owned() + &"x: y\r\n".repeat(100_000);
-    let body = Reader::new(text.as_bytes()).body(Body::Chunked, 1_024);
+    let body = Reader::new(text.as_bytes()).read_body(Body::Chunked, 1_024);
     assert!(
-        matches!(body, Err(Broken::TooLarge)),
+        matches!(body, Err(ReadError::TooLarge)),
         "got {body:?}, want TooLarge"
     );
 }
