--- a/src/cli/start.rs
+++ b/src/cli/start.rs
@@ -58,14 +58,14 @@
         Some(path) => {
             let load = move || configuration::openapi(&path, &configuration::read(&path)?);
             let mut config = load()?;
-            config.common.common_folder = shared_folder;
+            config.common.upgrade_folder = shared_folder;
             serve(openapi::start(config, log), load, signals, log)
         }
         None => {
             let path = PathBuf::from(std::env::var(PLATFORM_FILE).map_err(|_| StartError::NoFile)?);
             let load = move || configuration::platform(&path, &configuration::read(&path)?);
             let mut config = load()?;
-            config.common.common_folder = shared_folder;
+            config.common.upgrade_folder = shared_folder;
             serve(platform::start(config, log), load, signals, log)
         }
     }
--- a/src/config/common.rs
+++ b/src/config/common.rs
@@ -23,7 +23,7 @@
     pub admin_address: Option<SocketAddr>,
     /// Folder that this process shares with its predecessor and its successor in upgrades. Without
     /// it, no process can take over from this one.
-    pub common_folder: Option<PathBuf>,
+    pub upgrade_folder: Option<PathBuf>,
     /// Configuration of the membership protocol, if the limiter is a member of a fleet.
     pub membership: Option<FleetSettings>,
     /// Configuration of quota leases, if the limiter uses them.
--- a/src/config/openapi.rs
+++ b/src/config/openapi.rs
@@ -171,7 +171,7 @@
         name: root.text_or("name", "openapi")?,
         listen: root.address("listen")?,
         admin_address: root.optional_address("control")?,
-        common_folder: None,
+        upgrade_folder: None,
         membership: read_membership(root, Member::limiter(&settings, seed))?,
         quota_leases: leases,
         class_names: description.class_names.clone(),
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -92,7 +92,7 @@
             name: root.text("name")?.to_owned(),
             listen: root.address("listen")?,
             admin_address: root.optional_address("control")?,
-            common_folder: None,
+            upgrade_folder: None,
             membership: read_membership(root, Member::limiter(&settings, seed))?,
             quota_leases: None,
             class_names: names.classes().to_vec(),
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -30,7 +30,7 @@
 pub enum HandOverCommand {
     /// Reply with the learned state for a successor, and notify the successor of each attempt that
     /// ends from now on.
-    GiveState(Sender<LearnedState>),
+    ExportState(Sender<LearnedState>),
     /// Take back the state given to the successor, because the successor does not serve.
     ReclaimState,
     /// Stop notifying the successor, which no longer exists.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -190,7 +190,7 @@
             }
             self.send_lease_reports(now);
         }
-        self.engine.unreported_units()
+        self.engine.final_report()
     }
 
     /// Returns when the next timer expires or the next lease report is due, whichever is earlier.
--- a/src/core/upgrade.rs
+++ b/src/core/upgrade.rs
@@ -31,7 +31,7 @@
     /// Handles a command of the hand-over.
     pub(super) fn handle_hand_over_command(&mut self, now: Micros, command: HandOverCommand) {
         match command {
-            HandOverCommand::GiveState(reply) => {
+            HandOverCommand::ExportState(reply) => {
                 let state = self.state_for_successor();
                 self.upgrade.handed_over = Some(state.clone());
                 _ = reply.try_send(state);
@@ -55,7 +55,7 @@
         let bans = self.bans.all();
         LearnedState {
             bans,
-            ..self.engine.learned_state()
+            ..self.engine.export_learned_state()
         }
     }
 
@@ -86,7 +86,7 @@
                         self.engine.predecessor_attempt_ended(&account);
                     }
                 }
-                self.engine.take_unreported(report);
+                self.engine.add_unreported_units(report);
             }
             // The other messages are handled by the upgrade coordinator.
             _ => {}
--- a/src/discovery/poll_wait.rs
+++ b/src/discovery/poll_wait.rs
@@ -13,7 +13,7 @@
 /// Upper bound of the fleet poll time, see [`fleet_poll_time`].
 const MAX_FLEET_POLL_TIME: Duration = Duration::from_secs(2);
 /// Upper bound of the wait after a rejected poll in a small fleet.
-pub const LEAST_REJECTED_WAIT_LIMIT: Duration = Duration::from_secs(1);
+pub const MIN_REJECTED_WAIT_LIMIT: Duration = Duration::from_secs(1);
 /// Upper bound of the wait after a rejected poll in a large fleet.
 pub const MAX_REJECTED_WAIT_LIMIT: Duration = Duration::from_millis(3_800);
 /// Upper bound of the wait after a rejected poll, in fleet poll times.
@@ -78,7 +78,7 @@
 /// last poll.
 ///
 /// After a rejection the maximum doubles, up to three fleet poll times, which are clamped to
-/// [`LEAST_REJECTED_WAIT_LIMIT`] and [`MAX_REJECTED_WAIT_LIMIT`]. After a failure it doubles up to
+/// [`MIN_REJECTED_WAIT_LIMIT`] and [`MAX_REJECTED_WAIT_LIMIT`]. After a failure it doubles up to
 /// `prompt_limit`. After a success it is one fleet poll time, and at most `prompt_limit`.
 ///
 /// The backoff guards against synchronized polls of a fleet whose limiters lost their connections
@@ -96,7 +96,7 @@
         PollResult::Failed => backoff.min(prompt_limit),
         PollResult::Rejected => {
             let limit = (fleet_poll_time * REJECTED_WAIT_FLEET_POLL_TIMES)
-                .clamp(LEAST_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT);
+                .clamp(MIN_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT);
             backoff.min(limit)
         }
     }
--- a/src/handover/coordinator.rs
+++ b/src/handover/coordinator.rs
@@ -89,7 +89,7 @@
         };
         let link = Link::new(stream)?;
         link.send(HandoverMessage::Join(VERSION), None)?;
-        match link.receive(SuccessorStage::Joining.limit())? {
+        match link.receive(SuccessorStage::Joining.timeout())? {
             (HandoverMessage::Accept(_), Some(listener)) => {
                 let listener = TcpListener::from(listener);
                 info!(self.log, "upgrade: listener received"; "address" => ?listener.local_addr().ok());
--- a/src/handover/learned_state.rs
+++ b/src/handover/learned_state.rs
@@ -19,7 +19,7 @@
     /// Units that were not reported to the counter move to the exported state, so that only the
     /// successor reports them. Units of a token bucket that waiting requests need stay in this
     /// engine.
-    pub fn learned_state(&mut self) -> LearnedState {
+    pub fn export_learned_state(&mut self) -> LearnedState {
         LearnedState {
             accounts: self.export_accounts(),
             servers: self.export_servers(),
@@ -228,8 +228,8 @@
     }
 
     /// Returns the units that are not reported to the counter when this process exits: units used
-    /// since [`Self::learned_state`], less units that were claimed and not used.
-    pub fn unreported_units(&mut self) -> FinalReport {
+    /// since [`Self::export_learned_state`], less units that were claimed and not used.
+    pub fn final_report(&mut self) -> FinalReport {
         let entries = self.accounts.iter().map(|(id, account)| UnreportedUnits {
             id: id.0.to_string(),
             units: account.unreported - account.granted,
@@ -240,7 +240,7 @@
     }
 
     /// Adds the units of a predecessor's final report to the units that this process reports.
-    pub fn take_unreported(&mut self, report: FinalReport) {
+    pub fn add_unreported_units(&mut self, report: FinalReport) {
         for entry in report
             .unreported
             .into_iter()
--- a/src/handover/limiter_process.rs
+++ b/src/handover/limiter_process.rs
@@ -12,7 +12,7 @@
     fn listener(&self) -> &TcpListener;
     /// Takes the learned state out of the core. From then on the core reports the end of each
     /// attempt to the other process. Returns none if the core does not answer in time.
-    fn give_state(&self) -> Option<LearnedState>;
+    fn export_state(&self) -> Option<LearnedState>;
     /// Puts the state that was taken out last back into the core, after a successor that did not
     /// begin to serve.
     fn reclaim_state(&self);
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -117,11 +117,11 @@
         if self.stage == PredecessorStage::Draining && self.process.is_drained() {
             return Some(Event::Drained);
         }
-        let limit = match self.stage {
+        let timeout = match self.stage {
             PredecessorStage::Serving => JOIN_MESSAGE_TIMEOUT,
-            stage => stage.limit()?,
+            stage => stage.timeout()?,
         };
-        (self.stage_entered_at.elapsed() >= limit).then_some(Event::TimedOut)
+        (self.stage_entered_at.elapsed() >= timeout).then_some(Event::TimedOut)
     }
 
     /// Executes a step. A failed send is ignored here: the next call of [`Link::receive`] reports
@@ -158,7 +158,7 @@
             Signal::State => {
                 // If the core does not answer, no state is sent: the wait for the successor's
                 // confirmation times out and the hand-over fails.
-                if let Some(state) = self.process.give_state() {
+                if let Some(state) = self.process.export_state() {
                     _ = self.link.send(HandoverMessage::LearnedState(state), None);
                 }
             }
--- a/src/handover/stage/mod.rs
+++ b/src/handover/stage/mod.rs
@@ -48,7 +48,7 @@
     Sent,
     /// The connection is closed or broken, or the other process has sent a malformed message.
     ConnectionLost,
-    /// Nothing was received within the limit of the stage.
+    /// Nothing was received within the timeout of the stage.
     TimedOut,
     /// Every connection has been handed over or closed, and no request is open.
     Drained,
--- a/src/handover/stage/predecessor.rs
+++ b/src/handover/stage/predecessor.rs
@@ -29,7 +29,7 @@
 impl PredecessorStage {
     /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage
     /// has no time limit.
-    pub fn limit(self) -> Option<Duration> {
+    pub fn timeout(self) -> Option<Duration> {
         match self {
             Self::SuccessorPreparing => Some(PREPARE_TIMEOUT),
             Self::StateSent => Some(CONFIRM_TIMEOUT),
--- a/src/handover/stage/successor.rs
+++ b/src/handover/stage/successor.rs
@@ -27,7 +27,7 @@
 impl SuccessorStage {
     /// Returns the time after which [`Event::TimedOut`] occurs in this stage, or none if the stage
     /// has no time limit.
-    pub fn limit(self) -> Option<Duration> {
+    pub fn timeout(self) -> Option<Duration> {
         match self {
             Self::Joining | Self::AwaitingState => Some(ANSWER_TIMEOUT),
             Self::AwaitingEndpoints | Self::Confirming | Self::Sharing | Self::ServingAlone => None,
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -112,8 +112,8 @@
             self.endpoints_known = self.endpoints_known || (self.poll_endpoints)(Duration::ZERO);
             return self.endpoints_known.then_some(Event::EndpointsKnown);
         }
-        let limit = self.stage.limit()?;
-        (self.stage_entered_at.elapsed() >= limit).then_some(Event::TimedOut)
+        let timeout = self.stage.timeout()?;
+        (self.stage_entered_at.elapsed() >= timeout).then_some(Event::TimedOut)
     }
 
     /// Applies an event to the state machine and executes the resulting steps.
--- a/src/process/assembly.rs
+++ b/src/process/assembly.rs
@@ -124,7 +124,7 @@
     /// Joins a predecessor, if there is one. Upgrades need a folder that the processes share, and
     /// an admin interface, through which operators learn when a new process may take over.
     fn open_upgrade_channel(&self, common: &mut CommonConfig) -> UpgradeChannel {
-        let folder = common.common_folder.take();
+        let folder = common.upgrade_folder.take();
         let folder = folder.filter(|_| common.admin_address.is_some());
         UpgradeChannel::open(folder, self.component_log("handover"))
     }
--- a/src/process/upgrade.rs
+++ b/src/process/upgrade.rs
@@ -80,9 +80,9 @@
         &self.listener
     }
 
-    fn give_state(&self) -> Option<LearnedState> {
+    fn export_state(&self) -> Option<LearnedState> {
         let (reply, state) = bounded(1);
-        self.send_command(HandOverCommand::GiveState(reply));
+        self.send_command(HandOverCommand::ExportState(reply));
         state.recv_timeout(COMMAND_TIMEOUT).ok()
     }
 
@@ -107,16 +107,16 @@
         }
     }
 
-    fn hand_over_connections(&self, to: Option<Arc<Link>>) {
+    fn hand_over_connections(&self, link: Option<Arc<Link>>) {
         // The two processes are a single member of the fleet, and only the process that serves
         // sends heartbeats.
         if let Some(fleet) = &self.fleet {
-            fleet.set_active(to.is_none());
+            fleet.set_active(link.is_none());
         }
-        if to.is_none() {
+        if link.is_none() {
             self.send_command(HandOverCommand::SuccessorGone);
         }
-        self.front.hand_over(to.map(connection_hand_over));
+        self.front.hand_over(link.map(connection_hand_over));
     }
 
     fn adopt_connection(&self, connection: OwnedFd, read: Vec<u8>) {
--- a/tests/units/node_list_waits.rs
+++ b/tests/units/endpoint_list_waits.rs
@@ -2,7 +2,7 @@
 
 use mossrill::discovery::poll_wait::{
     fleet_poll_time, jittered_wait, next_wait, prompt_wait_limit, response_timeout, PollResult,
-    CONNECT_TIMEOUT, LEAST_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT, POLL_TIME, WATCH_TIMEOUT,
+    CONNECT_TIMEOUT, MAX_REJECTED_WAIT_LIMIT, MIN_REJECTED_WAIT_LIMIT, POLL_TIME, WATCH_TIMEOUT,
 };
 use std::time::Duration;
 
@@ -97,7 +97,7 @@
             limit_after_rejections(small_fleet),
             limit_after_rejections(large_fleet)
         ),
-        (LEAST_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT)
+        (MIN_REJECTED_WAIT_LIMIT, MAX_REJECTED_WAIT_LIMIT)
     );
     // A failed poll was not rejected, and the list may have changed in a way that already counts as
     // known, so the next poll comes soon.
--- a/tests/units/handover_stages.rs
+++ b/tests/units/handover_stages.rs
@@ -86,8 +86,8 @@
                 2 | 3 => if let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) },
                 4 => pair.on_successor(Event::EndpointsKnown),
                 5 => pair.on_predecessor(Event::Drained),
-                6 => if pair.predecessor.limit().is_some() { pair.on_predecessor(Event::TimedOut) },
-                7 => if pair.successor.limit().is_some() { pair.on_successor(Event::TimedOut) },
+                6 => if pair.predecessor.timeout().is_some() { pair.on_predecessor(Event::TimedOut) },
+                7 => if pair.successor.timeout().is_some() { pair.on_successor(Event::TimedOut) },
                 // One of the two crashes: the predecessor if both serve, otherwise the successor,
                 // which is more likely to be faulty as it has not served yet.
                 _ => if pair.predecessor_runs && pair.successor_runs {
@@ -105,8 +105,8 @@
         for _ in 0..2 {
             while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
             while let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) }
-            if pair.predecessor.limit().is_some() { pair.on_predecessor(Event::TimedOut) }
-            if pair.successor.limit().is_some() { pair.on_successor(Event::TimedOut) }
+            if pair.predecessor.timeout().is_some() { pair.on_predecessor(Event::TimedOut) }
+            if pair.successor.timeout().is_some() { pair.on_successor(Event::TimedOut) }
             // Messages that were sent before the connection was closed are received before its end.
             while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
             if pair.connection_closed { pair.on_predecessor(Event::ConnectionLost) }
@@ -157,7 +157,7 @@
         [Step::Send(Signal::Reject)]
     );
     assert_eq!(
-        (predecessor, predecessor.limit()),
+        (predecessor, predecessor.timeout()),
         (PredecessorStage::Serving, None)
     );
 }
--- a/tests/units/main.rs
+++ b/tests/units/main.rs
@@ -4,11 +4,11 @@
 mod admin_calls;
 mod bans;
 mod deploy_file;
+mod endpoint_list_waits;
 mod glossary;
 mod handover_link;
 mod handover_stages;
 mod layers;
 mod log_messages;
-mod node_list_waits;
 mod shutdown;
 mod source_text;
