--- a/tests/control.rs
+++ b/tests/control.rs
@@ -10,13 +10,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-fn start_limiter(servers: &[(&str, SocketAddr)]) -> Running {
+fn start_limiter_with_servers(servers: &[(&str, SocketAddr)]) -> RunningLimiter {
     let mut config = settings(silent_discovery(), quota_counter().0, servers);
     config["control"] = "127.0.0.1:0".into();
-    limiter(&config)
+    start_limiter(&config)
 }
 
-fn call(limiter: &Running, line: &str) -> String {
+fn call(limiter: &RunningLimiter, line: &str) -> String {
     peers::admin_call(
         limiter
             .admin_address
@@ -26,7 +26,7 @@
 }
 
 /// Returns the metrics that `show-stat` prints, without the prefix of their names.
-fn metrics(limiter: &Running) -> BTreeMap<String, u64> {
+fn metrics(limiter: &RunningLimiter) -> BTreeMap<String, u64> {
     let text = call(limiter, "show-stat\n");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.last(), Some(&"END"));
@@ -46,7 +46,7 @@
     // the client of one `hold` disconnects.
     let (received, look_attempts) = (Arc::new(AtomicUsize::new(0)), AtomicUsize::new(0));
     let count = received.clone();
-    let (server, _seen) = resp_peer(move |_, words| {
+    let (server, _seen) = start_resp_peer(move |_, words| {
         count.fetch_add(1, Ordering::SeqCst);
         match &*words[2] {
             "pay-1" => PeerAction::Close,
@@ -57,7 +57,7 @@
             id => served_reply(id),
         }
     });
-    let limiter = start_limiter(&[("s-1", server), ("s-2", server)]);
+    let limiter = start_limiter_with_servers(&[("s-1", server), ("s-2", server)]);
     let mut client = Client::connect_when_ready(&limiter);
     // Pipelined, so that one thread writes all replies.
     let text = request_command("look", "look-1", 1500)
@@ -93,8 +93,8 @@
 
 #[test]
 fn malformed_and_incomplete_admin_calls_do_not_block_others() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
-    let limiter = start_limiter(&[("s-1", server)]);
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
+    let limiter = start_limiter_with_servers(&[("s-1", server)]);
     let address = limiter
         .admin_address
         .expect("the limiter has an admin interface");
@@ -141,8 +141,8 @@
 
 #[test]
 fn disabled_server_gets_no_attempt_until_it_is_enabled() {
-    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
-    let limiter = start_limiter(&[("s-1", server)]);
+    let (server, seen) = start_resp_peer(|_, words| served_reply(&words[2]));
+    let limiter = start_limiter_with_servers(&[("s-1", server)]);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "before", 1500);
     assert_eq!(client.read_reply(), "before");
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -393,7 +393,10 @@
             "expected more than 100 datagrams dropped as {reason}"
         );
     }
-    let log = rig.limiters[0].as_ref().expect("the limiter runs").log();
+    let log = rig.limiters[0]
+        .as_ref()
+        .expect("the limiter runs")
+        .unread_log();
     let lines = log
         .iter()
         .filter(|line| line.contains("datagram dropped"))
@@ -420,7 +423,10 @@
     );
     let own = format!("fleet={} me=0 living=2 of=3 age_ms=", rig.relay.fleet());
     assert!(lines[3].starts_with(&own) && lines[4] == "END", "{text}");
-    let log = rig.limiters[0].as_ref().expect("the limiter runs").log();
+    let log = rig.limiters[0]
+        .as_ref()
+        .expect("the limiter runs")
+        .unread_log();
     let death = log
         .iter()
         .find(|line| line.contains("member state changed") && line.contains("state: dead"));
--- a/tests/fleet/rig/processes.rs
+++ b/tests/fleet/rig/processes.rs
@@ -287,7 +287,7 @@
                     began.elapsed() < SETTLE_TIMEOUT,
                     "{}: limiter {observer} believes {seen:?} alive, expected {alive:?}; its log: {:?}",
                     self.plan.name,
-                    self.limiters[*observer].as_ref().map(Program::log)
+                    self.limiters[*observer].as_ref().map(Program::unread_log)
                 );
                 thread::sleep(Duration::from_millis(20));
             }
--- a/tests/fleet/rig/stand_ins.rs
+++ b/tests/fleet/rig/stand_ins.rs
@@ -2,8 +2,8 @@
 
 use crate::checker::Event;
 use crate::peers::{
-    answer, http_peer, parse_counter_call, peer, read_http_message, resp_peer, served_reply,
-    PeerAction,
+    http_reply, parse_counter_call, read_http_message, served_reply, start_http_peer, start_peer,
+    start_resp_peer, PeerAction,
 };
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
 /// Starts an upstream server, which records each request that it receives. Returns its address.
 pub fn start_server(number: usize, record: &Record) -> SocketAddr {
     let own = record.clone();
-    let (at, _) = resp_peer(move |_, words| {
+    let (at, _) = start_resp_peer(move |_, words| {
         let executed = Event::RequestExecuted {
             id: words[2].clone(),
             server: number,
@@ -50,7 +50,7 @@
 /// address.
 pub fn start_counter(answers: &Arc<AtomicBool>) -> SocketAddr {
     let (answers, totals) = (answers.clone(), Mutex::<HashMap<String, f64>>::default());
-    http_peer(move |request_line, _, _| {
+    start_http_peer(move |request_line, _, _| {
         if !answers.load(Ordering::SeqCst) {
             return PeerAction::Hang;
         }
@@ -58,7 +58,7 @@
         let mut totals = totals.lock().expect("lock the totals");
         let total = totals.entry(name).or_default();
         *total += units;
-        answer("200 OK", &total.to_string())
+        http_reply("200 OK", &total.to_string())
     })
 }
 
@@ -66,7 +66,7 @@
 /// list at each change. Returns its address.
 pub fn start_discovery(list: &Arc<Mutex<EndpointList>>) -> SocketAddr {
     let own = list.clone();
-    peer(move |_, stream| {
+    start_peer(move |_, stream| {
         let mut connection = std::io::BufReader::new(stream);
         let Ok((request_line, ..)) = read_http_message(&mut connection, false) else {
             return;
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -12,8 +12,8 @@
 const VALUE_BYTES: usize = 1 << 20;
 
 /// Starts a limiter whose two upstream servers have the same address.
-fn start_limiter(server: SocketAddr) -> Running {
-    limiter(&settings(
+fn start_limiter_with_server(server: SocketAddr) -> RunningLimiter {
+    start_limiter(&settings(
         silent_discovery(),
         quota_counter().0,
         &[("s-1", server), ("s-2", server)],
@@ -35,7 +35,7 @@
     let (closed_sender, closed) = mpsc::channel();
     let instruction_receiver = Mutex::new(instruction_receiver);
     let closed_sender = Mutex::new(closed_sender);
-    let address = peer(move |_, mut stream: TcpStream| {
+    let address = start_peer(move |_, mut stream: TcpStream| {
         let mut bytes = Vec::new();
         while let Some(words) = read_command(&mut stream, &mut bytes) {
             if words[2] != "long" {
@@ -77,7 +77,7 @@
 
 /// Reads the first half of the value, of which the server has not sent the second half yet.
 fn read_first_half(client: &mut Client) {
-    assert_eq!(client.line(), format!("${VALUE_BYTES}"));
+    assert_eq!(client.read_line(), format!("${VALUE_BYTES}"));
     let mut half = vec![0; VALUE_BYTES / 2];
     client
         .0
@@ -89,7 +89,7 @@
 #[test]
 fn long_value_is_streamed_and_its_connection_reused() {
     let (server, instructions, _closed) = streaming_server();
-    let limiter = start_limiter(server);
+    let limiter = start_limiter_with_server(server);
     let mut client = Client::connect_when_ready(&limiter);
     // The request for a short value is sent together with that for the long one, and a further one
     // after both replies.
@@ -113,7 +113,7 @@
 fn long_value_without_its_announced_length_is_detectable() {
     for rest in [None, Some([rest_of_reply(), b"more".to_vec()].concat())] {
         let (server, instructions, _closed) = streaming_server();
-        let limiter = start_limiter(server);
+        let limiter = start_limiter_with_server(server);
         let mut client = Client::connect_when_ready(&limiter);
         client.send_request("look", "long", 1500);
         read_first_half(&mut client);
@@ -141,7 +141,7 @@
 #[test]
 fn request_timeouts_do_not_truncate_a_value_that_is_being_streamed() {
     let (server, instructions, _closed) = streaming_server();
-    let limiter = start_limiter(server);
+    let limiter = start_limiter_with_server(server);
     let mut client = Client::connect_when_ready(&limiter);
     // The request's deadline passes before the second half is sent, while a later request is served
     // meanwhile.
@@ -165,7 +165,7 @@
 #[test]
 fn attempt_is_cancelled_if_its_client_closes_while_a_value_is_streamed() {
     let (server, instructions, closed) = streaming_server();
-    let limiter = start_limiter(server);
+    let limiter = start_limiter_with_server(server);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "long", 1500);
     read_first_half(&mut client);
@@ -180,8 +180,8 @@
 
 #[test]
 fn shutdown_waits_for_a_partially_written_command() {
-    let (server, _received) = resp_peer(|_, words| served_reply(&words[2]));
-    let limiter = start_limiter(server);
+    let (server, _received) = start_resp_peer(|_, words| served_reply(&words[2]));
+    let limiter = start_limiter_with_server(server);
     let mut client = Client::connect_when_ready(&limiter);
     let text = request_command("look", "slow", 1500);
     let (first, rest) = text.split_at(20);
@@ -208,7 +208,7 @@
     // An operating system that limits a process to a share of a core by stopping and continuing it
     // must do so for each of its threads. With 280 threads, this took up a whole limit of 0.12
     // cores.
-    let (server, _received) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, _received) = start_resp_peer(|_, words| served_reply(&words[2]));
     let program = Program::start(
         "threads",
         &settings(silent_discovery(), quota_counter().0, &[("s-1", server)]),
@@ -221,5 +221,5 @@
         client.read_reply();
     }
     // Threads without work exit after a short time.
-    wait_until(|| program.threads(), |threads| *threads < 100 + 30);
+    wait_until(|| program.thread_count(), |threads| *threads < 100 + 30);
 }
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -37,7 +37,7 @@
         Arc::new(Mutex::new(Vec::new())),
     );
     let log = received.clone();
-    let address = http_peer(move |request_line, headers, body| {
+    let address = start_http_peer(move |request_line, headers, body| {
         let time_left_ms = headers
             .iter()
             .find_map(|line| line.strip_prefix("X-Deadline-Ms: ")?.parse::<u64>().ok());
@@ -51,8 +51,8 @@
         match (!script.is_empty()).then(|| script.remove(0)) {
             Some("close") => PeerAction::Close,
             Some("hang") => PeerAction::Hang,
-            Some(status) => answer(status, "{}"),
-            None => answer("200 OK", "{\"ok\":true}"),
+            Some(status) => http_reply(status, "{}"),
+            None => http_reply("200 OK", "{\"ok\":true}"),
         }
     });
     (address, received)
@@ -125,7 +125,7 @@
                 json!({"kind": "quota-counter", "address": counter.to_string()}),
             );
             configuration["limiters"] = json!({"me": 0, "all": 2});
-            let limiter = openapi_limiter(&configuration, DESCRIPTION);
+            let limiter = start_openapi_limiter(&configuration, DESCRIPTION);
             let mut client = Client::connect(&limiter);
             let response = exchange(&mut client, &request(operation, headers, body));
             let received = received
@@ -154,7 +154,7 @@
 #[test]
 fn http_errors_of_the_front() {
     let (server, received) = scripted_server(&[]);
-    let limiter = openapi_limiter(&configuration(&[server], json!({})), DESCRIPTION);
+    let limiter = start_openapi_limiter(&configuration(&[server], json!({})), DESCRIPTION);
     let mut client = Client::connect(&limiter);
     let mut results = Vec::new();
     for text in [
@@ -196,7 +196,7 @@
         results.push(format!(
             "{} then {:?}",
             exchange(&mut client, &text),
-            client.line()
+            client.read_line()
         ));
     }
     let received = received
@@ -212,7 +212,7 @@
         scripted_server(&["500 Oops", "500 Oops", "500 Oops", "500 Oops", "500 Oops"]);
     let (silent, _) = scripted_server(&["hang"]);
     let mut results = Vec::new();
-    let limiter = openapi_limiter(&configuration(&[failing], json!({})), DESCRIPTION);
+    let limiter = start_openapi_limiter(&configuration(&[failing], json!({})), DESCRIPTION);
     results.push(exchange(
         &mut Client::connect(&limiter),
         &request(BUY_TICKET, "", "pay"),
@@ -221,7 +221,7 @@
         "\"aim-ms\": 1200, \"deadline-ms\": 3000",
         "\"aim-ms\": 200, \"deadline-ms\": 200",
     );
-    let limiter = openapi_limiter(&configuration(&[silent], json!({})), &short_deadline);
+    let limiter = start_openapi_limiter(&configuration(&[silent], json!({})), &short_deadline);
     results.push(exchange(
         &mut Client::connect(&limiter),
         &request(BUY_TICKET, "", "pay"),
@@ -231,7 +231,7 @@
     let (server, received) = scripted_server(&[]);
     let mut configuration = configuration(&[server], json!({}));
     configuration["plans"][2] = json!({"name": "utama", "rate": 0.001, "burst": 4});
-    let limiter = openapi_limiter(&configuration, DESCRIPTION);
+    let limiter = start_openapi_limiter(&configuration, DESCRIPTION);
     let mut client = Client::connect(&limiter);
     for _ in 0..2 {
         results.push(exchange(&mut client, &request(BUY_TICKET, "", "pay")));
@@ -319,7 +319,7 @@
         configuration["limiters"] = json!({"me": 0, "all": 2});
         configuration
     };
-    let limiter = openapi_reloaded(
+    let limiter = start_reloaded_openapi_limiter(
         &configuration_with(old_server, old_counter),
         Some(&configuration_with(new_server, new_counter)),
         DESCRIPTION,
@@ -350,7 +350,7 @@
     // the connection.
     let (send_rest, send_rest_receiver) = std::sync::mpsc::channel::<bool>();
     let send_rest_receiver = Mutex::new(send_rest_receiver);
-    let server = peer(move |_, stream| {
+    let server = start_peer(move |_, stream| {
         let mut from = BufReader::new(stream);
         while read_http_message(&mut from, false).is_ok() {
             let head = format!(
@@ -368,12 +368,12 @@
             _ = from.get_mut().write_all("b".repeat(LENGTH / 2).as_bytes());
         }
     });
-    let limiter = openapi_limiter(&configuration(&[server], json!({})), DESCRIPTION);
+    let limiter = start_openapi_limiter(&configuration(&[server], json!({})), DESCRIPTION);
     let mut client = Client::connect(&limiter);
     // Two requests on one connection; the body of the second is truncated.
     for is_complete in [true, false] {
         client.send(&request(GET_SEATS, "", ""));
-        while !client.line().is_empty() {}
+        while !client.read_line().is_empty() {}
         // The client receives the first half before the server has sent the second.
         let mut half = vec![0; LENGTH / 2];
         client
--- a/tests/peers/client.rs
+++ b/tests/peers/client.rs
@@ -1,6 +1,6 @@
 //! Clients of a limiter and of its admin interface.
 
-use super::limiter::Running;
+use super::limiter::RunningLimiter;
 use super::wait::WAIT_TIMEOUT;
 use mossrill::protocol::resp;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -25,7 +25,7 @@
 
 impl Client {
     /// Connects, and sends `PING` until the limiter replies `+PONG`.
-    pub fn connect_when_ready(limiter: &Running) -> Self {
+    pub fn connect_when_ready(limiter: &RunningLimiter) -> Self {
         Self::connect_when_ready_at(limiter.client_address)
     }
 
@@ -34,7 +34,7 @@
         let mut client = Self::connect_at(address);
         loop {
             client.send("*1\r\n$4\r\nPING\r\n");
-            if client.line() == "+PONG" {
+            if client.read_line() == "+PONG" {
                 return client;
             }
             thread::yield_now();
@@ -88,7 +88,7 @@
     }
 
     /// Connects to a limiter, whether or not it is ready.
-    pub fn connect(limiter: &Running) -> Self {
+    pub fn connect(limiter: &RunningLimiter) -> Self {
         Self::connect_at(limiter.client_address)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Reads the next line; empty at the end of the connection.
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
             Ok(_) => line.trim_end().to_owned(),
@@ -128,9 +128,9 @@
 
     /// Reads the next reply: the value of a bulk string, or the line of any other reply.
     pub fn read_reply(&mut self) -> String {
-        let line = self.line();
+        let line = self.read_line();
         match line.starts_with('$') {
-            true => self.line(),
+            true => self.read_line(),
             false => line,
         }
     }
--- a/tests/peers/limiter.rs
+++ b/tests/peers/limiter.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 
 /// A limiter that runs on a thread of this process until it is stopped or this value is dropped.
-pub struct Running {
+pub struct RunningLimiter {
     pub client_address: SocketAddr,
     /// Address of the admin interface, if the configuration has one.
     pub admin_address: Option<SocketAddr>,
@@ -19,7 +19,7 @@
     limiter_thread: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningLimiter {
     fn new<P: ClientProtocol, C>((limiter, _): (Limiter<P>, Reload<C>)) -> Self {
         let (client_address, admin_address, stopper) = (
             limiter.client_address,
@@ -74,20 +74,24 @@
 }
 
 /// Starts a limiter on the platform with this configuration.
-pub fn limiter(settings: &Value) -> Running {
+pub fn start_limiter(settings: &Value) -> RunningLimiter {
     let config =
         config::platform(&settings.to_string(), |_| None).expect("the configuration is valid");
-    Running::new(platform::start(config, &discard_logger()).expect("the limiter starts"))
+    RunningLimiter::new(platform::start(config, &discard_logger()).expect("the limiter starts"))
 }
 
 /// Starts a limiter with an OpenAPI front.
-pub fn openapi_limiter(file: &Value, description: &str) -> Running {
-    openapi_reloaded(file, None, description)
+pub fn start_openapi_limiter(file: &Value, description: &str) -> RunningLimiter {
+    start_reloaded_openapi_limiter(file, None, description)
 }
 
 /// Starts a limiter with an OpenAPI front and, if `other` is given, reloads it with that file at
 /// once.
-pub fn openapi_reloaded(file: &Value, other: Option<&Value>, description: &str) -> Running {
+pub fn start_reloaded_openapi_limiter(
+    file: &Value,
+    other: Option<&Value>,
+    description: &str,
+) -> RunningLimiter {
     let read = |file: &Value| config::openapi(&file.to_string(), |_| Ok(description.to_owned()));
     let (limiter, mut reload) =
         openapi::start(read(file).expect("the file is valid"), &discard_logger())
@@ -95,7 +99,7 @@
     other
         .into_iter()
         .for_each(|file| reload(read(file).expect("the new file is valid")));
-    Running::new((limiter, reload))
+    RunningLimiter::new((limiter, reload))
 }
 
 fn discard_logger() -> Logger {
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -11,11 +11,13 @@
 mod wait;
 
 pub use client::{admin_call, request_command, request_command_for, Client};
-pub use limiter::{limiter, openapi_limiter, openapi_reloaded, settings, Running};
+pub use limiter::{
+    settings, start_limiter, start_openapi_limiter, start_reloaded_openapi_limiter, RunningLimiter,
+};
 pub use program::Program;
 pub use servers::{
-    answer, http_peer, next_command, peer, read_command, read_http_message, resp_peer,
-    served_reply, PeerAction, Seen,
+    http_reply, next_command, read_command, read_http_message, served_reply, start_http_peer,
+    start_peer, start_resp_peer, PeerAction, Seen,
 };
 pub use stores::{
     discovery_with_full_list, endpoint_entry, parse_counter_call, quota_counter, silent_discovery,
--- a/tests/peers/program.rs
+++ b/tests/peers/program.rs
@@ -207,7 +207,7 @@
     }
 
     /// Returns the number of open file descriptors of the process.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("the process exists")
             .count()
@@ -237,7 +237,7 @@
     }
 
     /// Returns the number of threads of the process.
-    pub fn threads(&self) -> usize {
+    pub fn thread_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
             .expect("the process exists")
             .count()
@@ -282,7 +282,7 @@
     }
 
     /// Returns the log lines that have not been read yet.
-    pub fn log(&self) -> Vec<String> {
+    pub fn unread_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
--- a/tests/peers/servers.rs
+++ b/tests/peers/servers.rs
@@ -10,7 +10,7 @@
 
 /// Starts a server on a free port of loopback and returns its address. `handle` is called for each
 /// connection with its index, from 0, and its stream, on a new thread.
-pub fn peer(handle: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub fn start_peer(handle: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is bound");
     let address = listener.local_addr().expect("the listener has an address");
     let handle = Arc::new(handle);
@@ -66,12 +66,12 @@
 
 /// Starts a RESP server whose `script` gets the index of the connection and the words of each
 /// command. Returns its address and the commands that it receives.
-pub fn resp_peer(
+pub fn start_resp_peer(
     script: impl Fn(usize, &[String]) -> PeerAction + Send + Sync + 'static,
 ) -> (SocketAddr, Seen) {
     let (sender, seen) = channel();
     let sender = Mutex::new(sender);
-    let address = peer(move |index, mut stream| {
+    let address = start_peer(move |index, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = read_command(&mut stream, &mut bytes) {
             _ = sender
@@ -129,10 +129,10 @@
 
 /// Starts an HTTP server whose `script` gets the first line, the header lines and the body of each
 /// request. Returns its address.
-pub fn http_peer(
+pub fn start_http_peer(
     script: impl Fn(&str, &[String], &str) -> PeerAction + Send + Sync + 'static,
 ) -> SocketAddr {
-    peer(move |_, stream| {
+    start_peer(move |_, stream| {
         let mut reader = BufReader::new(stream);
         while let Ok((first, headers, body)) = read_http_message(&mut reader, false) {
             match script(&first, &headers, &body) {
@@ -145,7 +145,7 @@
 }
 
 /// Returns an HTTP answer with this status and body.
-pub fn answer(status: &str, body: &str) -> PeerAction {
+pub fn http_reply(status: &str, body: &str) -> PeerAction {
     PeerAction::Reply(format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
--- a/tests/peers/stores.rs
+++ b/tests/peers/stores.rs
@@ -1,6 +1,6 @@
 //! Scripted quota counters and service discovery.
 
-use super::servers::{answer, http_peer, PeerAction};
+use super::servers::{http_reply, start_http_peer, PeerAction};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,12 +25,12 @@
 pub fn quota_counter() -> (SocketAddr, Arc<Mutex<HashMap<String, f64>>>) {
     let totals: Arc<Mutex<HashMap<String, f64>>> = Arc::default();
     let shared_totals = totals.clone();
-    let address = http_peer(move |request_line, _, _| {
+    let address = start_http_peer(move |request_line, _, _| {
         let (name, amount) = parse_counter_call(request_line);
         let mut totals = shared_totals.lock().expect("the lock is not poisoned");
         let total = totals.entry(name).or_default();
         *total += amount;
-        answer("200 OK", &total.to_string())
+        http_reply("200 OK", &total.to_string())
     });
     (address, totals)
 }
@@ -39,19 +39,19 @@
 /// sends an update on a watch.
 pub fn discovery_with_full_list(servers: Vec<Value>) -> SocketAddr {
     let list = json!({"generation": 3, "reset": true, "instances": servers}).to_string();
-    http_peer(
+    start_http_peer(
         move |request_line, _, _| match request_line.contains("watch") {
             true => {
                 PeerAction::Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into())
             }
-            false => answer("200 OK", &list),
+            false => http_reply("200 OK", &list),
         },
     )
 }
 
 /// Starts service discovery that sends nothing after the head of its answer.
 pub fn silent_discovery() -> SocketAddr {
-    http_peer(|_, _, _| {
+    start_http_peer(|_, _, _| {
         PeerAction::Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into())
     })
 }
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -1,9 +1,9 @@
 //! Service discovery, configuration changes and shutdown.
 
 use crate::peers::{
-    answer, discovery_with_full_list, endpoint_entry, http_peer, limiter, next_command, peer,
-    quota_counter, read_http_message, request_command, resp_peer, served_reply, settings,
-    silent_discovery, wait_until, Client, PeerAction, Program,
+    discovery_with_full_list, endpoint_entry, http_reply, next_command, quota_counter,
+    read_http_message, request_command, served_reply, settings, silent_discovery, start_http_peer,
+    start_limiter, start_peer, start_resp_peer, wait_until, Client, PeerAction, Program,
 };
 use crate::support::started_limiter;
 use std::io::Write;
@@ -11,13 +11,13 @@
 
 #[test]
 fn service_discovery_is_followed_over_a_broken_watch() {
-    let (old, _) = resp_peer(|_, _| served_reply("old"));
-    let (new, _) = resp_peer(|_, _| served_reply("new"));
+    let (old, _) = start_resp_peer(|_, _| served_reply("old"));
+    let (new, _) = start_resp_peer(|_, _| served_reply("new"));
     let (request_sender, requests) = std::sync::mpsc::channel();
     let request_sender = std::sync::Mutex::new(request_sender);
     // The first watch is closed at once. The second one sends a list without the old server, in two
     // chunks.
-    let discovery = peer(move |number, stream| {
+    let discovery = start_peer(move |number, stream| {
         let mut from = std::io::BufReader::new(stream);
         let Ok((request_line, ..)) = read_http_message(&mut from, false) else {
             return;
@@ -44,7 +44,7 @@
             _ = read_http_message(&mut from, false);
         }
     });
-    let limiter = limiter(&settings(discovery, quota_counter().0, &[("s-1", old)]));
+    let limiter = start_limiter(&settings(discovery, quota_counter().0, &[("s-1", old)]));
     let mut client = Client::connect_when_ready(&limiter);
     let watch_requests = [
         requests
@@ -67,7 +67,7 @@
 
 #[test]
 fn shutdown_serves_accepted_requests_and_closes_idle_connections() {
-    let (server, seen) = resp_peer(|_, words| {
+    let (server, seen) = start_resp_peer(|_, words| {
         std::thread::sleep(std::time::Duration::from_millis(700));
         served_reply(&words[2])
     });
@@ -80,7 +80,7 @@
     next_command(&seen);
     limiter.stop();
     assert_eq!(
-        (busy.read_reply(), busy.line(), idle.line()),
+        (busy.read_reply(), busy.read_line(), idle.read_line()),
         ("id-1".into(), String::new(), String::new())
     );
 }
@@ -113,7 +113,7 @@
 
 #[test]
 fn reload_moves_discovery_and_counter_and_a_faulty_file_changes_nothing() {
-    let (slow, seen) = resp_peer(|_, words| {
+    let (slow, seen) = start_resp_peer(|_, words| {
         std::thread::sleep(std::time::Duration::from_millis(if words[2] == "open" {
             300
         } else {
@@ -121,7 +121,7 @@
         }));
         served_reply("old")
     });
-    let (new, _) = resp_peer(|_, _| served_reply("new"));
+    let (new, _) = start_resp_peer(|_, _| served_reply("new"));
     let (counter, totals) = quota_counter();
     let mut settings = settings(silent_discovery(), quota_counter().0, &[("s-1", slow)]);
     settings["settings"]["balancers"] = 2.into();
@@ -170,11 +170,11 @@
     type Script = fn(&str) -> PeerAction;
     let silent: Script = |_| PeerAction::Hang;
     let closing: Script = |_| PeerAction::Close;
-    let refusing: Script = |_| answer("503 Service Unavailable", "");
+    let refusing: Script = |_| http_reply("503 Service Unavailable", "");
     for (discovery, counter) in [(silent, closing), (closing, silent), (refusing, refusing)] {
-        let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
-        let discovery = http_peer(move |request_line, _, _| discovery(request_line));
-        let counter = http_peer(move |request_line, _, _| counter(request_line));
+        let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
+        let discovery = start_http_peer(move |request_line, _, _| discovery(request_line));
+        let counter = start_http_peer(move |request_line, _, _| counter(request_line));
         let mut settings = settings(discovery, counter, &[("s-1", server)]);
         settings["control"] = "127.0.0.1:0".into();
         let program = Program::start("configured-list", &settings);
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -2,8 +2,8 @@
 //! clients.
 
 use crate::peers::{
-    endpoint_entry, http_peer, quota_counter, request_command, resp_peer, served_reply, settings,
-    wait_until, Client, PeerAction, Program,
+    endpoint_entry, quota_counter, request_command, served_reply, settings, start_http_peer,
+    start_resp_peer, wait_until, Client, PeerAction, Program,
 };
 use crate::support::limiter_with_40_connections;
 use std::collections::VecDeque;
@@ -121,8 +121,8 @@
 #[test]
 fn idle_clients_at_the_connection_limit_leave_discovery_counter_and_admin_interface_reachable() {
     let (old, new) = (
-        resp_peer(|_, _| served_reply("old")).0,
-        resp_peer(|_, _| served_reply("new")).0,
+        start_resp_peer(|_, _| served_reply("old")).0,
+        start_resp_peer(|_, _| served_reply("new")).0,
     );
     let change = [
         endpoint_entry("s-1", old, "terminating"),
@@ -133,7 +133,7 @@
     let available = Arc::new(AtomicBool::new(false));
     let is_available = available.clone();
     // While it is unavailable, service discovery accepts every request and sends no response.
-    let discovery = http_peer(move |_, _, _| match is_available.load(Ordering::SeqCst) {
+    let discovery = start_http_peer(move |_, _, _| match is_available.load(Ordering::SeqCst) {
         false => PeerAction::Hang,
         true => {
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -158,7 +158,7 @@
         assert!(program.call("show-stat").ends_with("END\n"));
         // The other 28 of 128 descriptors are for upstream servers, discovery, the counter and the
         // admin interface.
-        let descriptors = program.descriptors();
+        let descriptors = program.descriptor_count();
         assert!(
             descriptors < 100,
             "{descriptors} file descriptors are open, expected fewer than 100 of 128"
@@ -197,7 +197,7 @@
     // Clients may hold 32 connections. Those that have been idle for longest are closed until three
     // quarters of 32 are open, well before the idle time-out of a connection.
     for client in &mut held[..6] {
-        assert_eq!(client.line(), "");
+        assert_eq!(client.read_line(), "");
     }
     for client in &mut held[6..] {
         client.send_request("look", "again", 1500);
--- a/tests/platform/malformed.rs
+++ b/tests/platform/malformed.rs
@@ -1,14 +1,14 @@
 //! Malformed input from clients and from upstream servers.
 
 use crate::peers::{
-    limiter, next_command, quota_counter, request_command, resp_peer, served_reply, settings,
-    silent_discovery, Client, PeerAction,
+    next_command, quota_counter, request_command, served_reply, settings, silent_discovery,
+    start_limiter, start_resp_peer, Client, PeerAction,
 };
 use crate::support::started_limiter;
 
 #[test]
 fn malformed_input_is_answered_and_closes_only_its_own_connection() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
     let mut persistent_client = Client::connect_when_ready(&limiter);
     let mut replies = Vec::new();
@@ -20,7 +20,11 @@
     ] {
         let mut client = Client::connect(&limiter);
         client.send(&text);
-        replies.push(format!("{} then {:?}", client.line(), client.line()));
+        replies.push(format!(
+            "{} then {:?}",
+            client.read_line(),
+            client.read_line()
+        ));
     }
     for text in [
         request_command("dance", "id-1", 500),
@@ -37,7 +41,7 @@
 
 #[test]
 fn invalid_request_is_rejected_before_the_engine_or_a_server_sees_it() {
-    let (server, seen) = resp_peer(|_, words| {
+    let (server, seen) = start_resp_peer(|_, words| {
         if words[2] == "open" {
             PeerAction::Hang
         } else {
@@ -92,12 +96,12 @@
 
 #[test]
 fn silent_half_written_and_malformed_connections_are_closed() {
-    let (server, _seen) = resp_peer(|_, _| PeerAction::Hang);
+    let (server, _seen) = start_resp_peer(|_, _| PeerAction::Hang);
     let mut settings = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     for time in ["slo", "deadline"] {
         settings["settings"]["classes"][2][time] = 30_000_000.into();
     }
-    let limiter = limiter(&settings);
+    let limiter = start_limiter(&settings);
     // Pings are answered with +PONG from now on.
     drop(Client::connect_when_ready(&limiter));
     let address = limiter.client_address;
@@ -105,7 +109,8 @@
         let mut client = Client::connect_at(address);
         client.send(&text);
         let lines: Vec<String> =
-            std::iter::from_fn(|| Some(client.line()).filter(|line| !line.is_empty())).collect();
+            std::iter::from_fn(|| Some(client.read_line()).filter(|line| !line.is_empty()))
+                .collect();
         lines[lines.len().saturating_sub(2)..].join(" / ")
     };
     let open = |id: &str| request_command("pay", id, 30_000);
@@ -154,7 +159,7 @@
         .map(|text| (*text).to_owned())
         .collect();
     let (count, script) = (texts.len(), std::sync::Mutex::new(texts.into_iter()));
-    let (server, seen) = resp_peer(move |_, words| {
+    let (server, seen) = start_resp_peer(move |_, words| {
         match script
             .lock()
             .expect("lock poisoned by a panic of another connection")
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -1,7 +1,7 @@
 //! Requests, retries and answers between clients and upstream servers.
 
 use crate::peers::{
-    next_command, peer, request_command, resp_peer, served_reply, Client, PeerAction,
+    next_command, request_command, served_reply, start_peer, start_resp_peer, Client, PeerAction,
 };
 use crate::support::started_limiter;
 use mossrill::upstream::is_open_and_silent;
@@ -29,7 +29,8 @@
 
 #[test]
 fn request_is_forwarded_unchanged_and_its_value_returned() {
-    let (server, seen) = resp_peer(|_, words| served_reply(&format!("value of {}", words[2])));
+    let (server, seen) =
+        start_resp_peer(|_, words| served_reply(&format!("value of {}", words[2])));
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "id-1", 1500);
@@ -44,7 +45,7 @@
 fn replies_keep_the_order_of_pipelined_and_partially_read_commands() {
     // The server holds the first request until it serves the second one.
     let served = std::sync::Arc::new((std::sync::Mutex::new(false), std::sync::Condvar::new()));
-    let (server, _seen) = resp_peer(move |_, words| {
+    let (server, _seen) = start_resp_peer(move |_, words| {
         let (done, changed) = &*served;
         let mut done = done
             .lock()
@@ -76,13 +77,13 @@
     // The server closes the connection after every other command that it has read: the request may
     // have run.
     let (server, seen) =
-        resp_peer(
+        start_resp_peer(
             move |_, words| match count.fetch_add(1, Ordering::SeqCst) % 2 {
                 0 => PeerAction::Close,
                 _ => served_reply(&words[2]),
             },
         );
-    let (other, other_seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (other, other_seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("pay", "pay-1", 1500);
@@ -109,8 +110,8 @@
     // Port 1 is below the ephemeral range. A port that was bound and released could belong to a
     // peer of another test by the time of the attempt.
     let absent = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (rejecting, _) = resp_peer(|_, _| PeerAction::Reply("-BUSY queue full\r\n".into()));
-    let (serving, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (rejecting, _) = start_resp_peer(|_, _| PeerAction::Reply("-BUSY queue full\r\n".into()));
+    let (serving, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let limiter = started_limiter(&[("s-1", absent), ("s-2", rejecting), ("s-3", serving)]);
     let mut client = Client::connect_when_ready(&limiter);
     for number in 0..6 {
@@ -121,7 +122,7 @@
 
 #[test]
 fn request_at_a_silent_server_times_out_and_its_late_answer_is_dropped() {
-    let (server, seen) = resp_peer(|_, words| {
+    let (server, seen) = start_resp_peer(|_, words| {
         if words[2] == "pay-1" {
             PeerAction::Hang
         } else {
@@ -143,7 +144,7 @@
 fn abandoned_idempotent_request_is_answered_with_retry_after() {
     // Guards against rejections without a retry time: clients retried at once and were rejected
     // again.
-    let (server, _seen) = resp_peer(|_, _| PeerAction::Hang);
+    let (server, _seen) = start_resp_peer(|_, _| PeerAction::Hang);
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "look-1", 300);
@@ -158,7 +159,7 @@
     // might or might not have run.
     let (close_sender, close) = std::sync::mpsc::channel::<()>();
     let close = std::sync::Mutex::new(close);
-    let server = peer(move |_, stream| {
+    let server = start_peer(move |_, stream| {
         _ = close
             .lock()
             .expect("lock poisoned by a panic of another connection")
@@ -176,7 +177,7 @@
 
 #[test]
 fn attempts_of_a_closed_client_are_cancelled() {
-    let (server, seen) = resp_peer(|_, _| PeerAction::Hang);
+    let (server, seen) = start_resp_peer(|_, _| PeerAction::Hang);
     let limiter = started_limiter(&[("s-1", server)]);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "look-1", 1500);
--- a/tests/quota_lease_processes/cluster.rs
+++ b/tests/quota_lease_processes/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::files::{Addresses, ACCOUNT, ALLOCATORS, BURST, LIFETIME_MS, LIMITERS, RATE};
 use crate::load::Load;
-use crate::peers::{answer, http_peer, Program};
+use crate::peers::{http_reply, start_http_peer, Program};
 use mossrill::quota_lease::message::AccountKey;
 use mossrill::quota_lease::placement;
 use std::collections::HashSet;
@@ -43,9 +43,9 @@
 /// Starts an upstream server that adds all its requests to `served_requests`, and returns its address.
 pub fn upstream(served_requests: &Arc<ServedRequests>) -> SocketAddr {
     let served_requests = served_requests.clone();
-    http_peer(move |first, _, _| {
+    start_http_peer(move |first, _, _| {
         served_requests.add(first);
-        answer("200 OK", "{}")
+        http_reply("200 OK", "{}")
     })
 }
 
--- a/tests/quota_lease_processes/connections.rs
+++ b/tests/quota_lease_processes/connections.rs
@@ -81,7 +81,7 @@
             let answer = answer.unwrap_or_else(|error| {
                 panic!(
                     "reading the answer failed: {error}; log of the allocator: {:?}",
-                    allocator.log()
+                    allocator.unread_log()
                 )
             });
             let grant = Grant::read(&answer).expect("the answer should decode as a grant");
--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -2,8 +2,9 @@
 //! upstream server.
 
 use crate::peers::{
-    answer, http_peer, limiter, next_command, parse_counter_call, request_command,
-    request_command_for, resp_peer, served_reply, silent_discovery, Client, Running, Seen,
+    http_reply, next_command, parse_counter_call, request_command, request_command_for,
+    served_reply, silent_discovery, start_http_peer, start_limiter, start_resp_peer, Client,
+    RunningLimiter, Seen,
 };
 use crate::support::{
     close, gated_server, malformed_commands, request_ids, settings_with_long_deadlines,
@@ -29,7 +30,7 @@
     gate_delay: Duration,
 ) {
     let (server, gate, seen) = gated_server("first");
-    let limiter = limiter(&settings_with_long_deadlines(
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server)],
     ));
@@ -98,7 +99,7 @@
 #[test]
 fn requests_behind_a_running_one_are_not_forwarded_after_their_client_closed() {
     let (server, gate, seen) = gated_server("held");
-    let limiter = limiter(&settings_with_long_deadlines(
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server)],
     ));
@@ -121,15 +122,15 @@
 /// Starts a limiter whose share of a quota is smaller than the units of a request, and a client
 /// whose request waits until the counter, which waits at the gate, grants the rest. Returns them
 /// with the gate and the commands that the server receives.
-fn limiter_waiting_for_counter() -> (Running, Client, Gate, Seen) {
+fn limiter_waiting_for_counter() -> (RunningLimiter, Client, Gate, Seen) {
     let (gate, (call_sender, calls)) = (Gate::default(), channel());
     let (counter_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
-    let counter = http_peer(move |request_line, _, _| {
+    let counter = start_http_peer(move |request_line, _, _| {
         _ = call_sender.lock().expect("lock is not poisoned").send(());
         counter_gate.wait();
-        answer("200 OK", &parse_counter_call(request_line).1.to_string())
+        http_reply("200 OK", &parse_counter_call(request_line).1.to_string())
     });
-    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server)]);
     config["counter"] = counter.to_string().into();
     config["settings"]["balancers"] = 4.into();
@@ -138,7 +139,7 @@
         config["settings"]["tariffs"][0]["peakUnits"],
     ) = (0.5.into(), 4.0.into());
     config["settings"]["specifics"]["counterTimeout"] = 20_000_000.into();
-    let limiter = limiter(&config);
+    let limiter = start_limiter(&config);
     let mut client = Client::connect_when_ready(&limiter);
     client.send(&request_command_for(
         "00000000b4d65521",
@@ -172,8 +173,8 @@
 
 #[test]
 fn request_read_after_its_client_closed_is_not_forwarded() {
-    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
-    let limiter = limiter(&settings_with_long_deadlines(
+    let (server, seen) = start_resp_peer(|_, words| served_reply(&words[2]));
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server)],
     ));
@@ -187,7 +188,7 @@
         .get_ref()
         .shutdown(Shutdown::Write)
         .expect("the write side of the connection is shut down");
-    while !client.line().is_empty() {}
+    while !client.read_line().is_empty() {}
     client = Client::connect_when_ready(&limiter);
     client.send_request("look", "after", 20_000);
     assert_eq!(client.read_reply(), "after");
@@ -200,7 +201,7 @@
     let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server.at)]);
     // The rule also applies where open attempts may not be cancelled.
     config["settings"]["limits"]["mayCancel"] = false.into();
-    let limiter = limiter(&config);
+    let limiter = start_limiter(&config);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "left", 20_000);
     server.wait_for_connect();
@@ -231,8 +232,8 @@
 
 #[test]
 fn request_waiting_for_a_resting_connection_is_not_forwarded_after_its_client_closed() {
-    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
-    let limiter = limiter(&settings_with_long_deadlines(
+    let (server, seen) = start_resp_peer(|_, words| served_reply(&words[2]));
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server)],
     ));
--- a/tests/races/client_close_http.rs
+++ b/tests/races/client_close_http.rs
@@ -1,7 +1,9 @@
 //! A client of the OpenAPI front closes its connection while its request waits: the request may not
 //! be forwarded.
 
-use crate::peers::{answer, http_peer, openapi_limiter, wait_until, Client, Program};
+use crate::peers::{
+    http_reply, start_http_peer, start_openapi_limiter, wait_until, Client, Program,
+};
 use crate::support::{close, wait_for_in_flight, Gate};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -17,7 +19,7 @@
 fn gated_openapi_limiter() -> (Value, Gate, std::sync::mpsc::Receiver<String>) {
     let (gate, (path_sender, seen)) = (Gate::default(), channel());
     let (server_gate, path_sender) = (gate.clone(), Mutex::new(path_sender));
-    let server = http_peer(move |request_line, _, _| {
+    let server = start_http_peer(move |request_line, _, _| {
         _ = path_sender.lock().expect("lock is not poisoned").send(
             request_line
                 .split(' ')
@@ -28,7 +30,7 @@
         if request_line.contains("reports") {
             server_gate.wait();
         }
-        answer("200 OK", "{}")
+        http_reply("200 OK", "{}")
     });
     let mut config: Value = serde_json::from_str(include_str!("../../deploy/openapi.json"))
         .expect("deploy/openapi.json is JSON");
@@ -76,7 +78,7 @@
         );
         let gate_opened_at = Instant::now();
         gate.open();
-        assert_eq!(first.line(), "HTTP/1.1 200 OK");
+        assert_eq!(first.read_line(), "HTTP/1.1 200 OK");
         program.pause();
         let in_time = gate_opened_at.elapsed() < Duration::from_millis(15);
         thread::sleep(Duration::from_millis(30));
@@ -99,7 +101,7 @@
 #[test]
 fn queued_http_request_is_not_forwarded_after_its_client_closed() {
     let (config, gate, seen) = gated_openapi_limiter();
-    let limiter = openapi_limiter(&config, FERRY_DESCRIPTION);
+    let limiter = start_openapi_limiter(&config, FERRY_DESCRIPTION);
     let send = |method_and_path: &str| send_http(limiter.client_address, method_and_path);
     let mut first = send("GET /v1/reports/daily");
     assert_eq!(
@@ -111,9 +113,9 @@
     drop(closing_client);
     wait_for_in_flight(&limiter, 1);
     gate.open();
-    assert_eq!(first.line(), "HTTP/1.1 200 OK");
+    assert_eq!(first.read_line(), "HTTP/1.1 200 OK");
     assert_eq!(
-        send("GET /v1/sailings/KMP-7/seats").line(),
+        send("GET /v1/sailings/KMP-7/seats").read_line(),
         "HTTP/1.1 200 OK"
     );
     assert_eq!(
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -1,6 +1,8 @@
 //! Measures the time from the close of a client's connection to the last attempt of its requests.
 
-use crate::peers::{request_command, resp_peer, served_reply, silent_discovery, Client, Program};
+use crate::peers::{
+    request_command, served_reply, silent_discovery, start_resp_peer, Client, Program,
+};
 use crate::support::{close, malformed_commands, settings_with_long_deadlines};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -26,7 +28,7 @@
 fn time_from_client_close_to_last_attempt_at_a_tenth_of_a_core() {
     let arrived: Arc<Mutex<HashMap<String, Instant>>> = Arc::default();
     let server_arrived = arrived.clone();
-    let (server, _seen) = resp_peer(move |_, words| {
+    let (server, _seen) = start_resp_peer(move |_, words| {
         server_arrived
             .lock()
             .expect("lock is not poisoned")
--- a/tests/races/counter.rs
+++ b/tests/races/counter.rs
@@ -1,6 +1,6 @@
 //! A call of the quota counter takes longer than usual: its connection stays in use.
 
-use crate::peers::{answer, http_peer, parse_counter_call};
+use crate::peers::{http_reply, parse_counter_call, start_http_peer};
 use crate::support::Gate;
 use mossrill::counter::http::HttpCounterProtocol;
 use mossrill::counter::{Addition, CounterClient};
@@ -14,10 +14,10 @@
 fn slow_counter_call_keeps_its_connection() {
     let (gate, (call_sender, calls)) = (Gate::default(), channel());
     let (counter_gate, call_sender) = (gate.clone(), Mutex::new(call_sender));
-    let counter = http_peer(move |request_line, _, _| {
+    let counter = start_http_peer(move |request_line, _, _| {
         _ = call_sender.lock().expect("lock is not poisoned").send(());
         counter_gate.wait();
-        answer("200 OK", &parse_counter_call(request_line).1.to_string())
+        http_reply("200 OK", &parse_counter_call(request_line).1.to_string())
     });
     let (reply_sender, replies) = channel();
     let reply_sender = Mutex::new(reply_sender);
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -1,8 +1,9 @@
 //! Events on the connection to service discovery: resets, silence, split and malformed messages.
 
 use crate::peers::{
-    discovery_with_full_list, endpoint_entry, limiter, peer, quota_counter, read_http_message,
-    resp_peer, served_reply, settings, wait_until, Client, Program, Running,
+    discovery_with_full_list, endpoint_entry, quota_counter, read_http_message, served_reply,
+    settings, start_limiter, start_peer, start_resp_peer, wait_until, Client, Program,
+    RunningLimiter,
 };
 use mossrill::protocol::http::{Body, ReadError, Reader};
 use serde_json::Value;
@@ -23,7 +24,7 @@
 ) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (request_sender, received) = channel();
     let request_sender = Mutex::new(request_sender);
-    let at = peer(move |connection_number, stream| {
+    let at = start_peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         let Ok((request_line, ..)) = read_http_message(&mut reader, false) else {
             return;
@@ -63,7 +64,7 @@
 }
 
 /// Sends requests to the limiter until one is answered with `value`.
-fn wait_until_served(limiter: &Running, value: &str) {
+fn wait_until_served(limiter: &RunningLimiter, value: &str) {
     let mut client = Client::connect_when_ready(limiter);
     let client = Mutex::new(&mut client);
     let send_request = || {
@@ -77,8 +78,8 @@
 #[test]
 fn watch_event_on_many_lines_and_longer_than_a_buffer_is_applied() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| served_reply("old")).0,
-        resp_peer(|_, _| served_reply("new")).0,
+        start_resp_peer(|_, _| served_reply("old")).0,
+        start_resp_peer(|_, _| served_reply("new")).0,
     );
     let mut servers: Vec<_> = (0..1_000)
         .map(|number| endpoint_entry(&format!("x-{number}"), old_server, "terminating"))
@@ -94,7 +95,7 @@
     );
     assert!(event.len() > 140_000);
     let (discovery, received) = discovery_with_split_event(event, String::new());
-    let limiter = limiter(&settings(
+    let limiter = start_limiter(&settings(
         discovery,
         quota_counter().0,
         &[("s-1", old_server)],
@@ -110,8 +111,8 @@
 #[test]
 fn malformed_watch_event_keeps_the_last_list_and_causes_a_full_read() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| served_reply("old")).0,
-        resp_peer(|_, _| served_reply("new")).0,
+        start_resp_peer(|_, _| served_reply("old")).0,
+        start_resp_peer(|_, _| served_reply("new")).0,
     );
     let server = endpoint_entry("s-2", new_server, "in_service");
     let full_list = serde_json::json!({"generation": 9, "reset": true, "instances": [server]});
@@ -123,7 +124,7 @@
     ] {
         let (discovery, received) =
             discovery_with_split_event(malformed.into(), full_list.to_string());
-        let limiter = limiter(&settings(
+        let limiter = start_limiter(&settings(
             discovery,
             quota_counter().0,
             &[("s-1", old_server)],
@@ -146,8 +147,8 @@
 /// and the endpoint update by which the first drains and the second is added.
 fn replaced_server() -> (SocketAddr, String) {
     let (old_server, new_server) = (
-        resp_peer(|_, _| served_reply("old")).0,
-        resp_peer(|_, _| served_reply("new")).0,
+        start_resp_peer(|_, _| served_reply("old")).0,
+        start_resp_peer(|_, _| served_reply("new")).0,
     );
     let changed_entries = [
         endpoint_entry("s-1", old_server, "terminating"),
@@ -163,7 +164,7 @@
 #[test]
 fn repeatedly_reset_watch_is_reopened_within_the_drain_grace() {
     let (old_server, update) = replaced_server();
-    let discovery = peer(move |connection_number, stream| {
+    let discovery = start_peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         _ = read_http_message(&mut reader, false);
         let chunk = if connection_number < 24 {
@@ -188,14 +189,14 @@
     let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
     config["settings"]["balancers"] = 300.into();
     config["settings"]["safety"]["drainGrace"] = 150_000.into();
-    let limiter = limiter(&config);
+    let limiter = start_limiter(&config);
     wait_until_served(&limiter, "new");
 }
 
 #[test]
 fn discovery_calls_without_or_with_endless_answers_time_out_early() {
     let (old_server, update) = replaced_server();
-    let discovery = peer(move |connection_number, stream| {
+    let discovery = start_peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         _ = read_http_message(&mut reader, false);
         let writer = reader.get_mut();
@@ -223,16 +224,16 @@
     let mut config = settings(discovery, quota_counter().0, &[("s-1", old_server)]);
     config["settings"]["balancers"] = 300.into();
     config["settings"]["safety"]["drainGrace"] = 1_000_000.into();
-    wait_until_served(&limiter(&config), "new");
+    wait_until_served(&start_limiter(&config), "new");
 }
 
 #[test]
 fn after_discovery_moves_events_of_the_old_address_are_ignored() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| served_reply("old")).0,
-        resp_peer(|_, _| served_reply("new")).0,
+        start_resp_peer(|_, _| served_reply("old")).0,
+        start_resp_peer(|_, _| served_reply("new")).0,
     );
-    let discovery = peer(move |_, stream| {
+    let discovery = start_peer(move |_, stream| {
         let mut reader = BufReader::new(stream);
         _ = read_http_message(&mut reader, false);
         let writer = reader.get_mut();
@@ -272,7 +273,7 @@
         assert_eq!(client.read_reply(), "new");
     }
     let later_updates = program
-        .log()
+        .unread_log()
         .into_iter()
         .filter(|line| line.contains("endpoint update"));
     assert_eq!(later_updates.collect::<Vec<_>>(), Vec::<String>::new());
@@ -291,8 +292,8 @@
 #[test]
 fn silent_watch_and_list_changed_during_a_full_read_are_polled_again() {
     let (old_server, new_server) = (
-        resp_peer(|_, _| served_reply("old")).0,
-        resp_peer(|_, _| served_reply("new")).0,
+        start_resp_peer(|_, _| served_reply("old")).0,
+        start_resp_peer(|_, _| served_reply("new")).0,
     );
     let update = |generation, full, servers: Vec<Value>| {
         serde_json::json!({"generation": generation, "reset": full, "instances": servers})
@@ -316,7 +317,7 @@
     );
     let (request_sender, received) = channel();
     let request_sender = Mutex::new(request_sender);
-    let discovery = peer(move |connection_number, stream| {
+    let discovery = start_peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         let Ok((request_line, ..)) = read_http_message(&mut reader, false) else {
             return;
@@ -343,7 +344,7 @@
         _ = reader.get_mut().write_all(response.as_bytes());
         _ = read_http_message(&mut reader, false);
     });
-    let limiter = limiter(&settings(
+    let limiter = start_limiter(&settings(
         discovery,
         quota_counter().0,
         &[("s-1", old_server)],
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -1,8 +1,8 @@
 //! Signals and closed connections while requests are in flight.
 
 use crate::peers::{
-    limiter, next_command, peer, quota_counter, read_command, request_command, resp_peer,
-    served_reply, settings, silent_discovery, Client, PeerAction, Program,
+    next_command, quota_counter, read_command, request_command, served_reply, settings,
+    silent_discovery, start_limiter, start_peer, start_resp_peer, Client, PeerAction, Program,
 };
 use crate::support::{gated_server, request_ids, settings_with_long_deadlines, Gate};
 use socket2::SockRef;
@@ -16,13 +16,13 @@
 fn shutdown_with_resetting_watches_does_not_raise_the_poll_rate() {
     let (call_sender, calls) = channel();
     let call_sender = Mutex::new(call_sender);
-    let discovery = peer(move |_, stream| {
+    let discovery = start_peer(move |_, stream| {
         _ = call_sender.lock().expect("lock is not poisoned").send(());
         SockRef::from(&stream)
             .set_linger(Some(Duration::ZERO))
             .expect("linger is set on the socket");
     });
-    let (server, seen) = resp_peer(|_, _| PeerAction::Hang);
+    let (server, seen) = start_resp_peer(|_, _| PeerAction::Hang);
     let mut config = settings(discovery, quota_counter().0, &[("s-1", server)]);
     config["settings"]["safety"]["drainGrace"] = 1_000_000.into();
     let program = Program::start("list-resets", &config);
@@ -43,7 +43,7 @@
 
 #[test]
 fn shutdown_with_hanging_servers_answers_each_request_once() {
-    let (server, seen) = resp_peer(|_, _| PeerAction::Hang);
+    let (server, seen) = start_resp_peer(|_, _| PeerAction::Hang);
     let mut config = settings(
         silent_discovery(),
         quota_counter().0,
@@ -88,7 +88,7 @@
 
 #[test]
 fn request_sent_during_shutdown_is_answered_or_never_forwarded() {
-    let (server, seen) = resp_peer(|_, words| {
+    let (server, seen) = start_resp_peer(|_, words| {
         thread::sleep(Duration::from_millis(5));
         served_reply(&words[2])
     });
@@ -157,8 +157,8 @@
 
 #[test]
 fn request_read_before_the_idle_close_is_answered() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
-    let limiter = limiter(&settings_with_long_deadlines(
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server)],
     ));
@@ -181,7 +181,7 @@
 
 #[test]
 fn request_accepted_after_the_core_ended_is_answered_and_its_connection_closed() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     // Shorter than the time in which connections are still accepted, so the core ends with that
     // time, 0.45 s after the request to stop.
@@ -191,7 +191,7 @@
     {
         (class["slo"], class["deadline"]) = (50_000.into(), 50_000.into());
     }
-    let limiter = limiter(&config);
+    let limiter = start_limiter(&config);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("look", "first", 50);
     assert!(!client.read_reply().is_empty());
@@ -210,7 +210,7 @@
 #[test]
 fn connection_accepted_after_the_idle_close_has_its_first_request_served() {
     let (server, gate, seen) = gated_server("held");
-    let limiter = limiter(&settings_with_long_deadlines(
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server), ("s-2", server)],
     ));
@@ -222,7 +222,11 @@
     held.send_request("look", "held", 20_000);
     next_command(&seen);
     let stop_thread = thread::spawn(move || limiter.stop());
-    assert_eq!(idle.line(), "", "idle connection is closed during shutdown");
+    assert_eq!(
+        idle.read_line(),
+        "",
+        "idle connection is closed during shutdown"
+    );
     let mut late = Client::connect_at(at);
     late.send_request("pay", "late", 20_000);
     assert_eq!(late.read_reply(), "late");
@@ -246,7 +250,7 @@
     program.signal("HUP");
     // The limiter closes the new connection as idle, so it has handled SIGTERM.
     assert_eq!(
-        Client::connect_when_ready_at(program.client_address).line(),
+        Client::connect_when_ready_at(program.client_address).read_line(),
         ""
     );
     gate.open();
@@ -258,7 +262,7 @@
 fn shutdown_during_a_partial_answer_delivers_the_complete_answer() {
     let (first_half_sent, gate) = (Gate::default(), Gate::default());
     let (server_first_half_sent, server_gate) = (first_half_sent.clone(), gate.clone());
-    let server = peer(move |_, mut stream| {
+    let server = start_peer(move |_, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = read_command(&mut stream, &mut bytes) {
             let PeerAction::Reply(response) = served_reply(&words[2]) else {
@@ -275,7 +279,7 @@
                 .expect("response is written");
         }
     });
-    let limiter = limiter(&settings_with_long_deadlines(
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server)],
     ));
@@ -286,10 +290,14 @@
     client.send_request("pay", "pay-1", 20_000);
     first_half_sent.wait();
     let stop_thread = thread::spawn(move || limiter.stop());
-    assert_eq!(idle.line(), "", "idle connection is closed during shutdown");
+    assert_eq!(
+        idle.read_line(),
+        "",
+        "idle connection is closed during shutdown"
+    );
     gate.open();
     assert_eq!(
-        (client.read_reply(), client.line()),
+        (client.read_reply(), client.read_line()),
         ("pay-1".into(), String::new())
     );
     stop_thread.join().expect("limiter stops without a panic");
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -1,8 +1,8 @@
 //! Upstream servers and clients whose progress the tests control.
 
 use crate::peers::{
-    admin_call, quota_counter, request_command, resp_peer, served_reply, settings, wait_until,
-    Client, Running, Seen,
+    admin_call, quota_counter, request_command, served_reply, settings, start_resp_peer,
+    wait_until, Client, RunningLimiter, Seen,
 };
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
@@ -58,7 +58,7 @@
 }
 
 /// Waits until the limiter reports `count` in-flight requests.
-pub fn wait_for_in_flight(limiter: &Running, count: usize) {
+pub fn wait_for_in_flight(limiter: &RunningLimiter, count: usize) {
     let line = format!("limiter.in_flight={count}\n");
     wait_until(
         || {
@@ -76,7 +76,7 @@
 pub fn gated_server(held_id: &'static str) -> (SocketAddr, Gate, Seen) {
     let gate = Gate::default();
     let server_gate = gate.clone();
-    let (at, seen) = resp_peer(move |_, words| {
+    let (at, seen) = start_resp_peer(move |_, words| {
         if words[2] == held_id {
             server_gate.wait();
         }
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -2,9 +2,9 @@
 //! established late.
 
 use crate::peers::{
-    admin_call, endpoint_entry, limiter, next_command, peer, quota_counter, read_command,
-    read_http_message, resp_peer, served_reply, settings, silent_discovery, wait_until, Client,
-    PeerAction,
+    admin_call, endpoint_entry, next_command, quota_counter, read_command, read_http_message,
+    served_reply, settings, silent_discovery, start_limiter, start_peer, start_resp_peer,
+    wait_until, Client, PeerAction,
 };
 use crate::support::{
     settings_with_long_deadlines, Gate, UnresponsiveServer, CLOSE_DETECTION_LIMIT,
@@ -30,7 +30,7 @@
 ) -> (String, Vec<u8>) {
     let (gate, update_gate) = (Gate::default(), Gate::default());
     let server_gate = gate.clone();
-    let (server, seen) = resp_peer(move |_, _| {
+    let (server, seen) = start_resp_peer(move |_, _| {
         server_gate.wait();
         PeerAction::Reply("-ERR failed\r\n".into())
     });
@@ -42,7 +42,7 @@
     let update =
         serde_json::json!({"generation": 9, "reset": true, "instances": entries}).to_string();
     let discovery_gate = update_gate.clone();
-    let discovery = peer(move |_, stream| {
+    let discovery = start_peer(move |_, stream| {
         let mut reader = BufReader::new(stream);
         _ = read_http_message(&mut reader, false);
         discovery_gate.wait();
@@ -56,7 +56,7 @@
     });
     let mut config = settings_with_long_deadlines(discovery, &[("s-1", server)]);
     config["settings"]["classes"][1]["memorySpan"] = (window.as_micros() as u64).into();
-    let limiter = limiter(&config);
+    let limiter = start_limiter(&config);
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("hold", "id-1", 20_000);
     next_command(&seen);
@@ -106,7 +106,7 @@
 #[test]
 fn cancelled_attempt_is_not_written_when_its_connection_is_established() {
     let server = UnresponsiveServer::new();
-    let limiter = limiter(&settings_with_long_deadlines(
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server.at)],
     ));
@@ -126,7 +126,7 @@
     };
     let (id_sender, received_ids) = channel();
     let id_sender = Mutex::new(id_sender);
-    let server = peer(move |_, mut stream| {
+    let server = start_peer(move |_, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = read_command(&mut stream, &mut bytes) {
             let id = words[2].clone();
@@ -151,7 +151,7 @@
             }
         }
     });
-    let limiter = limiter(&settings_with_long_deadlines(
+    let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
         &[("s-1", server), ("s-2", server)],
     ));
@@ -179,10 +179,10 @@
 
 #[test]
 fn connection_with_a_short_idle_timeout_is_reused_within_it() {
-    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server)]);
     config["settings"]["limits"]["connIdle"] = 2_000_000.into();
-    let limiter = limiter(&config);
+    let limiter = start_limiter(&config);
     let mut client = Client::connect_when_ready(&limiter);
     // The pause exceeds the 20 ms after which a connection may be reused; a slow server only makes
     // the pause longer.
@@ -207,7 +207,7 @@
     for full_list in [false, true] {
         let (server, spare_server) = (
             UnresponsiveServer::new(),
-            resp_peer(|_, words| served_reply(&words[2])).0,
+            start_resp_peer(|_, words| served_reply(&words[2])).0,
         );
         let (gate, draining_entry, spare_entry) = (
             Gate::default(),
@@ -224,7 +224,7 @@
         );
         let update = serde_json::json!({"generation": 9, "reset": full_list, "instances": entries})
             .to_string();
-        let discovery = peer(move |_, stream| {
+        let discovery = start_peer(move |_, stream| {
             let mut reader = BufReader::new(stream);
             _ = read_http_message(&mut reader, false);
             let writer = reader.get_mut();
@@ -237,7 +237,7 @@
                 .expect("response is written");
             _ = read_http_message(&mut reader, false);
         });
-        let limiter = limiter(&settings_with_long_deadlines(
+        let limiter = start_limiter(&settings_with_long_deadlines(
             discovery,
             &[("s-1", server.at)],
         ));
@@ -274,7 +274,7 @@
     // If the next request comes on the same connection within 10 ms, the server sends the previous
     // answer once more before the new one.
     let previous_answers: Mutex<HashMap<usize, (Instant, String)>> = Mutex::default();
-    let (server, _seen) = resp_peer(move |connection_number, words| {
+    let (server, _seen) = start_resp_peer(move |connection_number, words| {
         let mut previous_answers = previous_answers.lock().expect("lock is not poisoned");
         let repeated = previous_answers
             .get(&connection_number)
@@ -289,7 +289,7 @@
         previous_answers.insert(connection_number, (Instant::now(), answer));
         PeerAction::Reply(text)
     });
-    let limiter = limiter(&settings(
+    let limiter = start_limiter(&settings(
         silent_discovery(),
         quota_counter().0,
         &[("s-1", server)],
@@ -305,7 +305,7 @@
 fn endless_answer_closes_its_connection_and_is_not_delivered() {
     let (end_sender, write_ended) = channel();
     let end_sender = Mutex::new(end_sender);
-    let server = peer(move |connection_number, mut stream| {
+    let server = start_peer(move |connection_number, mut stream| {
         let mut bytes = Vec::new();
         while let Some(words) = read_command(&mut stream, &mut bytes) {
             if connection_number == 0 {
@@ -325,7 +325,7 @@
     });
     // The endless bytes come where the limiter expects the first byte of an answer or the text of a
     // simple string.
-    let limiter = limiter(&settings(
+    let limiter = start_limiter(&settings(
         silent_discovery(),
         quota_counter().0,
         &[("s-1", server)],
--- a/tests/redis.rs
+++ b/tests/redis.rs
@@ -41,7 +41,7 @@
 fn redis(behavior: Behavior) -> (SocketAddr, Arc<Store>) {
     let store = Arc::new(Store::default());
     let shared = store.clone();
-    let at = peer(move |_, mut stream| {
+    let at = start_peer(move |_, mut stream| {
         let (mut bytes, mut queued) = (Vec::new(), Vec::new());
         while let Some(words) = read_command(&mut stream, &mut bytes) {
             if shared.transactions.load(Ordering::SeqCst) == 0 {
@@ -93,8 +93,8 @@
 
 /// Starts two limiters with an account whose quota has a burst of 40 units and refills far too
 /// slowly for more, and a client of each.
-fn limiter_pair(store: SocketAddr) -> Vec<(Running, Client)> {
-    let server = http_peer(|_, _, _| answer("200 OK", "{}")).to_string();
+fn limiter_pair(store: SocketAddr) -> Vec<(RunningLimiter, Client)> {
+    let server = start_http_peer(|_, _, _| http_reply("200 OK", "{}")).to_string();
     let start = |me| {
         let mut file: Value = serde_json::from_str(FILE).expect("the configuration file is JSON");
         file["listen"] = json!("127.0.0.1:0");
@@ -107,7 +107,7 @@
         // Requests that the quota does not cover are rejected after a part of the latency
         // objective, so a short objective keeps the test short.
         let description = DESCRIPTION.replace("\"aim-ms\": 800", "\"aim-ms\": 200");
-        let limiter = openapi_limiter(&file, &description);
+        let limiter = start_openapi_limiter(&file, &description);
         let client = Client::connect(&limiter);
         (limiter, client)
     };
@@ -115,7 +115,7 @@
 }
 
 /// Sends requests of one unit each to the limiters in turn and returns how many were served.
-fn count_served(limiters: &mut [(Running, Client)], requests: usize) -> usize {
+fn count_served(limiters: &mut [(RunningLimiter, Client)], requests: usize) -> usize {
     let text =
         "GET /v1/sailings/1/seats HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\n\r\n";
     let mut served = 0;
--- a/tests/units/handover_stages.rs
+++ b/tests/units/handover_stages.rs
@@ -96,7 +96,7 @@
             }
         }
         // Messages that were sent are still received, then the end of the stream; and stages with a
-        // limit time out.
+        // timeout time out.
         while let Some(signal) = pair.to_predecessor.pop_front() { pair.on_predecessor(Event::Received(signal)) }
         while let Some(signal) = pair.to_successor.pop_front() { pair.on_successor(Event::Received(signal)) }
         if !pair.successor_runs || pair.connection_closed { pair.on_predecessor(Event::ConnectionLost) }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -178,7 +178,7 @@
 fn twenty_upgrades_lose_no_request_execute_nothing_twice_and_report_every_unit_once() {
     let executions: Arc<Mutex<HashMap<String, usize>>> = Arc::default();
     let count = executions.clone();
-    let (server, _seen) = resp_peer(move |_, words| {
+    let (server, _seen) = start_resp_peer(move |_, words| {
         *count
             .lock()
             .expect("the lock is not poisoned")
@@ -263,7 +263,7 @@
 
 #[test]
 fn banned_server_stays_banned_during_and_after_an_upgrade() {
-    let (server, seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let folder = Folder::new("bans");
     let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     config["control"] = "127.0.0.1:0".into();
@@ -286,12 +286,12 @@
 
 #[test]
 fn hanging_successor_or_killed_predecessor_leaves_one_serving_process() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let folder = Folder::new("deaths");
     // The counter accepts calls and never answers.
     let mut config = settings(
         silent_discovery(),
-        http_peer(|_, _, _| PeerAction::Hang),
+        start_http_peer(|_, _, _| PeerAction::Hang),
         &[("s-1", server)],
     );
     config["control"] = "127.0.0.1:0".into();
@@ -329,7 +329,7 @@
 
 #[test]
 fn attempt_that_ends_before_the_learned_state_arrives_holds_no_concurrency_slot() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let folder = Folder::new("overtaken");
     let mut config = settings(silent_discovery(), quota_counter().0, &[("s-1", server)]);
     config["control"] = "127.0.0.1:0".into();
@@ -388,7 +388,7 @@
 
 #[test]
 fn limiter_serves_without_a_folder_a_socket_or_an_answering_predecessor() {
-    let (server, _seen) = resp_peer(|_, words| served_reply(&words[2]));
+    let (server, _seen) = start_resp_peer(|_, words| served_reply(&words[2]));
     let serves = |program: &Program| {
         program.call_until("ready", "YES");
         let mut client = Client::connect_when_ready_at(program.client_address);
@@ -421,7 +421,7 @@
 fn shutdown_during_an_aborted_upgrade_ends_in_order() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = Mutex::new(held);
-    let (server, seen) = resp_peer(move |_, words| {
+    let (server, seen) = start_resp_peer(move |_, words| {
         _ = held.lock().expect("the lock is not poisoned").recv();
         served_reply(&words[2])
     });
@@ -470,7 +470,7 @@
 
 #[test]
 fn request_is_not_forwarded_if_its_client_closed_during_the_connection_hand_over() {
-    let (server, seen) = resp_peer(|_, words| {
+    let (server, seen) = start_resp_peer(|_, words| {
         // Well over the time in which a limiter must detect that a client has disconnected.
         thread::sleep(Duration::from_millis(if words[2] == "first" {
             1_500
