--- a/src/quota_lease/holder/answers.rs
+++ b/src/quota_lease/holder/answers.rs
@@ -38,7 +38,9 @@
         let in_flight = exchange.in_flight.as_ref();
         let entries = in_flight.map(|in_flight| in_flight.report.accounts.len());
         if entries != Some(grant.entries as usize) {
-            return Err(MessageError::Entries("not as many as in the report"));
+            return Err(MessageError::Entries(
+                "number of entries differs from the report",
+            ));
         }
         exchange.incarnation = grant.incarnation;
         exchange.in_flight.take().ok_or(outdated)
--- a/tests/decision/parts/slow_start.rs
+++ b/tests/decision/parts/slow_start.rs
@@ -37,23 +37,23 @@
 fn sends_stay_below_the_multiple_that_overloads_a_server() {
     let warm_load = 40.0;
     let mut bucket = SlowStart::new(0, 0.0);
-    let mut sends = 0;
+    let mut sent_attempts = 0;
     for millisecond in 0..1_000 {
         let now = millisecond * 1_000;
         let tokens = bucket.tokens_at(now, Some(0.2), warm_load, &safety());
         if tokens >= 1.0 {
             bucket.take(now, tokens);
-            sends += 1;
+            sent_attempts += 1;
         }
     }
     let overload = warm_load * 0.2 * safety().overload_multiple;
     assert!(
-        sends > 0,
-        "expected at least one send to a cold server, got none"
+        sent_attempts > 0,
+        "expected at least one attempt at a cold server, got none"
     );
     assert!(
-        f64::from(sends) < overload,
-        "expected fewer sends in a second than the {overload} that overload the server, got {sends}"
+        f64::from(sent_attempts) < overload,
+        "expected fewer than the {overload} attempts in a second that overload the server, got {sent_attempts}"
     );
 }
 
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -179,10 +179,10 @@
         settings["control"] = "127.0.0.1:0".into();
         let program = Program::start("configured-list", &settings);
         program.call_until("ready", "YES");
-        let ask = || {
+        let send_request = || {
             Client::try_connect_at(program.client_address)?
                 .try_request(&request_command("look", "first", 1500))
         };
-        wait_until(ask, |answer| answer.as_deref() == Some("first"));
+        wait_until(send_request, |answer| answer.as_deref() == Some("first"));
     }
 }
--- a/tests/quota_lease/properties.rs
+++ b/tests/quota_lease/properties.rs
@@ -9,8 +9,8 @@
 
 /// Maximum number of requests that a step sends to one limiter.
 const MAX_REQUESTS_PER_LIMITER: usize = 8;
-/// Duration of a pause of a limiter, as in the failure that the issue describes. It equals the default
-/// duration of a lease.
+/// Duration of a pause of a limiter. It equals the default duration of a lease: a pause of this length
+/// has led to a failure.
 const PAUSE_DURATION: Micros = 10 * SECOND;
 const STEPS: usize = 60;
 /// Number of time slots in the duration of a lease. Unused units of expired leases are
--- a/tests/races/client_close.rs
+++ b/tests/races/client_close.rs
@@ -198,7 +198,7 @@
 #[test]
 fn request_is_not_written_if_its_client_closed_before_the_upstream_connection_was_established() {
     let server = UnresponsiveServer::new();
-    let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server.at)]);
+    let mut config = settings_with_long_deadlines(silent_discovery(), &[("s-1", server.address)]);
     // The rule also applies where open attempts may not be cancelled.
     config["settings"]["limits"]["mayCancel"] = false.into();
     let limiter = start_limiter(&config);
--- a/tests/races/client_close_http.rs
+++ b/tests/races/client_close_http.rs
@@ -43,8 +43,8 @@
 }
 
 /// Connects to the limiter and sends a request with this method and path.
-fn send_http(at: SocketAddr, method_and_path: &str) -> Client {
-    let mut client = Client::connect_at(at);
+fn send_http(address: SocketAddr, method_and_path: &str) -> Client {
+    let mut client = Client::connect_at(address);
     client.send(&format!(
         "{method_and_path} HTTP/1.1\r\nHost: x\r\nX-Agent-Account: agen-utama\r\nContent-Length: 0\r\n\r\n"
     ));
--- a/tests/races/close_latency.rs
+++ b/tests/races/close_latency.rs
@@ -45,7 +45,7 @@
     let program = Program::start("after-the-close", &config);
     program.call_until("ready", "YES");
     let mut throttle = throttle_to_a_tenth_of_a_core(&program, Duration::from_secs(30));
-    let (at, started_at) = (program.client_address, Instant::now());
+    let (address, started_at) = (program.client_address, Instant::now());
     let clients = (0..80).map(|client_number| {
         thread::spawn(move || {
             let (mut closed, mut rng) = (Vec::new(), fastrand::Rng::with_seed(client_number));
@@ -54,7 +54,7 @@
                     break;
                 }
                 let id = format!("left-{client_number}-{request_number}");
-                let mut client = Client::connect_at(at);
+                let mut client = Client::connect_at(address);
                 // For half of the clients the limiter's reader is paused when they close.
                 let sent_after = if request_number % 2 == 0 {
                     String::new()
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -24,7 +24,7 @@
 ) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (request_sender, received) = channel();
     let request_sender = Mutex::new(request_sender);
-    let at = start_peer(move |connection_number, stream| {
+    let address = start_peer(move |connection_number, stream| {
         let mut reader = BufReader::new(stream);
         let Ok((request_line, ..)) = read_http_message(&mut reader, false) else {
             return;
@@ -60,7 +60,7 @@
         }
         _ = read_http_message(&mut reader, false);
     });
-    (at, received)
+    (address, received)
 }
 
 /// Sends requests to the limiter until one is answered with `value`.
--- a/tests/races/shutdown.rs
+++ b/tests/races/shutdown.rs
@@ -102,14 +102,14 @@
         config["settings"]["tariffs"][0]["peakUnits"],
     ) = (1e6.into(), 1e6.into());
     let program = Program::start("request-during-shutdown", &config);
-    let at = program.client_address;
+    let address = program.client_address;
     // Each client sends one request after another on a connection, and opens a new one once that
     // closes, until the limiter no longer accepts connections.
     let clients: Vec<_> = (0..6)
         .map(|client_number| {
             thread::spawn(move || {
                 let (mut request_number, mut unanswered) = (0, Vec::new());
-                while let Some(mut client) = Client::try_connect_at(at) {
+                while let Some(mut client) = Client::try_connect_at(address) {
                     loop {
                         request_number += 1;
                         let id = format!("{client_number}-{request_number}");
@@ -214,10 +214,10 @@
         silent_discovery(),
         &[("s-1", server), ("s-2", server)],
     ));
-    let at = limiter.client_address;
+    let address = limiter.client_address;
     let (mut idle, mut held) = (
-        Client::connect_when_ready_at(at),
-        Client::connect_when_ready_at(at),
+        Client::connect_when_ready_at(address),
+        Client::connect_when_ready_at(address),
     );
     held.send_request("look", "held", 20_000);
     next_command(&seen);
@@ -227,7 +227,7 @@
         "",
         "idle connection is closed during shutdown"
     );
-    let mut late = Client::connect_at(at);
+    let mut late = Client::connect_at(address);
     late.send_request("pay", "late", 20_000);
     assert_eq!(late.read_reply(), "late");
     gate.open();
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -76,13 +76,13 @@
 pub fn gated_server(held_id: &'static str) -> (SocketAddr, Gate, Seen) {
     let gate = Gate::default();
     let server_gate = gate.clone();
-    let (at, seen) = start_resp_peer(move |_, words| {
+    let (address, seen) = start_resp_peer(move |_, words| {
         if words[2] == held_id {
             server_gate.wait();
         }
         served_reply(&words[2])
     });
-    (at, gate, seen)
+    (address, gate, seen)
 }
 
 /// Returns the ids of the requests that a server has received and that were not read from `seen`
@@ -96,7 +96,7 @@
 /// A server whose listen backlog is full, so that further connections are not established until
 /// [`open`](Self::open).
 pub struct UnresponsiveServer {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub listener: TcpListener,
     /// Connections of the test that fill the backlog.
     pub backlog_fillers: Vec<TcpStream>,
@@ -112,12 +112,12 @@
             .expect("socket is bound to a free port");
         socket.listen(0).expect("socket listens");
         let listener = TcpListener::from(socket);
-        let at = listener.local_addr().expect("listener has a local address");
+        let address = listener.local_addr().expect("listener has a local address");
         let timeout = Duration::from_millis(200);
         let backlog_fillers =
-            std::iter::from_fn(|| TcpStream::connect_timeout(&at, timeout).ok()).collect();
+            std::iter::from_fn(|| TcpStream::connect_timeout(&address, timeout).ok()).collect();
         Self {
-            at,
+            address,
             listener,
             backlog_fillers,
         }
@@ -126,7 +126,7 @@
     /// Waits until the limiter tries to connect to this server and the connection is not
     /// established yet.
     pub fn wait_for_connect(&self) {
-        let port = format!(":{:04X}", self.at.port());
+        let port = format!(":{:04X}", self.address.port());
         let table = || std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
         // The third field is the remote address; state 02 is SYN_SENT.
         let connecting = |line: &str| {
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -37,7 +37,7 @@
     let other = UnresponsiveServer::new();
     let entries = vec![
         endpoint_entry("s-1", server, "terminating"),
-        endpoint_entry("s-2", other.at, "in_service"),
+        endpoint_entry("s-2", other.address, "in_service"),
     ];
     let update =
         serde_json::json!({"generation": 9, "reset": true, "instances": entries}).to_string();
@@ -108,7 +108,7 @@
     let server = UnresponsiveServer::new();
     let limiter = start_limiter(&settings_with_long_deadlines(
         silent_discovery(),
-        &[("s-1", server.at)],
+        &[("s-1", server.address)],
     ));
     let mut client = Client::connect_when_ready(&limiter);
     client.send_request("pay", "pay-1", 2_000);
@@ -211,7 +211,7 @@
         );
         let (gate, draining_entry, spare_entry) = (
             Gate::default(),
-            endpoint_entry("s-1", server.at, "terminating"),
+            endpoint_entry("s-1", server.address, "terminating"),
             endpoint_entry("s-2", spare_server, "in_service"),
         );
         let (discovery_gate, entries) = (
@@ -239,7 +239,7 @@
         });
         let limiter = start_limiter(&settings_with_long_deadlines(
             discovery,
-            &[("s-1", server.at)],
+            &[("s-1", server.address)],
         ));
         let mut client = Client::connect_when_ready(&limiter);
         client.send_request("pay", "pay-1", 20_000);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
     /// Per account, the units in the token bucket of its ceiling, and when the bucket was last
     /// updated.
     ceiling_buckets: BTreeMap<String, (f64, Micros)>,
-    sends: usize,
+    sent_attempts: usize,
     rejections: usize,
 }
 
@@ -70,7 +70,7 @@
     }
 
     fn send(&mut self, now: Micros, id: &str, server: &ServerId, settings: &Settings) {
-        self.sends += 1;
+        self.sent_attempts += 1;
         let tracked = self
             .requests
             .get_mut(id)
@@ -304,7 +304,7 @@
                 &settings,
             );
         }
-        sent += checker.sends;
+        sent += checker.sent_attempts;
         rejected += checker.rejections;
     }
     assert!(
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -72,7 +72,7 @@
 }
 
 impl Load {
-    fn start(at: SocketAddr) -> Self {
+    fn start(address: SocketAddr) -> Self {
         let (stop, total_served) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
@@ -80,7 +80,7 @@
         let client = |number| {
             let (stop, total_served) = (stop.clone(), total_served.clone());
             thread::spawn(move || {
-                let (mut client, mut served) = (Client::connect_when_ready_at(at), 0);
+                let (mut client, mut served) = (Client::connect_when_ready_at(address), 0);
                 while !stop.load(Ordering::SeqCst) {
                     let id = format!("pay-{number}-{served}");
                     let text = request_command("pay", &id, 1900).replace("spread=1", "spread=2");
@@ -193,9 +193,9 @@
         "upgrades-0",
         &upgradable_config(counter, server, SocketAddr::from(([127, 0, 0, 1], 0))),
     );
-    let at = current.client_address;
+    let address = current.client_address;
     current.call_until("ready", "YES");
-    let load = Load::start(at);
+    let load = Load::start(address);
     for number in 1..=20 {
         load.wait_for_more_replies();
         // Forced failures of a hand-over: after each of them the current process continues to
@@ -226,7 +226,7 @@
             9 | 15 => drop(incomplete_successor(&folder, 1)),
             11 | 17 => drop(incomplete_successor(&folder, 2)),
             13 => {
-                let mut bad = upgradable_config(counter, server, at);
+                let mut bad = upgradable_config(counter, server, address);
                 bad["settings"]["classes"] = Value::Null;
                 Program::expect_start_failure("upgrades-bad", &bad, &folder.0);
             }
@@ -236,9 +236,9 @@
         let successor = start(
             &folder.0,
             &format!("upgrades-{number}"),
-            &upgradable_config(counter, server, at),
+            &upgradable_config(counter, server, address),
         );
-        assert_eq!(successor.client_address, at);
+        assert_eq!(successor.client_address, address);
         successor.call_until("ready", "YES");
         std::mem::replace(&mut current, successor).terminate();
     }
