--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -1,44 +1,45 @@
-//! What goes beyond quotas: units sent on per tenant, summed over all limiters, against `rate * t + burst`.
+//! Audit of quotas: compares the units that all limiters together sent upstream for each tenant with
+//! the bound `rate * t + burst`.
 
 use crate::population::{Plan, Population};
 use std::collections::HashMap;
 
-/// Microseconds of a second.
+/// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
-/// A bucket that watches one tenant; what it does not hold was beyond the quota.
+/// Token bucket of one tenant. Units that exceed its level are beyond the quota.
 struct Bucket {
     level: f64,
-    filled: u64,
+    refilled_at: u64,
 }
 
-/// The sums of all tenants.
+/// Token buckets and sums of all tenants.
 #[derive(Default)]
 pub struct QuotaAudit {
-    /// Seconds at the plan's rate that buckets hold beyond the burst.
+    /// Seconds at the plan's rate by which each bucket is larger than the burst.
     slack_s: f64,
     buckets: HashMap<usize, Bucket>,
     beyond: HashMap<usize, f64>,
     sent: f64,
 }
 
-/// What an audit found.
+/// Result of an audit.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct AuditResult {
-    /// Units sent on.
+    /// Units sent upstream.
     pub sent_units: f64,
-    /// Units beyond `rate * t + burst`, whatever the interval.
+    /// Units beyond `rate * t + burst`, over intervals of any length.
     pub beyond_units: f64,
-    /// The same as a share of what was sent on.
+    /// Units beyond the bound as a share of the units sent upstream.
     pub beyond_share: f64,
-    /// Tenants with any.
+    /// Number of tenants with units beyond the bound.
     pub tenants_beyond: usize,
-    /// The most of any tenant, in buckets of its plan.
+    /// The largest excess of any tenant, as a multiple of its plan's burst.
     pub worst_in_bursts: f64,
 }
 
 impl QuotaAudit {
-    /// An audit against `rate * (t + slack_s) + burst`.
+    /// Creates an audit against `rate * (t + slack_s) + burst`.
     pub fn with_slack(slack_s: f64) -> Self {
         Self {
             slack_s,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Units sent on so far, and those of them beyond.
+    /// Returns the units sent upstream so far and how many of them were beyond the bound.
     pub fn totals(&self) -> (f64, f64) {
         (
             self.sent,
@@ -54,16 +55,17 @@
         )
     }
 
-    /// Takes units that were sent on. Times are in µs and must not go back for a tenant.
+    /// Records units that were sent upstream at the time `at` in µs, which must not decrease for a
+    /// tenant.
     pub fn sent(&mut self, at: u64, tenant: usize, units: f64, plan: Plan) {
-        let whole = plan.burst + plan.rate * self.slack_s;
+        let capacity = plan.burst + plan.rate * self.slack_s;
         let bucket = self.buckets.entry(tenant).or_insert(Bucket {
-            level: whole,
-            filled: at,
+            level: capacity,
+            refilled_at: at,
         });
-        let span = at.saturating_sub(bucket.filled) as f64 / SECOND;
-        bucket.filled = at.max(bucket.filled);
-        bucket.level = (bucket.level + plan.rate * span).min(whole) - units;
+        let elapsed_s = at.saturating_sub(bucket.refilled_at) as f64 / SECOND;
+        bucket.refilled_at = at.max(bucket.refilled_at);
+        bucket.level = (bucket.level + plan.rate * elapsed_s).min(capacity) - units;
         self.sent += units;
         if bucket.level < 0.0 {
             *self.beyond.entry(tenant).or_default() -= bucket.level;
@@ -71,7 +73,7 @@
         }
     }
 
-    /// What was found.
+    /// Returns the result so far.
     pub fn result(&self, population: &Population) -> AuditResult {
         let (_, beyond) = self.totals();
         let in_bursts = |(tenant, units): (&usize, &f64)| units / population.plan(*tenant).burst;
--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -1,4 +1,4 @@
-//! Child processes of a run: each is this program again under a hidden command.
+//! Child processes of a run. Each runs this program again with a hidden subcommand.
 
 use crate::error::LabError;
 use crate::messages::{Command, Reply, Start};
@@ -7,10 +7,10 @@
 use std::process::{Child as Process, ChildStdin, Stdio};
 use std::time::Duration;
 
-/// The hidden command that makes this program a child.
+/// The hidden subcommand that runs this program as a child process.
 pub const CHILD_COMMAND: &str = "child";
 
-/// A child process; it ends with this value.
+/// A child process. It is killed when this value is dropped.
 pub struct Child {
     process: Process,
     input: ChildStdin,
@@ -19,7 +19,7 @@
 }
 
 impl Child {
-    /// Starts a child.
+    /// Starts a child process and sends it its first message.
     pub fn start(name: &str, start: &Start) -> Result<Self, LabError> {
         let program = std::env::current_exe()?;
         let mut process = std::process::Command::new(program)
@@ -36,13 +36,13 @@
                 child: name.to_owned(),
             });
         };
-        let (told, replies) = unbounded();
+        let (sender, replies) = unbounded();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 let Ok(reply) = serde_json::from_str(&line) else {
                     return;
                 };
-                if told.send(reply).is_err() {
+                if sender.send(reply).is_err() {
                     return;
                 }
             }
@@ -57,13 +57,13 @@
         Ok(child)
     }
 
-    /// Its process number.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Tells it something.
-    pub fn tell(&mut self, command: &Command) -> Result<(), LabError> {
+    /// Sends a command.
+    pub fn send(&mut self, command: &Command) -> Result<(), LabError> {
         self.write(command)
     }
 
@@ -76,10 +76,10 @@
         })
     }
 
-    /// Its next reply.
-    pub fn reply(&self, within: Duration) -> Result<Reply, LabError> {
+    /// Waits up to `timeout` for the next reply.
+    pub fn next_reply(&self, timeout: Duration) -> Result<Reply, LabError> {
         self.replies
-            .recv_timeout(within)
+            .recv_timeout(timeout)
             .map_err(|source| LabError::NoReply {
                 child: self.name.clone(),
                 source,
@@ -89,7 +89,7 @@
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // It may have ended of itself.
+        // Fails if the process has already exited.
         _ = self.process.kill();
         _ = self.process.wait();
     }
--- a/lab/src/clock.rs
+++ b/lab/src/clock.rs
@@ -1,8 +1,8 @@
-//! The system's clock as all processes of one machine share it.
+//! The system clock, which all processes of one machine share.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Unix time in µs.
+/// Returns the Unix time in µs.
 pub fn now() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's quota counter: named counts over HTTP/1.1, counted by zone.
+//! Stand-in for the platform's quota counter: named counts over HTTP/1.1. Traffic is counted by zone.
 
 use crate::error::LabError;
 use crate::messages::{Command, Reply};
@@ -10,21 +10,21 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A connection of a zone that is cut off looks so often whether it is back.
+/// Interval at which a connection of a cut-off zone checks whether the zone is connected again.
 const SILENT_POLL: Duration = Duration::from_millis(20);
-/// Shards of the table, so that connections do not wait for each other.
+/// Number of shards of the table, to reduce lock contention between connections.
 const SHARDS: usize = 64;
 
 type Shard = Mutex<HashMap<u64, f64>>;
 
-/// Counts by name. Names live for as long as a run.
+/// Counts by name. No count expires during a run.
 #[derive(Default)]
 pub struct Counts {
     shards: Vec<Shard>,
 }
 
 impl Counts {
-    /// No count yet.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self {
             shards: (0..SHARDS).map(|_| Shard::default()).collect(),
@@ -32,16 +32,16 @@
     }
 
     /// Adds to a count and returns its total.
-    pub fn add(&self, name: u64, by: f64) -> f64 {
+    pub fn add(&self, name: u64, amount: f64) -> f64 {
         let shard = &self.shards[name as usize % SHARDS];
         let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
         let total = shard.entry(name).or_default();
-        *total += by;
+        *total += amount;
         *total
     }
 }
 
-/// The answer to a call.
+/// Formats the HTTP response to a call.
 pub fn answer(total: f64) -> String {
     let body = total.to_string();
     format!(
@@ -50,15 +50,15 @@
     )
 }
 
-/// Serves until it is told to finish.
+/// Serves until the controller sends [`Command::Finish`].
 pub fn run(zones: u32) -> Result<(), LabError> {
     let zones: Vec<Arc<ZoneCounters>> = (0..zones).map(|_| Arc::default()).collect();
     let counts = Arc::new(Counts::new());
     let ports = stand_in::listen(&zones, move |stream, zone: &ZoneCounters| {
-        // A connection that ends is the caller's to open again.
+        // The limiter reopens a connection that ends.
         _ = serve(&counts, &stream, zone);
     });
-    stand_in::reply(&Reply::Ready(ports?))?;
+    stand_in::send_reply(&Reply::Ready(ports?))?;
     for command in stand_in::commands() {
         match command {
             Command::Cut { zones: cut, silent } => {
@@ -66,12 +66,12 @@
                     .filter_map(|zone| zones.get(*zone as usize))
                     .for_each(|z| z.set_silent(silent));
             }
-            Command::Report => stand_in::reply(&load(&zones))?,
+            Command::Report => stand_in::send_reply(&load(&zones))?,
             Command::Finish => break,
             _ => {}
         }
     }
-    stand_in::reply(&load(&zones))
+    stand_in::send_reply(&load(&zones))
 }
 
 fn load(zones: &[Arc<ZoneCounters>]) -> Reply {
@@ -81,18 +81,18 @@
 fn serve(counts: &Counts, mut stream: &TcpStream, zone: &ZoneCounters) -> Result<(), ReadError> {
     let mut reader = Reader::new(stream);
     loop {
-        let ask = reader.read_request()?;
-        let headers: usize = ask
+        let request = reader.read_request()?;
+        let headers: usize = request
             .headers
             .iter()
             .map(|(name, value)| name.len() + value.len() + 4)
             .sum();
-        zone.call(ask.method.len() + ask.target.len() + 12 + headers + 2);
+        zone.call(request.method.len() + request.target.len() + 12 + headers + 2);
         while zone.is_silent() {
             std::thread::sleep(SILENT_POLL);
         }
-        let text = match addition(&ask.target) {
-            Some((name, by)) => answer(counts.add(name, by)),
+        let text = match parse_addition(&request.target) {
+            Some((name, amount)) => answer(counts.add(name, amount)),
             None => "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".to_owned(),
         };
         zone.answer(text.len());
@@ -100,11 +100,11 @@
     }
 }
 
-/// Name and amount of a call.
-fn addition(target: &str) -> Option<(u64, f64)> {
+/// Parses the name of the count and the amount from the target of a call.
+fn parse_addition(target: &str) -> Option<(u64, f64)> {
     let (name, query) = target.strip_prefix("/v1/count/")?.split_once('?')?;
-    let by = query
+    let amount = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("add="))?;
-    Some((name.parse().ok()?, by.parse().ok()?))
+    Some((name.parse().ok()?, amount.parse().ok()?))
 }
--- a/lab/src/counter_mechanism.rs
+++ b/lab/src/counter_mechanism.rs
@@ -1,13 +1,13 @@
-//! Quotas by calls of a shared counter: a real decision module at each limiter, counts dealt out among the control
-//! machines by name. The counter answers at once.
+//! Quotas by a shared counter: a real decision engine at each limiter, and counts that are sharded over
+//! the control machines by key. The counter has no processing time.
 
 use crate::counter;
 use crate::engine_host::{settings, CounterCall, Effects, EngineHost};
 use crate::event_queue::EventQueue;
-use crate::population::{Drawn, Population};
+use crate::population::{DrawnRequest, Population};
 use crate::quota_log::QuotaLog;
 use crate::quota_mechanism::QuotaMechanism;
-use crate::quota_network::{Changed, QuotaNetwork};
+use crate::quota_network::{NetworkChange, QuotaNetwork};
 use mossrill::counter::http::HttpCounterProtocol;
 use mossrill::counter::{Addition, CounterProtocol};
 use mossrill::decision::{Micros, Outcome};
@@ -16,21 +16,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// A scheduled event of the simulation.
 enum Due {
     Wake(u32),
-    Arrives {
+    CallArrives {
         limiter: u32,
         machine: u32,
         call: CounterCall,
     },
-    Answered {
+    AnswerArrives {
         limiter: u32,
-        name: u64,
+        key: u64,
         total: f64,
     },
 }
 
-/// Limiters and a sharded counter.
+/// All limiters and the sharded counter.
 pub struct CounterMechanism {
     population: Arc<Population>,
     seed: u64,
@@ -41,7 +42,7 @@
 }
 
 impl CounterMechanism {
-    /// All limiters start now.
+    /// Creates the mechanism; all limiters start at `now`.
     pub fn new(
         now: Micros,
         network: &QuotaNetwork,
@@ -49,7 +50,7 @@
         seed: u64,
     ) -> Self {
         let limiters = network.limiters();
-        let mut all = Self {
+        let mut mechanism = Self {
             population,
             seed,
             hosts: Vec::new(),
@@ -58,14 +59,14 @@
             queue: EventQueue::default(),
         };
         for limiter in 0..limiters {
-            let host = all.host(now, limiter, limiters);
-            all.hosts.push(host);
-            all.set_wake(now, limiter);
+            let host = mechanism.new_host(now, limiter, limiters);
+            mechanism.hosts.push(host);
+            mechanism.set_wake(now, limiter);
         }
-        all
+        mechanism
     }
 
-    fn host(&self, now: Micros, limiter: u32, limiters: u32) -> EngineHost {
+    fn new_host(&self, now: Micros, limiter: u32, limiters: u32) -> EngineHost {
         let seed = self
             .seed
             .wrapping_mul(1_000_003)
@@ -75,14 +76,14 @@
     }
 
     fn set_wake(&mut self, now: Micros, limiter: u32) {
-        let wake = self.hosts[limiter as usize].next().max(now);
+        let wake = self.hosts[limiter as usize].next_wake().max(now);
         if wake < self.wake_at[limiter as usize] {
             self.wake_at[limiter as usize] = wake;
             self.queue.push(wake, Due::Wake(limiter));
         }
     }
 
-    fn carry_out(
+    fn apply_effects(
         &mut self,
         now: Micros,
         network: &QuotaNetwork,
@@ -100,12 +101,12 @@
             .for_each(|waited| log.refused(*waited));
         for call in effects.calls {
             log.message_up(call_bytes(&call));
-            let machine = (call.name % u64::from(network.machines())) as u32;
-            // What does not get through is given up by the limiter itself.
-            if let Some(way) = network.one_way(limiter, machine) {
+            let machine = (call.key % u64::from(network.machines())) as u32;
+            // A call that is not delivered times out at the limiter.
+            if let Some(delay) = network.one_way(limiter, machine) {
                 self.queue.push(
-                    now + way,
-                    Due::Arrives {
+                    now + delay,
+                    Due::CallArrives {
                         limiter,
                         machine,
                         call,
@@ -116,7 +117,7 @@
         self.set_wake(now, limiter);
     }
 
-    fn arrives(
+    fn on_call_arrival(
         &mut self,
         now: Micros,
         network: &QuotaNetwork,
@@ -124,20 +125,20 @@
         call: &CounterCall,
         log: &mut QuotaLog,
     ) {
-        if !network.machine_is_up(machine) {
+        if !network.is_machine_up(machine) {
             return;
         }
         log.message_arrived(machine);
-        let total = self.counts[machine as usize].entry(call.name).or_default();
-        *total += call.by;
+        let total = self.counts[machine as usize].entry(call.key).or_default();
+        *total += call.amount;
         let total = *total;
         log.message_down(counter::answer(total).len());
-        if let Some(way) = network.one_way(limiter, machine) {
+        if let Some(delay) = network.one_way(limiter, machine) {
             self.queue.push(
-                now + way,
-                Due::Answered {
+                now + delay,
+                Due::AnswerArrives {
                     limiter,
-                    name: call.name,
+                    key: call.key,
                     total,
                 },
             );
@@ -145,33 +146,39 @@
     }
 }
 
-/// Bytes of a call as the limiter's codec writes it.
+/// Returns the length in bytes of a call as the limiter's codec encodes it.
 fn call_bytes(call: &CounterCall) -> usize {
-    let at = SocketAddr::from((Ipv4Addr::new(10, 2, 0, 1), 6_400));
+    let address = SocketAddr::from((Ipv4Addr::new(10, 2, 0, 1), 6_400));
     let ttl = Duration::from_micros(call.ttl);
     HttpCounterProtocol
         .encode(
             &Addition {
                 call_number: 0,
-                counter: call.name,
-                amount: call.by,
+                counter: call.key,
+                amount: call.amount,
                 ttl,
             },
-            at,
+            address,
         )
         .len()
 }
 
 impl QuotaMechanism for CounterMechanism {
-    fn request(&mut self, now: Micros, network: &QuotaNetwork, drawn: Drawn, log: &mut QuotaLog) {
+    fn request(
+        &mut self,
+        now: Micros,
+        network: &QuotaNetwork,
+        drawn: DrawnRequest,
+        log: &mut QuotaLog,
+    ) {
         let mut effects = Effects::default();
-        let asked = (drawn.tenant, drawn.units);
-        self.hosts[drawn.limiter as usize].request(now, &self.population, asked, &mut effects);
-        self.carry_out(now, network, drawn.limiter, effects, log);
+        let request = (drawn.tenant, drawn.units);
+        self.hosts[drawn.limiter as usize].request(now, &self.population, request, &mut effects);
+        self.apply_effects(now, network, drawn.limiter, effects, log);
     }
 
-    fn next(&self) -> Micros {
-        self.queue.next()
+    fn next_event_time(&self) -> Micros {
+        self.queue.next_time()
     }
 
     fn step(&mut self, network: &QuotaNetwork, log: &mut QuotaLog) {
@@ -179,12 +186,12 @@
             return;
         };
         let limiter = match &due {
-            Due::Wake(limiter) | Due::Arrives { limiter, .. } | Due::Answered { limiter, .. } => {
-                *limiter
-            }
+            Due::Wake(limiter)
+            | Due::CallArrives { limiter, .. }
+            | Due::AnswerArrives { limiter, .. } => *limiter,
         };
         let paused_until = network.paused_until(limiter);
-        if now < paused_until && !matches!(due, Due::Arrives { .. }) {
+        if now < paused_until && !matches!(due, Due::CallArrives { .. }) {
             if matches!(due, Due::Wake(_)) {
                 self.wake_at[limiter as usize] = paused_until;
             }
@@ -192,37 +199,44 @@
         }
         let mut effects = Effects::default();
         match due {
-            Due::Arrives { machine, call, .. } => {
-                return self.arrives(now, network, (limiter, machine), &call, log);
+            Due::CallArrives { machine, call, .. } => {
+                return self.on_call_arrival(now, network, (limiter, machine), &call, log);
             }
-            // An earlier look has taken its place.
+            // Outdated: the limiter was rescheduled to an earlier time and has been woken.
             Due::Wake(_) if self.wake_at[limiter as usize] != now => return,
             Due::Wake(_) => {
                 self.wake_at[limiter as usize] = Micros::MAX;
                 self.hosts[limiter as usize].wake(now, &mut effects);
             }
-            Due::Answered { name, total, .. } => {
-                self.hosts[limiter as usize].counted(now, name, Outcome::Ok, total, &mut effects);
+            Due::AnswerArrives { key, total, .. } => {
+                self.hosts[limiter as usize].on_counter_reply(
+                    now,
+                    key,
+                    Outcome::Ok,
+                    total,
+                    &mut effects,
+                );
             }
         }
-        self.carry_out(now, network, limiter, effects, log);
+        self.apply_effects(now, network, limiter, effects, log);
     }
 
-    fn changed(&mut self, now: Micros, network: &QuotaNetwork, changed: &Changed) {
-        match changed {
-            Changed::MachineLost(machine) => self.counts[*machine as usize].clear(),
-            Changed::LimitersStarted(limiters) => {
+    fn apply_change(&mut self, now: Micros, network: &QuotaNetwork, change: &NetworkChange) {
+        match change {
+            NetworkChange::MachineLost(machine) => self.counts[*machine as usize].clear(),
+            NetworkChange::LimitersStarted(limiters) => {
                 for limiter in limiters {
-                    self.hosts[*limiter as usize] = self.host(now, *limiter, network.limiters());
+                    self.hosts[*limiter as usize] =
+                        self.new_host(now, *limiter, network.limiters());
                     self.set_wake(now, *limiter);
                 }
             }
-            Changed::MachineBack(_) | Changed::Regions | Changed::Nothing => {}
+            NetworkChange::MachineBack(_) | NetworkChange::Regions | NetworkChange::Nothing => {}
         }
     }
 
     fn accounts_per_limiter(&self) -> f64 {
-        // The module does not tell.
+        // The engine does not report it.
         0.0
     }
 
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Stand-in for discovery: the whole list and a watch over HTTP/1.1, counted by zone.
+//! Stand-in for service discovery: the whole server list and a watch on its changes over HTTP/1.1.
+//! Traffic is counted by zone.
 
 use crate::clock;
 use crate::error::LabError;
@@ -12,12 +13,12 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// As long as nothing changes, an empty line is sent so often.
+/// Interval of the empty lines that a watch sends while the list does not change.
 const KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// A connection of a zone that is cut off looks so often whether it is back.
+/// Interval at which a connection of a cut-off zone checks whether the zone is connected again.
 const SILENT_POLL: Duration = Duration::from_millis(50);
 
-/// The list, and the word that it has changed.
+/// The server list, and the condition variable that signals its changes.
 struct Shared {
     list: Mutex<ServerList>,
     changed: Condvar,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Serves until it is told to finish.
+/// Serves until the controller sends [`Command::Finish`].
 pub fn run(scenario: &Scenario, seed: u64) -> Result<(), LabError> {
     let sizes = &scenario.sizes;
     let list = ServerList::new(sizes.servers, sizes.services, sizes.zones, seed);
@@ -40,15 +41,15 @@
     let zones: Vec<Arc<ZoneCounters>> = (0..sizes.zones).map(|_| Arc::default()).collect();
     let served = shared.clone();
     let ports = stand_in::listen(&zones, move |stream, zone: &ZoneCounters| {
-        // A connection that ends is the reader's to open again.
+        // The limiter reopens a connection that ends.
         _ = serve(&served, &stream, zone);
     });
-    stand_in::reply(&Reply::Ready(ports?))?;
+    stand_in::send_reply(&Reply::Ready(ports?))?;
     publish(&shared)?;
     for command in stand_in::commands() {
         match command {
             Command::ChangeList(count) => {
-                shared.list().restart_some(count, clock::now() / 1_000);
+                shared.list().restart_servers(count, clock::now() / 1_000);
                 publish(&shared)?;
             }
             Command::SetZone { zone, in_service } => {
@@ -62,12 +63,12 @@
                     .filter_map(|zone| zones.get(*zone as usize))
                     .for_each(|z| z.set_silent(silent));
             }
-            Command::Report => stand_in::reply(&load(&zones))?,
+            Command::Report => stand_in::send_reply(&load(&zones))?,
             Command::Begin | Command::AwaitVersion { .. } => {}
             Command::Finish => break,
         }
     }
-    stand_in::reply(&load(&zones))
+    stand_in::send_reply(&load(&zones))
 }
 
 fn load(zones: &[Arc<ZoneCounters>]) -> Reply {
@@ -85,7 +86,7 @@
     };
     let at = clock::now();
     shared.changed.notify_all();
-    stand_in::reply(&Reply::Published {
+    stand_in::send_reply(&Reply::Published {
         generation,
         at,
         bytes,
@@ -95,11 +96,13 @@
 fn serve(shared: &Shared, stream: &TcpStream, zone: &ZoneCounters) -> Result<(), ReadError> {
     let mut reader = Reader::new(stream);
     loop {
-        let ask = reader.read_request()?;
-        // The request line, the host line and the empty one.
-        zone.call(ask.method.len() + ask.target.len() + 12 + header_bytes(&ask.headers) + 2);
-        wait_for_way(zone);
-        match watched_from(&ask.target) {
+        let request = reader.read_request()?;
+        // Bytes of the request line, the header lines and the empty line.
+        zone.call(
+            request.method.len() + request.target.len() + 12 + header_bytes(&request.headers) + 2,
+        );
+        wait_while_cut_off(zone);
+        match watch_start(&request.target) {
             None => send_whole(shared, stream, zone)?,
             Some(from) => return Ok(watch(shared, stream, zone, from)?),
         }
@@ -113,14 +116,14 @@
         .sum()
 }
 
-fn wait_for_way(zone: &ZoneCounters) {
+fn wait_while_cut_off(zone: &ZoneCounters) {
     while zone.is_silent() {
         std::thread::sleep(SILENT_POLL);
     }
 }
 
-/// The version after which changes are wanted; none where the whole list is.
-fn watched_from(target: &str) -> Option<u64> {
+/// Returns the version after which a watch wants changes, or `None` if the whole list is requested.
+fn watch_start(target: &str) -> Option<u64> {
     let query = target.split_once('?')?.1;
     let value = |name: &str| {
         query
@@ -152,35 +155,40 @@
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     zone.answer(head.len());
     stream.write_all(head.as_bytes())?;
-    let mut told = from;
+    let mut sent_generation = from;
     loop {
-        let news = next_news(shared, &mut told, zone);
-        wait_for_way(zone);
-        for text in &news {
+        let updates = wait_for_updates(shared, &mut sent_generation, zone);
+        wait_while_cut_off(zone);
+        for text in &updates {
             write_chunk(stream, zone, text)?;
         }
-        if news.is_empty() {
+        if updates.is_empty() {
             write_chunk(stream, zone, "\n")?;
         }
     }
 }
 
-/// What has changed since `told`, waited for until an empty line is due.
-fn next_news(shared: &Shared, told: &mut u64, zone: &ZoneCounters) -> Vec<Arc<str>> {
-    let unchanged = |list: &mut ServerList| list.generation() == *told;
+/// Waits for changes after version `sent_generation` and returns them, or nothing if there are none
+/// within [`KEEP_ALIVE`].
+fn wait_for_updates(
+    shared: &Shared,
+    sent_generation: &mut u64,
+    zone: &ZoneCounters,
+) -> Vec<Arc<str>> {
+    let unchanged = |list: &mut ServerList| list.generation() == *sent_generation;
     let (list, _) = shared
         .changed
         .wait_timeout_while(shared.list(), KEEP_ALIVE, unchanged)
         .unwrap_or_else(PoisonError::into_inner);
-    let news = match list.changes_after(*told) {
+    let updates = match list.changes_after(*sent_generation) {
         Some(changes) => changes.to_vec(),
         None => {
             zone.whole_list();
             vec![list.whole()]
         }
     };
-    *told = list.generation();
-    news
+    *sent_generation = list.generation();
+    updates
 }
 
 fn write_chunk(mut stream: &TcpStream, zone: &ZoneCounters, text: &str) -> io::Result<()> {
--- a/lab/src/engine_host.rs
+++ b/lab/src/engine_host.rs
@@ -1,5 +1,6 @@
-//! Hosts one real decision module (`mossrill::Engine`) on drawn requests: no input or output of its own, time comes
-//! in. Its servers answer after a fixed time; its counter calls go out to whoever drives it.
+//! Hosts one real decision engine (`mossrill::Engine`) for randomly drawn requests. It does no I/O and
+//! reads no clock: the caller passes the time in and carries out the counter calls. Its upstream
+//! servers are simulated and answer after a fixed time.
 
 use crate::messages::DecisionCounts;
 use crate::population::Population;
@@ -11,89 +12,92 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Servers of a hosted gateway: few, as the choice among them is not what is played here.
-const SERVERS: u32 = 24;
-/// Time in µs in which a server of a hosted gateway answers.
+/// Number of simulated upstream servers: few, because these runs do not test the choice among them.
+const SERVER_COUNT: u32 = 24;
+/// Time in µs after which a simulated server answers.
 const ANSWER_TIME: Micros = 1_000;
-/// An answer within this time is in time.
-const AIM: Micros = 2_000_000;
-/// And a client waits so long.
+/// Latency objective of all requests in µs.
+const LATENCY_OBJECTIVE: Micros = 2_000_000;
+/// Deadline of all requests in µs after their arrival.
 const DEADLINE: Micros = 4_000_000;
-/// A call of the counter is given up after this time.
+/// Timeout of a counter call in µs.
 pub const CALL_TIMEOUT: Micros = 50_000;
 
-/// A call of the counter.
+/// A call to the counter.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
-    /// The count.
-    pub name: u64,
-    /// The amount.
-    pub by: f64,
-    /// How long a new name lives, in µs.
+    /// Key of the count.
+    pub key: u64,
+    /// Amount to add.
+    pub amount: f64,
+    /// Time in µs after which a new key expires.
     pub ttl: Micros,
 }
 
-/// Units of a request that was sent on.
+/// A request that was sent upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    /// Whose.
+pub struct SentRequest {
+    /// Number of the tenant.
     pub tenant: usize,
-    /// How many.
+    /// Units of the request.
     pub units: f64,
-    /// Time for which it waited for the answer of a call; none if it did not.
+    /// Time in µs for which it waited for the answer of a counter call; `None` if it did not wait.
     pub waited: Option<Micros>,
 }
 
-/// What came of one event.
+/// Effects of one or more events, for the caller to carry out.
 #[derive(Default)]
 pub struct Effects {
-    /// Calls to be made.
+    /// Counter calls to make.
     pub calls: Vec<CounterCall>,
-    /// Requests sent on.
-    pub sent: Vec<Sent>,
-    /// Requests refused: the time for which each waited for the answer of a call.
+    /// Requests sent upstream.
+    pub sent: Vec<SentRequest>,
+    /// Requests refused or failed; for each, the time in µs for which it waited for the answer of a
+    /// counter call.
     pub refused: Vec<Option<Micros>>,
 }
 
+/// A scheduled event.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Timer(u64),
     Answer { request: u64, attempt: usize },
-    CallTimeout { name: u64, call: u64 },
+    CallTimeout { key: u64, call: u64 },
 }
 
-struct Open {
+/// A request that has not ended.
+struct OpenRequest {
     tenant: usize,
     units: f64,
     arrived: Micros,
-    /// Servers of its attempts.
+    /// Server of each attempt so far.
     attempts: Vec<ServerId>,
 }
 
-/// What made the module decide.
+/// What caused a decision: the answer of a counter call, or anything else.
 #[derive(Clone, Copy, PartialEq)]
 enum Cause {
     CounterAnswer,
     Other,
 }
 
-/// One gateway with its timers, its open requests and its calls.
+/// One decision engine with its timers, its open requests and its counter calls.
 pub struct EngineHost {
-    gateway: Engine,
+    engine: Engine,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    order: u64,
-    open: HashMap<u64, Open>,
+    sequence: u64,
+    open: HashMap<u64, OpenRequest>,
     requests: u64,
-    /// Calls that are out, by name, each with its number.
+    /// Outstanding counter calls: number of the latest call by key.
     calls: HashMap<u64, u64>,
     actions: Vec<Action>,
     counts: DecisionCounts,
 }
 
-/// Settings of a hosted gateway.
+/// Returns the settings of a hosted engine.
 pub fn settings(population: &Population, limiter: u32, limiters: u32) -> Settings {
     let class = RequestClass {
-        latency_objective: AIM,
+        latency_objective: LATENCY_OBJECTIVE,
         deadline: DEADLINE,
         idempotency: Idempotency::Idempotent,
         idempotency_window: 0,
@@ -136,33 +140,33 @@
 }
 
 impl EngineHost {
-    /// A gateway that knows its servers and nothing else.
+    /// Creates an engine that knows its upstream servers and has no other state.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut host = Self {
-            gateway: Engine::new(settings, seed),
+            engine: Engine::new(settings, seed),
             due: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             open: HashMap::new(),
             requests: 0,
             calls: HashMap::new(),
             actions: Vec::new(),
             counts: DecisionCounts::default(),
         };
-        let members = (0..SERVERS).map(server).collect();
+        let endpoints = (0..SERVER_COUNT).map(server).collect();
         let event = Event::EndpointUpdate {
             scope: UpdateScope::Snapshot,
-            endpoints: members,
+            endpoints,
         };
-        host.take(now, event, Cause::Other, &mut Effects::default());
+        host.on_event(now, event, Cause::Other, &mut Effects::default());
         host
     }
 
-    /// When it is to be woken.
-    pub fn next(&self) -> Micros {
+    /// Returns the time in µs at which [`Self::wake`] is due, or [`Micros::MAX`] for never.
+    pub fn next_wake(&self) -> Micros {
         self.due.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at)
     }
 
-    /// What was decided so far.
+    /// Returns the numbers of decisions and calls so far.
     pub fn counts(&self) -> DecisionCounts {
         let undecided = self
             .open
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Takes a request.
+    /// Passes a request of a tenant to the engine.
     pub fn request(
         &mut self,
         now: Micros,
@@ -183,13 +187,13 @@
         (tenant, units): (usize, f64),
         effects: &mut Effects,
     ) {
-        let shape = &population.tenants[tenant];
+        let traffic = &population.tenants[tenant];
         self.requests += 1;
         self.counts.requests += 1;
         let number = self.requests;
         self.open.insert(
             number,
-            Open {
+            OpenRequest {
                 tenant,
                 units,
                 arrived: now,
@@ -199,31 +203,31 @@
         let request = Request {
             id: RequestId(number.to_string().into()),
             class: 0,
-            plan: shape.plan,
+            plan: traffic.plan,
             account: AccountId(tenant.to_string().into()),
             timeout: DEADLINE,
             units,
-            limiter_count: shape.spread,
-            first_limiter: shape.first,
+            limiter_count: traffic.spread,
+            first_limiter: traffic.first,
         };
-        self.take(now, Event::Request(request), Cause::Other, effects);
+        self.on_event(now, Event::Request(request), Cause::Other, effects);
     }
 
-    /// Takes the answer to a call; one that was given up is passed over.
-    pub fn counted(
+    /// Passes the answer to a counter call to the engine. Ignores it if the call has timed out.
+    pub fn on_counter_reply(
         &mut self,
         now: Micros,
-        name: u64,
+        key: u64,
         outcome: Outcome,
         total: f64,
         effects: &mut Effects,
     ) {
-        if self.calls.remove(&name).is_some() {
+        if self.calls.remove(&key).is_some() {
             self.counts.calls_answered += u64::from(outcome == Outcome::Ok);
-            self.take(
+            self.on_event(
                 now,
                 Event::CounterReply {
-                    key: name,
+                    key,
                     total,
                     outcome,
                 },
@@ -233,28 +237,36 @@
         }
     }
 
-    /// Does what is due.
+    /// Carries out all scheduled events that are due.
     pub fn wake(&mut self, now: Micros, effects: &mut Effects) {
-        while self.next() <= now {
+        while self.next_wake() <= now {
             let Some(Reverse((_, _, due))) = self.due.pop() else {
                 return;
             };
             match due {
                 Due::Timer(token) => {
-                    self.take(now, Event::TimerExpired { token }, Cause::Other, effects)
+                    self.on_event(now, Event::TimerExpired { token }, Cause::Other, effects)
                 }
-                Due::Answer { request, attempt } => self.answered(now, request, attempt, effects),
-                Due::CallTimeout { name, call } => {
-                    if self.calls.get(&name) == Some(&call) {
+                Due::Answer { request, attempt } => {
+                    self.on_server_answer(now, request, attempt, effects)
+                }
+                Due::CallTimeout { key, call } => {
+                    if self.calls.get(&key) == Some(&call) {
                         self.counts.calls_lost += 1;
-                        self.counted(now, name, Outcome::Timeout, 0.0, effects);
+                        self.on_counter_reply(now, key, Outcome::Timeout, 0.0, effects);
                     }
                 }
             }
         }
     }
 
-    fn answered(&mut self, now: Micros, request: u64, attempt: usize, effects: &mut Effects) {
+    fn on_server_answer(
+        &mut self,
+        now: Micros,
+        request: u64,
+        attempt: usize,
+        effects: &mut Effects,
+    ) {
         let Some(open) = self.open.remove(&request) else {
             return;
         };
@@ -268,34 +280,29 @@
             load: Vec::new(),
             settled_units: None,
         };
-        self.take(now, Event::AttemptEnded(ended), Cause::Other, effects);
+        self.on_event(now, Event::AttemptEnded(ended), Cause::Other, effects);
     }
 
-    fn take(&mut self, now: Micros, event: Event, cause: Cause, effects: &mut Effects) {
+    fn on_event(&mut self, now: Micros, event: Event, cause: Cause, effects: &mut Effects) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.gateway.on_event(now, event, &mut actions);
+        self.engine.on_event(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action, cause, effects);
+            self.apply_action(now, action, cause, effects);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action, cause: Cause, effects: &mut Effects) {
+    fn apply_action(&mut self, now: Micros, action: Action, cause: Cause, effects: &mut Effects) {
         match action {
             Action::Send { id, server, .. } => self.send(now, &id, server, cause, effects),
             Action::Reject { id, .. } | Action::Fail { id } => {
                 self.refuse(now, &id, cause, effects)
             }
-            Action::SetTimer {
-                delay: after,
-                token,
-            } => self.at(now + after, Due::Timer(token)),
-            Action::AddToCounter {
-                key: name,
-                amount: by,
-                ttl,
-            } => self.call(now, CounterCall { name, by, ttl }, effects),
-            // Asked for only where the settings say that units are leased, which these never do.
+            Action::SetTimer { delay, token } => self.schedule(now + delay, Due::Timer(token)),
+            Action::AddToCounter { key, amount, ttl } => {
+                self.call(now, CounterCall { key, amount, ttl }, effects)
+            }
+            // Never returned, because these settings do not enable quota leases.
             Action::RequestLease { .. } => {}
             Action::Cancel { .. }
             | Action::CheckHealth { .. }
@@ -320,7 +327,7 @@
         open.attempts.push(server);
         if attempt == 0 {
             let waited = (cause == Cause::CounterAnswer).then(|| now - open.arrived);
-            effects.sent.push(Sent {
+            effects.sent.push(SentRequest {
                 tenant: open.tenant,
                 units: open.units,
                 waited,
@@ -328,7 +335,7 @@
             self.counts.sent += 1;
             self.counts.waited += u64::from(waited.is_some());
         }
-        self.at(
+        self.schedule(
             now + ANSWER_TIME,
             Due::Answer {
                 request: number,
@@ -349,20 +356,20 @@
 
     fn call(&mut self, now: Micros, call: CounterCall, effects: &mut Effects) {
         self.counts.calls += 1;
-        self.calls.insert(call.name, self.counts.calls);
-        self.at(
+        self.calls.insert(call.key, self.counts.calls);
+        self.schedule(
             now + CALL_TIMEOUT,
             Due::CallTimeout {
-                name: call.name,
+                key: call.key,
                 call: self.counts.calls,
             },
         );
         effects.calls.push(call);
     }
 
-    fn at(&mut self, at: Micros, due: Due) {
-        self.order += 1;
-        self.due.push(Reverse((at, self.order, due)));
+    fn schedule(&mut self, at: Micros, due: Due) {
+        self.sequence += 1;
+        self.due.push(Reverse((at, self.sequence, due)));
     }
 }
 
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,111 +1,111 @@
-//! Why a run of the lab can't go on.
+//! Errors that end a run of `mossrill-lab`.
 
 use crate::scenario::ScenarioError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a run of the lab can't go on.
+/// Errors that end a run of `mossrill-lab`.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// A scenario is refused.
+    /// A scenario file is unreadable or invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// A file or folder can't be read or written, or a program can't be started.
+    /// A file or folder could not be read or written, or a program could not be started.
     #[error("{}: {source}", path.display())]
     Path {
         /// The file, folder or program.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file of predictions is not what it should be.
+    /// A file of predictions is malformed.
     #[error("{}: {source}", path.display())]
     Predictions {
         /// The file.
         path: PathBuf,
-        /// Line and reason.
+        /// The parse error with line and reason.
         source: Box<toml::de::Error>,
     },
-    /// A child process can't be started or written to.
+    /// A child process could not be started, or a message could not be written to it.
     #[error("{child}: {source}")]
     Child {
         /// The child process.
         child: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A child process has no pipes.
-    #[error("{child}: no pipes")]
+    /// A child process was started without pipes for its standard input and output.
+    #[error("{child}: child process has no pipes for its standard input and output")]
     NoPipes {
         /// The child process.
         child: String,
     },
-    /// A child process did not reply in time, or has ended.
-    #[error("{child}: no reply: {source}")]
+    /// A child process did not reply in time, or closed its output.
+    #[error("{child}: no reply from the child process: {source}")]
     NoReply {
         /// The child process.
         child: String,
-        /// Which of the two.
+        /// Whether the wait timed out or the output was closed.
         source: crossbeam_channel::RecvTimeoutError,
     },
-    /// A child process replied with another message than the one that is due.
-    #[error("wanted {wanted}, got {got}")]
+    /// A child process sent another reply than the expected one.
+    #[error("child process sent an unexpected reply: expected {wanted}, got {got}")]
     UnexpectedReply {
-        /// What is due.
+        /// Description of the expected reply.
         wanted: &'static str,
-        /// The reply.
+        /// The reply that came.
         got: String,
     },
-    /// The first message to a child process can't be read.
-    #[error("start of a child process: {0}")]
+    /// The first message to a child process could not be parsed.
+    #[error("first message to a child process is malformed: {0}")]
     Start(serde_json::Error),
-    /// A message or report can't be written as JSON.
+    /// A message or report could not be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The system refuses a thread, a socket or a signal.
+    /// The operating system refused a thread, a socket or a signal.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bounds of a histogram are wrong.
-    #[error("histogram: {0}")]
+    /// A histogram was created with invalid bounds.
+    #[error("invalid histogram bounds: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// Histograms can't be added.
-    #[error("histograms: {0}")]
+    /// Two histograms could not be added.
+    #[error("histograms could not be added: {0}")]
     HistogramSum(#[from] hdrhistogram::AdditionError),
-    /// A thread of the load generator has panicked.
-    #[error("a worker of the load generator panicked")]
+    /// A thread of the load generator panicked.
+    #[error("a thread of the load generator panicked")]
     WorkerPanicked,
-    /// A limiter ended as it started.
-    #[error("limiter {limiter} ended at its start: {status}: {log}")]
+    /// A limiter process exited before it was ready.
+    #[error("limiter {limiter} exited before it was ready: {status}: {log}")]
     LimiterEnded {
-        /// Its number.
+        /// Number of the limiter.
         limiter: u32,
-        /// Its exit status.
+        /// Exit status of the process.
         status: std::process::ExitStatus,
-        /// What it logged.
+        /// Log of the process.
         log: String,
     },
-    /// A limiter is not ready in time.
-    #[error("limiter {limiter} did not serve in time")]
+    /// A limiter process was not ready in time.
+    #[error("limiter {limiter} was not ready in time")]
     LimiterNotReady {
-        /// Its number.
+        /// Number of the limiter.
         limiter: u32,
     },
-    /// A process has ended.
-    #[error("no such process")]
+    /// The id of a process does not name a process that can be signalled.
+    #[error("no process with this id")]
     NoProcess,
-    /// No pair of ports is free.
-    #[error("no free ports")]
+    /// No two free ports were found for a limiter process.
+    #[error("found no two free ports for a limiter process")]
     NoFreePorts,
 }
 
 impl LabError {
-    /// A file or folder that can't be read or written, or a program that can't be started.
+    /// Returns a function that wraps an I/O error on this file, folder or program.
     pub fn path(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Self {
         let path = path.into();
         |source| Self::Path { path, source }
     }
 
-    /// A reply that is not the one that is due.
+    /// Creates the error for a reply other than the expected one.
     pub fn unexpected(wanted: &'static str, got: &impl std::fmt::Debug) -> Self {
         Self::UnexpectedReply {
             wanted,
--- a/lab/src/event_queue.rs
+++ b/lab/src/event_queue.rs
@@ -1,4 +1,5 @@
-//! Events by time, those of one time in the order in which they were added.
+//! Priority queue of events by time. Events of the same time come in the order in which they were
+//! added.
 
 use mossrill::decision::Micros;
 use std::cmp::Ordering;
@@ -6,8 +7,8 @@
 
 struct Entry<T> {
     at: Micros,
-    order: u64,
-    what: T,
+    sequence: u64,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -26,44 +27,44 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives the greatest first.
-        (other.at, other.order).cmp(&(self.at, self.order))
+        // Reversed, because `BinaryHeap` is a max-heap and the earliest event must come first.
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events by time.
+/// Priority queue of events by time.
 pub struct EventQueue<T> {
     heap: BinaryHeap<Entry<T>>,
-    order: u64,
+    sequence: u64,
 }
 
 impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
         }
     }
 }
 
 impl<T> EventQueue<T> {
-    /// Adds an event.
-    pub fn push(&mut self, at: Micros, what: T) {
-        self.order += 1;
+    /// Adds an event that is due at `at`.
+    pub fn push(&mut self, at: Micros, event: T) {
+        self.sequence += 1;
         self.heap.push(Entry {
             at,
-            order: self.order,
-            what,
+            sequence: self.sequence,
+            event,
         });
     }
 
-    /// Time of the next event; [`Micros::MAX`] if there is none.
-    pub fn next(&self) -> Micros {
+    /// Returns the time of the next event, or [`Micros::MAX`] if there is none.
+    pub fn next_time(&self) -> Micros {
         self.heap.peek().map_or(Micros::MAX, |entry| entry.at)
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event with its time.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
-        self.heap.pop().map(|entry| (entry.at, entry.what))
+        self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/lab/src/hollow/decisions.rs
+++ b/lab/src/hollow/decisions.rs
@@ -1,4 +1,4 @@
-//! The engines of hollow limiters, driven in real time, and their connections to the counter.
+//! Drives the decision engines of hollow limiters in real time, with their connections to the counter.
 
 use super::SECOND;
 use crate::clock;
@@ -18,36 +18,37 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Answers of the counter are waited for at most so long before the timers are looked at.
-const LONGEST_WAIT: Duration = Duration::from_millis(20);
+/// Maximum wait for an answer of the counter before orders and timers are checked again.
+const MAX_WAIT: Duration = Duration::from_millis(20);
 
-/// The answer to a call: limiter of this process, count, outcome, total.
-type Answer = (usize, u64, Outcome, f64);
+/// The answer to a counter call: index of the limiter in this process, key of the count, outcome, total.
+type CounterAnswer = (usize, u64, Outcome, f64);
 
-/// What the gateways of this process decided.
+/// Decisions of all limiters of this process.
 #[derive(Default)]
 pub(super) struct Decisions {
     pub(super) counts: DecisionCounts,
     pub(super) units: Vec<TenantUnits>,
 }
 
+/// Order to the thread that drives the limiters.
 enum Order {
     Begin,
     Finish(Sender<Decisions>),
 }
 
-/// The thread that drives the gateways of this process.
-pub(super) struct Deciders {
+/// Handle of the thread that drives the limiters of this process.
+pub(super) struct DecisionThread {
     orders: Sender<Order>,
 }
 
-impl Deciders {
+impl DecisionThread {
     pub(super) fn start(start: &HollowStart, port: u16) -> Result<Self, LabError> {
-        let (orders, taken) = unbounded();
-        let (answers, answered) = unbounded();
+        let (orders, received_orders) = unbounded();
+        let (answers, received_answers) = unbounded();
         let mut driver = Driver::new(start, port, answers);
-        let work = move || driver.run(&taken, &answered);
-        std::thread::Builder::new().spawn(work)?;
+        let drive = move || driver.run(&received_orders, &received_answers);
+        std::thread::Builder::new().spawn(drive)?;
         Ok(Self { orders })
     }
 
@@ -56,83 +57,86 @@
     }
 
     pub(super) fn finish(self) -> Decisions {
-        let (done, result) = bounded(1);
-        _ = self.orders.send(Order::Finish(done));
+        let (reply, result) = bounded(1);
+        _ = self.orders.send(Order::Finish(reply));
         result
             .recv_timeout(Duration::from_secs(10))
             .unwrap_or_default()
     }
 }
 
-/// One hosted gateway with its traffic and its connection to the counter.
-struct Decider {
+/// One limiter with its decision engine, its traffic and its connection to the counter.
+struct HostedLimiter {
     host: EngineHost,
     traffic: LocalTraffic,
     next_request: u64,
     calls: Sender<CounterCall>,
 }
 
+/// State of the thread that drives the limiters.
 struct Driver {
     population: Population,
-    deciders: Vec<Decider>,
+    limiters: Vec<HostedLimiter>,
     rng: StdRng,
-    /// Units sent on, by second and tenant.
+    /// Units sent upstream, by second and tenant.
     units: HashMap<(u32, u32), f64>,
     began: Option<u64>,
 }
 
 impl Driver {
-    fn new(start: &HollowStart, port: u16, answers: Sender<Answer>) -> Self {
+    fn new(start: &HollowStart, port: u16, answers: Sender<CounterAnswer>) -> Self {
         let population = Population::new(&start.scenario, start.seed);
         let now = clock::now();
-        let at = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-        let deciders =
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+        let limiters =
             start
                 .scenario
                 .limiters_of_zone(start.zone)
                 .enumerate()
-                .map(|(place, limiter)| {
+                .map(|(index, limiter)| {
                     let settings = settings(&population, limiter, start.scenario.sizes.limiters);
                     let seed = start
                         .seed
                         .wrapping_mul(7_919)
                         .wrapping_add(u64::from(limiter));
-                    let (calls, wanted) = unbounded();
+                    let (calls, received_calls) = unbounded();
                     let answers = answers.clone();
-                    // Without its thread the limiter's calls are given up, which is counted.
-                    _ = stand_in::spawn(move || carry_calls(at, place, &wanted, &answers));
-                    Decider {
+                    // If the thread cannot be started, the calls of this limiter time out and are counted as lost.
+                    _ = stand_in::spawn(move || {
+                        run_counter_connection(address, index, &received_calls, &answers)
+                    });
+                    HostedLimiter {
                         host: EngineHost::new(settings, seed, now),
-                        traffic: population.at_limiter(limiter),
+                        traffic: population.local_traffic(limiter),
                         next_request: u64::MAX,
                         calls,
                     }
                 });
-        let deciders = deciders.collect();
+        let limiters = limiters.collect();
         let rng = StdRng::seed_from_u64(start.seed ^ u64::from(start.zone) << 32);
         Self {
             population,
-            deciders,
+            limiters,
             rng,
             units: HashMap::new(),
             began: None,
         }
     }
 
-    fn run(&mut self, orders: &Receiver<Order>, answers: &Receiver<Answer>) {
+    fn run(&mut self, orders: &Receiver<Order>, answers: &Receiver<CounterAnswer>) {
         loop {
             match orders.try_recv() {
                 Ok(Order::Begin) => self.begin(),
-                Ok(Order::Finish(done)) => {
-                    _ = done.send(self.result());
+                Ok(Order::Finish(reply)) => {
+                    _ = reply.send(self.result());
                     return;
                 }
                 Err(_) => {}
             }
             let wait =
-                Duration::from_micros(self.next().saturating_sub(clock::now())).min(LONGEST_WAIT);
+                Duration::from_micros(self.next_wake().saturating_sub(clock::now())).min(MAX_WAIT);
             match answers.recv_timeout(wait) {
-                Ok(answer) => self.answered(answer),
+                Ok(answer) => self.on_counter_answer(answer),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -143,60 +147,61 @@
     fn begin(&mut self) {
         let now = clock::now();
         self.began = Some(now);
-        for place in 0..self.deciders.len() {
-            self.deciders[place].next_request = now + self.gap(place);
+        for index in 0..self.limiters.len() {
+            self.limiters[index].next_request = now + self.draw_gap(index);
         }
     }
 
-    /// Time to the next request of a limiter: a Poisson stream.
-    fn gap(&mut self, place: usize) -> u64 {
-        let rate = self.deciders[place].traffic.requests_per_s();
+    /// Draws the time in µs until the next request of a limiter; requests are a Poisson process.
+    fn draw_gap(&mut self, index: usize) -> u64 {
+        let rate = self.limiters[index].traffic.requests_per_s();
         if rate <= 0.0 {
             return u64::MAX / 2;
         }
-        let chance: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
-        (-chance.ln() / rate * SECOND as f64) as u64
+        let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
+        (-uniform.ln() / rate * SECOND as f64) as u64
     }
 
-    fn next(&self) -> u64 {
-        self.deciders
+    /// Returns the time in µs at which the next request or timer is due.
+    fn next_wake(&self) -> u64 {
+        self.limiters
             .iter()
-            .map(|decider| decider.next_request.min(decider.host.next()))
+            .map(|limiter| limiter.next_request.min(limiter.host.next_wake()))
             .min()
             .unwrap_or(0)
     }
 
-    fn answered(&mut self, (place, name, outcome, total): Answer) {
+    fn on_counter_answer(&mut self, (index, key, outcome, total): CounterAnswer) {
         let mut effects = Effects::default();
-        self.deciders[place]
+        self.limiters[index]
             .host
-            .counted(clock::now(), name, outcome, total, &mut effects);
-        self.carry_out(place, effects);
+            .on_counter_reply(clock::now(), key, outcome, total, &mut effects);
+        self.apply_effects(index, effects);
     }
 
     fn wake(&mut self) {
         let now = clock::now();
-        for place in 0..self.deciders.len() {
+        for index in 0..self.limiters.len() {
             let mut effects = Effects::default();
-            while self.deciders[place].next_request <= now {
-                let gap = self.gap(place);
-                let decider = &mut self.deciders[place];
-                decider.next_request += gap;
-                if let Some(tenant) = decider.traffic.draw(&mut self.rng) {
+            while self.limiters[index].next_request <= now {
+                let gap = self.draw_gap(index);
+                let limiter = &mut self.limiters[index];
+                limiter.next_request += gap;
+                if let Some(tenant) = limiter.traffic.draw(&mut self.rng) {
                     let units = self.population.draw_units(&mut self.rng);
-                    decider
+                    limiter
                         .host
                         .request(now, &self.population, (tenant, units), &mut effects);
                 }
             }
-            if self.deciders[place].host.next() <= now {
-                self.deciders[place].host.wake(now, &mut effects);
+            if self.limiters[index].host.next_wake() <= now {
+                self.limiters[index].host.wake(now, &mut effects);
             }
-            self.carry_out(place, effects);
+            self.apply_effects(index, effects);
         }
     }
 
-    fn carry_out(&mut self, place: usize, effects: Effects) {
+    fn apply_effects(&mut self, index: usize, effects: Effects) {
         let second = clock::now().saturating_sub(self.began.unwrap_or(0)) / SECOND;
         for sent in effects.sent {
             *self
@@ -205,78 +210,84 @@
                 .or_default() += sent.units;
         }
         for call in effects.calls {
-            _ = self.deciders[place].calls.send(call);
+            _ = self.limiters[index].calls.send(call);
         }
     }
 
     fn result(&self) -> Decisions {
         let mut counts = DecisionCounts::default();
-        self.deciders
+        self.limiters
             .iter()
-            .for_each(|decider| counts.add(&decider.host.counts()));
-        let one = |(&(second, tenant), &units): (&(u32, u32), &f64)| TenantUnits {
+            .for_each(|limiter| counts.add(&limiter.host.counts()));
+        let to_entry = |(&(second, tenant), &units): (&(u32, u32), &f64)| TenantUnits {
             second,
             tenant,
             units,
         };
-        let mut units: Vec<TenantUnits> = self.units.iter().map(one).collect();
+        let mut units: Vec<TenantUnits> = self.units.iter().map(to_entry).collect();
         units.sort_by_key(|sent| (sent.second, sent.tenant));
         Decisions { counts, units }
     }
 }
 
-/// Writes a limiter's calls on one connection; a thread beside it reads the answers.
-fn carry_calls(
-    at: SocketAddr,
-    place: usize,
-    wanted: &Receiver<CounterCall>,
-    answers: &Sender<Answer>,
+/// Writes the calls of a limiter on one connection and opens a new one if it breaks. A second thread
+/// reads the answers.
+fn run_counter_connection(
+    address: SocketAddr,
+    index: usize,
+    calls: &Receiver<CounterCall>,
+    answers: &Sender<CounterAnswer>,
 ) {
     let mut connection: Option<CounterConnection> = None;
-    for call in wanted {
+    for call in calls {
         let open = connection
             .take()
-            .or_else(|| CounterConnection::open(at, place, answers.clone()));
-        connection = open.filter(|open| open.write(&call, at));
+            .or_else(|| CounterConnection::open(address, index, answers.clone()));
+        connection = open.filter(|open| open.write(&call, address));
         if connection.is_none() {
-            _ = answers.send((place, call.name, Outcome::ConnectFailed, 0.0));
+            _ = answers.send((index, call.key, Outcome::ConnectFailed, 0.0));
         }
     }
 }
 
+/// Connection of one limiter to the counter.
 struct CounterConnection {
     stream: TcpStream,
-    names: Sender<u64>,
+    /// Keys of calls whose answers are outstanding, in order.
+    pending_keys: Sender<u64>,
 }
 
 impl CounterConnection {
-    fn open(at: SocketAddr, place: usize, answers: Sender<Answer>) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&at, Duration::from_millis(250)).ok()?;
+    fn open(address: SocketAddr, index: usize, answers: Sender<CounterAnswer>) -> Option<Self> {
+        let stream = TcpStream::connect_timeout(&address, Duration::from_millis(250)).ok()?;
         stream.set_nodelay(true).ok()?;
         let reading = stream.try_clone().ok()?;
-        let (names, due) = unbounded();
+        let (pending_keys, answered_keys) = unbounded();
         let read = move || {
             HttpCounterProtocol.read(&reading, &mut |outcome, total| {
-                let name: Option<u64> = due.try_recv().ok();
-                name.is_some_and(|name| answers.send((place, name, outcome, total)).is_ok())
+                let key: Option<u64> = answered_keys.try_recv().ok();
+                key.is_some_and(|key| answers.send((index, key, outcome, total)).is_ok())
             });
         };
         stand_in::spawn(read).ok()?;
-        Some(Self { stream, names })
+        Some(Self {
+            stream,
+            pending_keys,
+        })
     }
 
-    fn write(&self, call: &CounterCall, at: SocketAddr) -> bool {
+    fn write(&self, call: &CounterCall, address: SocketAddr) -> bool {
         let ttl = Duration::from_micros(call.ttl);
         let addition = Addition {
             call_number: 0,
-            counter: call.name,
-            amount: call.by,
+            counter: call.key,
+            amount: call.amount,
             ttl,
         };
-        // Before the call is written, or its answer could come first.
-        self.names.send(call.name).is_ok()
+        // Queued before the call is written, because the answer could otherwise come first.
+        self.pending_keys.send(call.key).is_ok()
             && (&self.stream)
-                .write_all(&HttpCounterProtocol.encode(&addition, at))
+                .write_all(&HttpCounterProtocol.encode(&addition, address))
                 .is_ok()
     }
 }
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -1,10 +1,11 @@
-//! The hollow limiters of a zone in one process: each watches the server list through the real reader
-//! (`mossrill::discovery`) over TCP and applies it to a compact list of its own; if wanted, each also decides
-//! drawn requests in a real `mossrill::Engine` and calls the counter through its real codec. None has client traffic.
+//! The hollow (simulated) limiters of a zone in one process. Each watches the server list over TCP with
+//! the real reader (`mossrill::discovery`) and keeps a compact copy of it. If the scenario says so, each
+//! also decides randomly drawn requests in a real `mossrill::Engine` and calls the counter with the real
+//! codec. Hollow limiters have no client connections.
 
 mod decisions;
 
-use decisions::Deciders;
+use decisions::DecisionThread;
 
 use crate::clock;
 use crate::error::LabError;
@@ -21,76 +22,80 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time in which a server told to be draining may still be sent to; the reader's waits follow it.
+/// Time for which a draining server may still receive requests. The reader derives its waits from it.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// Whether all limiters have a version is looked at so often.
+/// Interval at which the versions of all limiters are compared with the awaited one.
 const VERSION_POLL: Duration = Duration::from_millis(20);
-/// Microseconds of a second.
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Names of servers, kept once for all limiters of the process.
+/// Numbers of servers by name, shared by all limiters of the process to save memory.
 #[derive(Default)]
-struct ServerNames(HashMap<Arc<str>, u32>);
+struct ServerNumbers(HashMap<Arc<str>, u32>);
 
-impl ServerNames {
+impl ServerNumbers {
     fn number(&mut self, name: &Arc<str>) -> u32 {
         let next = self.0.len() as u32;
         *self.0.entry(name.clone()).or_insert(next)
     }
 }
 
-/// One limiter's server list: by server, the start time it was listed with; none where it is not listed.
+/// The server list of one limiter.
 #[derive(Default)]
-struct OwnList {
-    started: Vec<Option<u64>>,
+struct LimiterList {
+    /// Start time of each server by its number; `None` if it is not listed as ready.
+    started_at: Vec<Option<u64>>,
+    /// Versions of the list with the Unix time in µs at which each was applied.
     versions: Vec<(u64, u64)>,
 }
 
-impl OwnList {
+impl LimiterList {
     fn version(&self) -> u64 {
         self.versions
             .last()
             .map_or(0, |(generation, _)| *generation)
     }
 
-    fn apply(&mut self, news: &EndpointUpdate, numbers: &[u32], at: u64) {
-        if news.is_snapshot {
-            self.started.iter_mut().for_each(|started| *started = None);
+    fn apply(&mut self, update: &EndpointUpdate, numbers: &[u32], at: u64) {
+        if update.is_snapshot {
+            self.started_at
+                .iter_mut()
+                .for_each(|started_at| *started_at = None);
         }
-        for ((member, _), number) in news.endpoints.iter().zip(numbers) {
-            let place = *number as usize;
-            if self.started.len() <= place {
-                self.started.resize(place + 1, None);
+        for ((endpoint, _), number) in update.endpoints.iter().zip(numbers) {
+            let index = *number as usize;
+            if self.started_at.len() <= index {
+                self.started_at.resize(index + 1, None);
             }
-            self.started[place] =
-                (member.readiness == Readiness::Ready).then_some(member.started_at);
+            self.started_at[index] =
+                (endpoint.readiness == Readiness::Ready).then_some(endpoint.started_at);
         }
-        self.versions.push((news.generation, at));
+        self.versions.push((update.generation, at));
     }
 }
 
-/// Runs the hollow limiters of a zone until they are told to finish.
+/// Runs the hollow limiters of a zone until the controller sends [`Command::Finish`].
 pub fn run(start: &HollowStart) -> Result<(), LabError> {
     let limiters = start.scenario.limiters_of_zone(start.zone);
-    let lateness = Lateness::watch()?;
+    let lateness = Lateness::start()?;
     let lists = watch_lists(start)?;
-    let decisions = match start.counter {
-        Some(port) => Some(Deciders::start(start, port)?),
+    let decision_thread = match start.counter {
+        Some(port) => Some(DecisionThread::start(start, port)?),
         None => None,
     };
-    stand_in::reply(&Reply::Ready(Vec::new()))?;
+    stand_in::send_reply(&Reply::Ready(Vec::new()))?;
     let (mut start_cpu, mut began) = (0.0, Instant::now());
     for command in stand_in::commands() {
         match command {
             Command::Begin => {
                 (start_cpu, began) = (cpu_seconds(None), Instant::now());
                 lateness.reset();
-                if let Some(decisions) = &decisions {
-                    decisions.begin();
+                if let Some(thread) = &decision_thread {
+                    thread.begin();
                 }
             }
             Command::AwaitVersion {
@@ -99,20 +104,22 @@
             } => {
                 let lacking =
                     await_version(&lists, generation, Duration::from_secs(u64::from(seconds)));
-                stand_in::reply(&Reply::Lacking(lacking))?;
+                stand_in::send_reply(&Reply::Lacking(lacking))?;
             }
             Command::Finish => break,
             _ => {}
         }
     }
     let (elapsed_s, cpu_s) = (began.elapsed().as_secs_f64(), cpu_seconds(None) - start_cpu);
-    let (memory_bytes, late_ticks_ms) = (memory_bytes(None), lateness.p99_and_worst_ms());
-    let decisions = decisions.map(Deciders::finish).unwrap_or_default();
+    let (memory_bytes, late_ticks_ms) = (memory_bytes(None), lateness.p99_and_max_ms());
+    let decisions = decision_thread
+        .map(DecisionThread::finish)
+        .unwrap_or_default();
     let versions = lists
         .iter()
         .map(|list| lock(list).versions.clone())
         .collect();
-    stand_in::reply(&Reply::Hollow(Box::new(HollowReport {
+    stand_in::send_reply(&Reply::Hollow(Box::new(HollowReport {
         limiters: limiters.len() as u32,
         versions,
         cpu_s,
@@ -125,49 +132,50 @@
     })))
 }
 
-/// Waits until all limiters have this version; how many do not have it in time.
-fn await_version(lists: &[Arc<Mutex<OwnList>>], generation: u64, within: Duration) -> u32 {
-    let until = Instant::now() + within;
+/// Waits until all limiters have this version and returns how many do not have it in time.
+fn await_version(lists: &[Arc<Mutex<LimiterList>>], generation: u64, timeout: Duration) -> u32 {
+    let deadline = Instant::now() + timeout;
     loop {
         let lacking = lists
             .iter()
             .filter(|list| lock(list).version() < generation)
             .count() as u32;
-        if lacking == 0 || Instant::now() >= until {
+        if lacking == 0 || Instant::now() >= deadline {
             return lacking;
         }
         std::thread::sleep(VERSION_POLL);
     }
 }
 
-fn watch_lists(start: &HollowStart) -> Result<Vec<Arc<Mutex<OwnList>>>, LabError> {
-    let from = SocketAddr::from((Ipv4Addr::LOCALHOST, start.discovery));
-    let names = Arc::new(Mutex::new(ServerNames::default()));
-    let fleet = Arc::new(AtomicU32::new(start.scenario.sizes.limiters));
+fn watch_lists(start: &HollowStart) -> Result<Vec<Arc<Mutex<LimiterList>>>, LabError> {
+    let address = SocketAddr::from((Ipv4Addr::LOCALHOST, start.discovery));
+    let names = Arc::new(Mutex::new(ServerNumbers::default()));
+    let fleet_size = Arc::new(AtomicU32::new(start.scenario.sizes.limiters));
     let log = Logger::root(Discard, o!());
     start
         .scenario
         .limiters_of_zone(start.zone)
         .map(|limiter| {
-            let list = Arc::new(Mutex::new(OwnList::default()));
-            let (own, names) = (list.clone(), names.clone());
-            let apply = move |news: EndpointUpdate| {
+            let list = Arc::new(Mutex::new(LimiterList::default()));
+            let (applied, names) = (list.clone(), names.clone());
+            let apply = move |update: EndpointUpdate| {
                 let numbers: Vec<u32> = {
                     let mut names = lock(&names);
-                    news.endpoints
+                    update
+                        .endpoints
                         .iter()
-                        .map(|(member, _)| names.number(&member.id.0))
+                        .map(|(endpoint, _)| names.number(&endpoint.id.0))
                         .collect()
                 };
-                let mut list = lock(&own);
-                list.apply(&news, &numbers, clock::now());
+                let mut list = lock(&applied);
+                list.apply(&update, &numbers, clock::now());
             };
             let seed = start
                 .seed
                 .wrapping_mul(1_000_003)
                 .wrapping_add(u64::from(limiter));
-            let waits = (fleet.clone(), DRAIN_GRACE, seed);
-            discovery::watch(from, 0, waits, apply, log.clone())?;
+            let wait_settings = (fleet_size.clone(), DRAIN_GRACE, seed);
+            discovery::watch(address, 0, wait_settings, apply, log.clone())?;
             Ok(list)
         })
         .collect()
--- a/lab/src/hollow_play/mod.rs
+++ b/lab/src/hollow_play/mod.rs
@@ -1,4 +1,5 @@
-//! Plays the hollow limiters of a scenario in real time: stand-ins, one process for each zone, and the events.
+//! Runs the hollow (simulated) limiters of a scenario in real time: starts the stand-ins and one process
+//! for each zone, and carries out the events.
 
 mod result;
 
@@ -11,39 +12,47 @@
 use crate::scenario::{Event, Scenario};
 use std::time::{Duration, Instant};
 
-/// A child that says nothing for so long is lost.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// All limiters have the first list by then, or the run is marked.
-const FIRST_LIST_SECONDS: u32 = 300;
-/// All limiters have the last change by then, or it counts as missing.
-const LAST_CHANGE_SECONDS: u32 = 60;
-/// A process that is woken later than this, for one tick in a hundred, does not keep up.
-const LATE_MS: f64 = 50.0;
+/// Maximum wait for a reply of a child process, apart from waits that the command asks for.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time in seconds for all limiters to get the first list; otherwise the report says that the machine
+/// fell behind.
+const FIRST_LIST_TIMEOUT_S: u32 = 300;
+/// Time in seconds for all limiters to get the last change, which otherwise counts as missing.
+const LAST_CHANGE_TIMEOUT_S: u32 = 60;
+/// Maximum 99th percentile in ms of the lateness of timer ticks. Beyond it, the process counts as not
+/// keeping up.
+const MAX_TICK_LATENESS_MS: f64 = 50.0;
+/// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
-/// A zone's process.
+/// The process of a zone.
 struct Host {
     zone: u32,
+    /// Unix time of the start in µs.
     started: u64,
     child: Child,
 }
 
-/// What a zone's process reported when it ended.
+/// Final report of a zone's process.
 struct Ended {
+    /// Unix time of the start in µs.
     started: u64,
-    /// It ran to the end of the play.
-    to_the_end: bool,
+    /// Whether the process ran until the end of the play.
+    ran_to_end: bool,
     report: HollowReport,
 }
 
+/// A published version of the server list.
 struct Change {
     event: &'static str,
     generation: u64,
+    /// Unix time of the publication in µs.
     at: u64,
+    /// Length of the changes in bytes.
     bytes: usize,
 }
 
-/// What discovery and counter carried, by zone.
+/// Traffic of discovery and of the counter, by zone.
 type Loads = (Vec<ZoneLoad>, Option<Vec<ZoneLoad>>);
 
 struct Play<'a> {
@@ -58,26 +67,26 @@
     events: Vec<&'static str>,
 }
 
-/// Plays the hollow limiters of a scenario.
+/// Runs the hollow limiters of a scenario and returns the measurements.
 pub fn play(scenario: &Scenario, seed: u64) -> Result<HollowResult, LabError> {
     let mut play = Play::start(scenario, seed)?;
     let mut fell_behind = Vec::new();
-    let lacking = play.await_version(1, FIRST_LIST_SECONDS)?;
+    let lacking = play.await_version(1, FIRST_LIST_TIMEOUT_S)?;
     if lacking > 0 {
         fell_behind.push(format!(
-            "{lacking} limiters without a list after {FIRST_LIST_SECONDS} s"
+            "{lacking} limiters had no server list after {FIRST_LIST_TIMEOUT_S} s"
         ));
     }
     let before = play.loads()?;
-    play.tell_hosts(&Command::Begin)?;
+    play.send_to_hosts(&Command::Begin)?;
     let began = Instant::now();
     for timed in &scenario.events {
         sleep_until(began + Duration::from_secs_f64(timed.at_s));
-        play.happen(&timed.event)?;
+        play.apply_event(&timed.event)?;
     }
     sleep_until(began + Duration::from_secs(u64::from(scenario.duration_s)));
     let last = play.changes.last().map_or(1, |change| change.generation);
-    play.await_version(last, LAST_CHANGE_SECONDS)?;
+    play.await_version(last, LAST_CHANGE_TIMEOUT_S)?;
     let elapsed = began.elapsed().as_secs_f64();
     let after = play.loads()?;
     play.finish()?;
@@ -89,8 +98,9 @@
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-fn ready(child: &Child) -> Result<Vec<u16>, LabError> {
-    match child.reply(PATIENCE)? {
+/// Waits until a child process is ready and returns its ports.
+fn await_ready(child: &Child) -> Result<Vec<u16>, LabError> {
+    match child.next_reply(REPLY_TIMEOUT)? {
         Reply::Ready(ports) => Ok(ports),
         other => Err(LabError::unexpected("ports", &other)),
     }
@@ -103,12 +113,12 @@
             seed,
         };
         let discovery = Child::start("discovery", &start)?;
-        let discovery_ports = ready(&discovery)?;
-        let counted = scenario
+        let discovery_ports = await_ready(&discovery)?;
+        let calls_counter = scenario
             .hollow
             .as_ref()
             .is_some_and(|hollow| hollow.counter);
-        let counter = match counted {
+        let counter = match calls_counter {
             true => {
                 let child = Child::start(
                     "counter",
@@ -116,7 +126,7 @@
                         zones: scenario.sizes.zones,
                     },
                 )?;
-                let ports = ready(&child)?;
+                let ports = await_ready(&child)?;
                 Some((child, ports))
             }
             false => None,
@@ -133,17 +143,18 @@
             changes,
             events,
         };
-        play.published("start")?;
-        // One zone after another: limiters that read the whole list together would take more than the machine has.
+        play.await_published("start")?;
+        // Zones start one after another: if all limiters read the whole list at the same time, they need
+        // more memory and CPU than the machine has.
         for zone in 0..scenario.sizes.zones {
             play.start_host(zone)?;
             if let Some(host) = play.hosts.last_mut() {
-                ready(&host.child)?;
-                host.child.tell(&Command::AwaitVersion {
+                await_ready(&host.child)?;
+                host.child.send(&Command::AwaitVersion {
                     generation: 1,
-                    seconds: FIRST_LIST_SECONDS,
+                    seconds: FIRST_LIST_TIMEOUT_S,
                 })?;
-                lacking(&host.child, FIRST_LIST_SECONDS)?;
+                read_lacking(&host.child, FIRST_LIST_TIMEOUT_S)?;
             }
         }
         Ok(play)
@@ -167,8 +178,9 @@
         Ok(())
     }
 
-    fn published(&mut self, event: &'static str) -> Result<(), LabError> {
-        match self.discovery.reply(PATIENCE)? {
+    /// Waits until discovery has published a version that `event` caused.
+    fn await_published(&mut self, event: &'static str) -> Result<(), LabError> {
+        match self.discovery.next_reply(REPLY_TIMEOUT)? {
             Reply::Published {
                 generation,
                 at,
@@ -182,11 +194,11 @@
                 });
                 Ok(())
             }
-            other => Err(LabError::unexpected("a version", &other)),
+            other => Err(LabError::unexpected("a published version", &other)),
         }
     }
 
-    fn happen(&mut self, event: &Event) -> Result<(), LabError> {
+    fn apply_event(&mut self, event: &Event) -> Result<(), LabError> {
         let name = event.name();
         match event {
             Event::ZoneLost { zone } => {
@@ -217,7 +229,7 @@
             Event::ListChanges { count } => self.change_list(name, &Command::ChangeList(*count))?,
             Event::RegionCut { region } => self.cut(*region, true)?,
             Event::RegionHealed { region } => self.cut(*region, false)?,
-            // These concern the other plays.
+            // These events concern the other plays.
             Event::ControlMachineLost { .. }
             | Event::ControlMachineBack { .. }
             | Event::ConfigurationChanged { .. }
@@ -228,19 +240,19 @@
     }
 
     fn change_list(&mut self, event: &'static str, command: &Command) -> Result<(), LabError> {
-        self.discovery.tell(command)?;
-        self.published(event)
+        self.discovery.send(command)?;
+        self.await_published(event)
     }
 
-    /// Starts the processes of these zones together; traffic goes on there once they are up.
+    /// Starts the processes of these zones together, and their traffic once they are ready.
     fn restart(&mut self, zones: Vec<u32>) -> Result<(), LabError> {
         let first = self.hosts.len();
         for zone in zones {
             self.start_host(zone)?;
         }
         for host in &mut self.hosts[first..] {
-            ready(&host.child)?;
-            host.child.tell(&Command::Begin)?;
+            await_ready(&host.child)?;
+            host.child.send(&Command::Begin)?;
         }
         Ok(())
     }
@@ -250,27 +262,27 @@
             .filter(|zone| self.scenario.region_of_zone(*zone) == region)
             .collect();
         let command = Command::Cut { zones, silent };
-        self.discovery.tell(&command)?;
+        self.discovery.send(&command)?;
         match &mut self.counter {
-            Some((counter, _)) => counter.tell(&command),
+            Some((counter, _)) => counter.send(&command),
             None => Ok(()),
         }
     }
 
-    fn tell_hosts(&mut self, command: &Command) -> Result<(), LabError> {
+    fn send_to_hosts(&mut self, command: &Command) -> Result<(), LabError> {
         self.hosts
             .iter_mut()
-            .try_for_each(|host| host.child.tell(command))
+            .try_for_each(|host| host.child.send(command))
     }
 
     fn await_version(&mut self, generation: u64, seconds: u32) -> Result<u32, LabError> {
-        self.tell_hosts(&Command::AwaitVersion {
+        self.send_to_hosts(&Command::AwaitVersion {
             generation,
             seconds,
         })?;
         self.hosts
             .iter()
-            .map(|host| lacking(&host.child, seconds))
+            .map(|host| read_lacking(&host.child, seconds))
             .sum()
     }
 
@@ -278,25 +290,26 @@
         let counter = self
             .counter
             .as_mut()
-            .map(|(counter, _)| load(counter))
+            .map(|(counter, _)| request_load(counter))
             .transpose()?;
-        Ok((load(&mut self.discovery)?, counter))
+        Ok((request_load(&mut self.discovery)?, counter))
     }
 
-    /// Ends these processes and keeps their reports.
-    fn end_hosts(&mut self, which: impl Fn(&Host) -> bool) -> Result<(), LabError> {
-        let (ending, staying): (Vec<Host>, Vec<Host>) =
-            std::mem::take(&mut self.hosts).into_iter().partition(which);
+    /// Ends the selected processes and keeps their reports.
+    fn end_hosts(&mut self, selected: impl Fn(&Host) -> bool) -> Result<(), LabError> {
+        let (ending, staying): (Vec<Host>, Vec<Host>) = std::mem::take(&mut self.hosts)
+            .into_iter()
+            .partition(selected);
         self.hosts = staying;
         for mut host in ending {
-            host.child.tell(&Command::Finish)?;
-            let report = match host.child.reply(PATIENCE)? {
+            host.child.send(&Command::Finish)?;
+            let report = match host.child.next_reply(REPLY_TIMEOUT)? {
                 Reply::Hollow(report) => report,
                 other => return Err(LabError::unexpected("a report", &other)),
             };
             self.ended.push(Ended {
                 started: host.started,
-                to_the_end: false,
+                ran_to_end: false,
                 report: *report,
             });
         }
@@ -304,27 +317,28 @@
     }
 
     fn finish(&mut self) -> Result<(), LabError> {
-        let early = self.ended.len();
+        let ended_before = self.ended.len();
         self.end_hosts(|_| true)?;
-        self.ended[early..]
+        self.ended[ended_before..]
             .iter_mut()
-            .for_each(|ended| ended.to_the_end = true);
+            .for_each(|ended| ended.ran_to_end = true);
         Ok(())
     }
 }
 
-/// Limiters of a child that lack the version that was waited for.
-fn lacking(child: &Child, seconds: u32) -> Result<u32, LabError> {
-    match child.reply(Duration::from_secs(u64::from(seconds)) + PATIENCE)? {
+/// Waits for the number of limiters of a child that do not have the awaited version.
+fn read_lacking(child: &Child, seconds: u32) -> Result<u32, LabError> {
+    match child.next_reply(Duration::from_secs(u64::from(seconds)) + REPLY_TIMEOUT)? {
         Reply::Lacking(count) => Ok(count),
         other => Err(LabError::unexpected("a count of limiters", &other)),
     }
 }
 
-fn load(child: &mut Child) -> Result<Vec<ZoneLoad>, LabError> {
-    child.tell(&Command::Report)?;
-    match child.reply(PATIENCE)? {
+/// Requests the traffic that a stand-in has counted so far.
+fn request_load(child: &mut Child) -> Result<Vec<ZoneLoad>, LabError> {
+    child.send(&Command::Report)?;
+    match child.next_reply(REPLY_TIMEOUT)? {
         Reply::Load(zones) => Ok(zones),
-        other => Err(LabError::unexpected("a load", &other)),
+        other => Err(LabError::unexpected("traffic counts", &other)),
     }
 }
--- a/lab/src/hollow_play/result.rs
+++ b/lab/src/hollow_play/result.rs
@@ -1,80 +1,81 @@
-//! What the play of the hollow limiters showed.
+//! Results of the hollow limiters of a run.
 
-use super::{Change, Ended, Loads, Play, LATE_MS, SECOND};
+use super::{Change, Ended, Loads, Play, MAX_TICK_LATENESS_MS, SECOND};
 use crate::audit::QuotaAudit;
 use crate::messages::{DecisionCounts, HollowReport, QuotaOutcome, TenantUnits, ZoneLoad};
 use crate::population::Population;
 use crate::summary::Summary;
 use serde::Serialize;
 
-/// What the play of the hollow limiters showed. Rates are those of the time in which the events were played.
+/// Results of the hollow limiters. Rates are averages over the time of the events, without the start
+/// of the limiters.
 #[derive(Debug, Serialize)]
 pub struct HollowResult {
-    /// Limiters.
+    /// Number of limiters.
     pub limiters: u32,
-    /// Processes that hosted them.
+    /// Number of processes that hosted the limiters at the same time.
     pub processes: u32,
     /// Seconds from a limiter's start to its first whole list.
     pub first_list_s: Summary,
-    /// Bytes of the whole list.
+    /// Length of the whole list in bytes.
     pub whole_list_bytes: usize,
-    /// By change of the list: time until limiters had it.
+    /// Changes of the list, with the time until the limiters had each.
     pub changes: Vec<ChangeResult>,
-    /// Changes that some limiter did not have at the end, summed over limiters.
+    /// Number of missing changes: for each change, the limiters that did not have it at the end.
     pub changes_missing: u32,
-    /// Processor time as a part of a core for each limiter.
+    /// CPU use of a limiter as a fraction of a core.
     pub cpu_cores_per_limiter: f64,
-    /// Processor time of a limiter's start and first list, in seconds.
+    /// CPU time in seconds of a limiter's start and first list.
     pub start_cpu_s_per_limiter: f64,
-    /// Resident memory for each limiter in bytes.
+    /// Resident memory per limiter in bytes.
     pub memory_bytes_per_limiter: f64,
-    /// What discovery carried.
+    /// Traffic of service discovery.
     pub discovery: StandInResult,
-    /// What the counter carried, if it was called.
+    /// Traffic of the counter, if the limiters called it.
     pub counter: Option<StandInResult>,
-    /// Decisions, and what went beyond quotas, if requests were decided.
+    /// Decisions and units beyond quotas, if the limiters decided requests.
     pub quota: Option<QuotaOutcome>,
-    /// Events that were played.
+    /// Names of the events that were carried out.
     pub events: Vec<&'static str>,
-    /// Why the machine did not keep up; empty if it did.
+    /// Signs that the machine did not keep up; empty if it did.
     pub fell_behind: Vec<String>,
 }
 
-/// One change of the list.
+/// One change of the server list.
 #[derive(Debug, Serialize)]
 pub struct ChangeResult {
-    /// What made it.
+    /// Name of the event that caused it.
     pub event: &'static str,
-    /// Its version.
+    /// Version of the list with this change.
     pub generation: u64,
-    /// Bytes of its text.
+    /// Length of its text in bytes.
     pub bytes: usize,
-    /// Limiters that ran throughout.
+    /// Number of limiters that ran from before the change to the end.
     pub limiters: usize,
-    /// Those that never had it.
+    /// Number of those limiters that never had it.
     pub missing: usize,
-    /// Seconds until limiters had it.
+    /// Seconds until the other limiters had it.
     pub delay_s: Summary,
 }
 
-/// What a stand-in carried while the events were played.
+/// Traffic of a stand-in during the events.
 #[derive(Debug, Serialize)]
 pub struct StandInResult {
-    /// Calls a second.
+    /// Calls per second.
     pub calls_per_s: f64,
-    /// Bytes a second, both ways.
+    /// Bytes per second, sent and received.
     pub bytes_per_s: f64,
-    /// Calls a limiter and second.
+    /// Calls per limiter and second.
     pub calls_per_limiter_s: f64,
-    /// Bytes a limiter and second, both ways.
+    /// Bytes per limiter and second, sent and received.
     pub bytes_per_limiter_s: f64,
-    /// The most of any zone's limiters, in bytes a limiter and second.
+    /// Bytes per limiter and second in the zone with the highest rate.
     pub bytes_per_limiter_s_worst_zone: f64,
-    /// Calls from the start to the very end.
+    /// Calls from the start of the limiters until all have ended.
     pub calls: u64,
-    /// Whole lists sent.
+    /// Number of whole lists sent.
     pub whole_lists: u64,
-    /// Connections taken.
+    /// Number of connections accepted.
     pub connections: u64,
 }
 
@@ -90,10 +91,10 @@
             .map(|c| self.change_result(c))
             .collect();
         for Ended { report, .. } in &self.ended {
-            let (p99, worst) = report.late_ticks_ms;
-            if p99 > LATE_MS {
+            let (p99, max) = report.late_ticks_ms;
+            if p99 > MAX_TICK_LATENESS_MS {
                 fell_behind.push(format!(
-                    "ticks of a hollow process late by {p99:.0} ms (p99), {worst:.0} ms"
+                    "timer ticks of a hollow process were late by {p99:.0} ms (p99), {max:.0} ms (max)"
                 ));
             }
         }
@@ -134,15 +135,16 @@
         }
     }
 
-    /// Only limiters that ran from before the change to the end of the play count.
+    /// Builds the result of a change. Only limiters that ran from before the change to the end of the
+    /// play are counted.
     fn change_result(&self, change: &Change) -> ChangeResult {
-        let whole = |e: &&Ended| e.started < change.at && e.to_the_end;
+        let ran_throughout = |e: &&Ended| e.started < change.at && e.ran_to_end;
         let lists = self
             .ended
             .iter()
-            .filter(whole)
+            .filter(ran_throughout)
             .flat_map(|e| &e.report.versions);
-        let had: Vec<Option<f64>> = lists
+        let delays_s: Vec<Option<f64>> = lists
             .map(|versions| {
                 let first = versions
                     .iter()
@@ -150,17 +152,18 @@
                 first.map(|(_, at)| at.saturating_sub(change.at) as f64 / SECOND)
             })
             .collect();
-        let missing = had.iter().filter(|had| had.is_none()).count();
+        let missing = delays_s.iter().filter(|delay| delay.is_none()).count();
         ChangeResult {
             event: change.event,
             generation: change.generation,
             bytes: change.bytes,
-            limiters: had.len(),
+            limiters: delays_s.len(),
             missing,
-            delay_s: Summary::of(had.into_iter().flatten().collect()),
+            delay_s: Summary::of(delays_s.into_iter().flatten().collect()),
         }
     }
 
+    /// Summarises the seconds from the start of limiters to their first list.
     fn first_lists(&self) -> Summary {
         let first = |ended: &Ended| {
             let started = ended.started;
@@ -173,7 +176,8 @@
         Summary::of(self.ended.iter().flat_map(first).collect())
     }
 
-    /// From what was carried before and after the events, and to the very end.
+    /// Builds the result of a stand-in from its counts before the events, after them, and when all
+    /// limiters had ended.
     fn stand_in_result(
         &self,
         [before, after, to_end]: [&[ZoneLoad]; 3],
@@ -181,8 +185,8 @@
     ) -> StandInResult {
         let limiters = f64::from(self.scenario.sizes.limiters);
         let bytes = |zone: usize| {
-            let sum = |load: &ZoneLoad| load.bytes_in + load.bytes_out;
-            (sum(&after[zone]) - sum(&before[zone])) as f64 / elapsed
+            let both_ways = |load: &ZoneLoad| load.bytes_in + load.bytes_out;
+            (both_ways(&after[zone]) - both_ways(&before[zone])) as f64 / elapsed
         };
         let total = |of: fn(&ZoneLoad) -> u64| {
             after
@@ -210,6 +214,7 @@
         }
     }
 
+    /// Sums the decisions of all limiters and audits the units that they sent upstream.
     fn quota(&self) -> QuotaOutcome {
         let population = Population::new(self.scenario, self.seed);
         let mut decisions = DecisionCounts::default();
--- a/lab/src/lease_mechanism.rs
+++ b/lab/src/lease_mechanism.rs
@@ -1,13 +1,14 @@
-//! Quotas by leases: a real holder (`mossrill::quota_lease::holder`) at each limiter and a real allocator at each
-//! control machine, by function calls in one process; bytes are those of the encoded messages with their frames. The
-//! allocators' own fleet is real views on a network of hand-made time.
+//! Quotas by leases: a real holder (`mossrill::quota_lease::holder`) at each limiter and a real allocator
+//! at each control machine. They exchange messages by function calls in one process; bytes are counted as
+//! those of the encoded messages with their frames. The membership of the allocators is simulated with
+//! real views on a network in virtual time.
 
 use crate::event_queue::EventQueue;
 use crate::net::SimulatedNetwork;
-use crate::population::{Drawn, Population};
+use crate::population::{DrawnRequest, Population};
 use crate::quota_log::QuotaLog;
 use crate::quota_mechanism::QuotaMechanism;
-use crate::quota_network::{Changed, QuotaNetwork};
+use crate::quota_network::{NetworkChange, QuotaNetwork};
 use crate::scenario::Quota;
 use mossrill::decision::Micros;
 use mossrill::quota_lease::allocator::{Allocator, AllocatorSettings, Ownership};
@@ -19,15 +20,16 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Units of a quota in thousandths.
-const MILLI: f64 = 1e3;
-/// Length before each message on a connection.
+/// Thousandths of a unit in one unit of quota.
+const MILLI_UNITS: f64 = 1e3;
+/// Length in bytes of the frame header before each message on a connection.
 const FRAME_BYTES: usize = 4;
-/// The allocators' fleet is played in steps of this time.
+/// Step in µs in which the membership of the allocators is simulated.
 const FLEET_STEP: Micros = 50_000;
-/// A holder is looked at again no sooner than this after a look.
-const LEAST_WAIT: Micros = 100;
+/// Minimum time in µs between two polls of a holder.
+const MIN_POLL_INTERVAL: Micros = 100;
 
+/// A scheduled event of the simulation.
 enum Due {
     Wake(u32),
     ReportArrives { machine: u32, report: Box<Report> },
@@ -35,14 +37,14 @@
     FleetStep,
 }
 
-/// A request that waits at a holder.
+/// A request that waits at a holder for leased units.
 struct Waiting {
     tenant: usize,
     units: f64,
     since: Micros,
 }
 
-/// Limiters and allocators.
+/// All limiters and allocators.
 pub struct LeaseMechanism {
     population: Arc<Population>,
     keys: Vec<AccountKey>,
@@ -53,14 +55,14 @@
     wake_at: Vec<Micros>,
     waiting: HashMap<(u32, WaiterId), Waiting>,
     allocators: Vec<Option<Allocator>>,
-    /// Incarnations of holders and allocators grow with each start.
-    starts: u64,
+    /// Incarnation of the holder or allocator that was started last; each start increments it.
+    last_incarnation: u64,
     fleet: SimulatedNetwork,
     queue: EventQueue<Due>,
 }
 
 impl LeaseMechanism {
-    /// All limiters and allocators start now, which is when the network of their fleet begins.
+    /// Creates the mechanism. All limiters, allocators and the network of the allocators start at `now`.
     pub fn new(
         now: Micros,
         network: &QuotaNetwork,
@@ -71,16 +73,16 @@
         let settings = HolderSettings {
             allocators: machines,
             use_fallback_first: quota.trust,
-            fallback_min_burst: (quota.fallback_least * MILLI).round() as u64,
+            fallback_min_burst: (quota.fallback_least * MILLI_UNITS).round() as u64,
             min_report_spacing: (quota.spacing_ms * 1e3).round() as Micros,
             ..HolderSettings::default()
         };
         let limits = population.plans.iter().map(|plan| PlanLimits {
-            rate: (plan.rate * MILLI).round() as u64,
-            burst: (plan.burst * MILLI).round() as u64,
+            rate: (plan.rate * MILLI_UNITS).round() as u64,
+            burst: (plan.burst * MILLI_UNITS).round() as u64,
         });
         let key = |tenant: usize| AccountKey::of(&crate::real_files::account(tenant));
-        let mut all = Self {
+        let mut mechanism = Self {
             keys: (0..population.tenants.len()).map(key).collect(),
             limits: limits.collect(),
             population,
@@ -94,41 +96,41 @@
             wake_at: vec![Micros::MAX; network.limiters() as usize],
             waiting: HashMap::new(),
             allocators: Vec::new(),
-            starts: 0,
+            last_incarnation: 0,
             fleet: SimulatedNetwork::new(machines, seed),
             queue: EventQueue::default(),
         };
-        all.fleet.now = now;
-        all.fleet.start_all();
+        mechanism.fleet.now = now;
+        mechanism.fleet.start_all();
         for machine in 0..machines {
-            let allocator = all.new_allocator(machine);
-            all.allocators.push(Some(allocator));
+            let allocator = mechanism.new_allocator(machine);
+            mechanism.allocators.push(Some(allocator));
         }
         for limiter in 0..network.limiters() {
-            let holder = all.new_holder(now, limiter);
-            all.holders.push(holder);
+            let holder = mechanism.new_holder(now, limiter);
+            mechanism.holders.push(holder);
         }
-        all.queue.push(now, Due::FleetStep);
-        all
+        mechanism.queue.push(now, Due::FleetStep);
+        mechanism
     }
 
     fn new_allocator(&mut self, machine: u32) -> Allocator {
-        self.starts += 1;
+        self.last_incarnation += 1;
         Allocator::new(
             machine,
             self.settings.allocators,
-            self.starts,
+            self.last_incarnation,
             self.allocator_settings,
         )
     }
 
     fn new_holder(&mut self, now: Micros, limiter: u32) -> Holder {
-        self.starts += 1;
+        self.last_incarnation += 1;
         Holder::new(
             now,
             HolderSettings {
                 limiter,
-                incarnation: self.starts,
+                incarnation: self.last_incarnation,
                 ..self.settings
             },
         )
@@ -142,7 +144,13 @@
         }
     }
 
-    fn answer(&mut self, now: Micros, limiter: u32, answers: Vec<Answer>, log: &mut QuotaLog) {
+    fn finish_waiting(
+        &mut self,
+        now: Micros,
+        limiter: u32,
+        answers: Vec<Answer>,
+        log: &mut QuotaLog,
+    ) {
         for Answer { waiter_id, outcome } in answers {
             let Some(waiting) = self.waiting.remove(&(limiter, waiter_id)) else {
                 continue;
@@ -155,14 +163,20 @@
         }
     }
 
-    fn wake(&mut self, now: Micros, network: &QuotaNetwork, limiter: u32, log: &mut QuotaLog) {
+    fn poll_holder(
+        &mut self,
+        now: Micros,
+        network: &QuotaNetwork,
+        limiter: u32,
+        log: &mut QuotaLog,
+    ) {
         let poll = self.holders[limiter as usize].poll(now);
         for (machine, report) in poll.reports {
             log.message_up(report.encoded_len() + FRAME_BYTES);
-            // What does not get through is sent again by the holder.
-            if let Some(way) = network.one_way(limiter, machine) {
+            // The holder sends a report again if it is not delivered.
+            if let Some(delay) = network.one_way(limiter, machine) {
                 self.queue.push(
-                    now + way,
+                    now + delay,
                     Due::ReportArrives {
                         machine,
                         report: Box::new(report),
@@ -170,11 +184,11 @@
                 );
             }
         }
-        self.answer(now, limiter, poll.answers, log);
-        self.set_wake(limiter, now + LEAST_WAIT);
+        self.finish_waiting(now, limiter, poll.answers, log);
+        self.set_wake(limiter, now + MIN_POLL_INTERVAL);
     }
 
-    fn report_arrives(
+    fn on_report_arrival(
         &mut self,
         now: Micros,
         network: &QuotaNetwork,
@@ -186,24 +200,25 @@
             return;
         };
         log.message_arrived(machine);
-        // One that is not taken is counted by the allocator and not answered.
+        // The allocator counts a report that it rejects, and does not answer it.
         let Ok(grant) = allocator.on_report(now, report) else {
             return;
         };
         log.message_down(grant.encoded_len() + FRAME_BYTES);
-        if let Some(way) = network.one_way(report.limiter, machine) {
-            let arrives = Due::GrantArrives {
+        if let Some(delay) = network.one_way(report.limiter, machine) {
+            let arrival = Due::GrantArrives {
                 limiter: report.limiter,
                 grant: Box::new(grant),
             };
-            self.queue.push(now + way, arrives);
+            self.queue.push(now + delay, arrival);
         }
     }
 
-    fn grant_arrives(&mut self, now: Micros, limiter: u32, grant: &Grant, log: &mut QuotaLog) {
-        // One to an earlier process of this limiter, or given up, is counted by the holder.
+    fn on_grant_arrival(&mut self, now: Micros, limiter: u32, grant: &Grant, log: &mut QuotaLog) {
+        // The holder counts a grant that it rejects: one for an earlier incarnation of this limiter, or for
+        // a report that the holder has given up on.
         if let Ok(answers) = self.holders[limiter as usize].on_grant(now, grant) {
-            self.answer(now, limiter, answers, log);
+            self.finish_waiting(now, limiter, answers, log);
         }
         self.set_wake(limiter, now);
     }
@@ -218,16 +233,16 @@
             else {
                 continue;
             };
-            let standing = process.view.quota_shares(now);
-            let given = standing
+            let shares = process.view.quota_shares(now);
+            let reassigned = shares
                 .reassigned
                 .iter()
                 .enumerate()
-                .filter(|(_, given)| **given);
+                .filter(|(_, reassigned)| **reassigned);
             let ownership = Ownership {
-                reassigned: given.fold(0, |bits, (number, _)| bits | 1 << number),
-                reassigned_until: standing.reassigned_until,
-                lease_ends: standing.lease_ends,
+                reassigned: reassigned.fold(0, |bits, (number, _)| bits | 1 << number),
+                reassigned_until: shares.reassigned_until,
+                lease_ends: shares.lease_ends,
             };
             allocator.set_ownership(now, ownership);
         }
@@ -236,16 +251,22 @@
 }
 
 impl QuotaMechanism for LeaseMechanism {
-    fn request(&mut self, now: Micros, _network: &QuotaNetwork, drawn: Drawn, log: &mut QuotaLog) {
-        let Drawn {
+    fn request(
+        &mut self,
+        now: Micros,
+        _network: &QuotaNetwork,
+        drawn: DrawnRequest,
+        log: &mut QuotaLog,
+    ) {
+        let DrawnRequest {
             tenant,
             limiter,
             units,
         } = drawn;
-        let shape = self.population.tenants[tenant];
-        let (key, limits) = (self.keys[tenant], self.limits[shape.plan]);
-        let milli = (units * MILLI) as u64;
-        match self.holders[limiter as usize].take(now, key, limits, shape.spread, milli) {
+        let traffic = self.population.tenants[tenant];
+        let (key, limits) = (self.keys[tenant], self.limits[traffic.plan]);
+        let milli_units = (units * MILLI_UNITS) as u64;
+        match self.holders[limiter as usize].take(now, key, limits, traffic.spread, milli_units) {
             TakeResult::Taken(_) => log.sent(now, tenant, units, None),
             TakeResult::Denied { .. } => log.refused(None),
             TakeResult::Waiting(waiter_id) => {
@@ -260,8 +281,8 @@
         self.set_wake(limiter, now);
     }
 
-    fn next(&self) -> Micros {
-        self.queue.next()
+    fn next_event_time(&self) -> Micros {
+        self.queue.next_time()
     }
 
     fn step(&mut self, network: &QuotaNetwork, log: &mut QuotaLog) {
@@ -280,37 +301,40 @@
         match due {
             Due::Wake(limiter) if self.wake_at[limiter as usize] == now => {
                 self.wake_at[limiter as usize] = Micros::MAX;
-                self.wake(now, network, limiter, log);
+                self.poll_holder(now, network, limiter, log);
             }
-            // An earlier look has taken its place.
+            // Outdated: the limiter was rescheduled to an earlier time and has been polled.
             Due::Wake(_) => {}
             Due::ReportArrives { machine, report } => {
-                self.report_arrives(now, network, machine, &report, log);
+                self.on_report_arrival(now, network, machine, &report, log);
+            }
+            Due::GrantArrives { limiter, grant } => {
+                self.on_grant_arrival(now, limiter, &grant, log)
             }
-            Due::GrantArrives { limiter, grant } => self.grant_arrives(now, limiter, &grant, log),
             Due::FleetStep => self.step_fleet(now, network),
         }
     }
 
-    fn changed(&mut self, now: Micros, _network: &QuotaNetwork, changed: &Changed) {
-        match changed {
-            Changed::MachineLost(machine) => {
+    fn apply_change(&mut self, now: Micros, _network: &QuotaNetwork, change: &NetworkChange) {
+        match change {
+            NetworkChange::MachineLost(machine) => {
                 self.allocators[*machine as usize] = None;
                 self.fleet.kill(*machine as usize);
             }
-            Changed::MachineBack(machine) => {
+            NetworkChange::MachineBack(machine) => {
                 let allocator = self.new_allocator(*machine);
                 self.allocators[*machine as usize] = Some(allocator);
                 self.fleet.start(*machine as usize);
             }
-            Changed::LimitersStarted(limiters) => {
+            NetworkChange::LimitersStarted(limiters) => {
                 for limiter in limiters {
                     self.holders[*limiter as usize] = self.new_holder(now, *limiter);
-                    self.waiting.retain(|(of, _), _| of != limiter);
+                    self.waiting
+                        .retain(|(waiting_at, _), _| waiting_at != limiter);
                     self.set_wake(*limiter, now);
                 }
             }
-            Changed::Regions | Changed::Nothing => {}
+            NetworkChange::Regions | NetworkChange::Nothing => {}
         }
     }
 
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! Scale runs of mossrill: scenario files, stand-ins for what surrounds a fleet, hollow limiters that run the real
-//! state machines, and measurement. `README.md` says what is a stand-in and what runs in virtual time.
+//! Scale tests of mossrill: scenario files, stand-ins for the services around a fleet (discovery,
+//! counter, upstream servers), simulated ("hollow") limiters that run the real state machines, and
+//! measurement. `README.md` lists what is a stand-in and what runs in virtual time.
 
 #![forbid(unsafe_code)]
 #![warn(clippy::too_many_lines)]
@@ -38,7 +39,7 @@
 pub mod summary;
 pub mod upstream;
 
-/// The simulated network in virtual time on which the views of a fleet are tested.
+/// Simulated network in virtual time, shared with the membership tests.
 #[path = "../../tests/common/net.rs"]
 #[allow(dead_code, missing_docs, missing_debug_implementations)]
 mod net;
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -1,8 +1,8 @@
-//! Open-loop load: requests begin at drawn times whatever became of those before, and a request's latency counts from
-//! the time at which it was to begin.
+//! Open-loop load generator. Requests start at randomly drawn times, whether or not earlier ones have
+//! been answered, and latency is measured from the intended start of a request.
 
 use crate::error::LabError;
-use crate::population::{Drawn, Population};
+use crate::population::{DrawnRequest, Population};
 use crate::real_files::{account, path, ACCOUNT_HEADER};
 use crate::upstream::SERVICE_HEADER;
 use crossbeam_channel::{unbounded, Receiver, Sender};
@@ -18,14 +18,15 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Connections to each limiter: more requests than these at once wait, which their latency shows.
-const CONNECTIONS: usize = 48;
-/// An answer is waited for so long.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
-/// The longest latency that is told apart, in µs.
-const LONGEST_US: u64 = 60_000_000;
-/// The longest answer.
-const LONGEST_ANSWER: usize = 64 * 1024;
+/// Number of connections to each limiter. Further concurrent requests wait for a free connection; the
+/// wait is part of their latency.
+const CONNECTIONS_PER_LIMITER: usize = 48;
+/// Timeout of connecting and of reading an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Upper bound of the latency histograms in µs; longer latencies are recorded as this one.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Maximum length of the body of an answer in bytes.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// A request to be sent.
 struct Job {
@@ -34,29 +35,29 @@
     units: u32,
 }
 
-/// What came of all requests.
+/// Outcomes of all requests.
 pub struct Outcomes {
     /// Latency of served requests from the intended start, in µs.
     pub latency: Histogram<u64>,
-    /// The same without the time that the upstream server took.
+    /// The same latency less the service time of the upstream server, in µs.
     pub added: Histogram<u64>,
-    /// How late requests were written, in µs.
+    /// Delay from the intended start of a request until it was written, in µs.
     pub lag: Histogram<u64>,
-    /// Served.
+    /// Number of requests served.
     pub served: u64,
-    /// Refused by quota or load (429, or 504 where nothing was sent).
+    /// Number of requests refused by quota or load (429, or 504 if no attempt was sent).
     pub refused: u64,
-    /// Failed: any other answer.
+    /// Number of requests with any other answer.
     pub failed: u64,
-    /// No connection, or a connection that broke.
+    /// Number of requests without an answer: the connection could not be opened, or broke.
     pub broken: u64,
-    /// Units served, by second and tenant.
+    /// Units of served requests, by second and tenant.
     pub units: HashMap<(u32, usize), f64>,
 }
 
 impl Outcomes {
     fn new() -> Result<Self, LabError> {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3);
+        let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3);
         Ok(Self {
             latency: histogram()?,
             added: histogram()?,
@@ -83,13 +84,13 @@
         Ok(())
     }
 
-    /// Requests in all.
+    /// Returns the total number of requests.
     pub fn requests(&self) -> u64 {
         self.served + self.refused + self.failed + self.broken
     }
 }
 
-/// A generator that runs.
+/// A running load generator.
 pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     dispatcher: JoinHandle<()>,
@@ -97,7 +98,7 @@
 }
 
 impl LoadGenerator {
-    /// Starts to send the traffic of these tenants to the limiters at these ports.
+    /// Starts sending the traffic of these tenants to the limiters on these ports.
     pub fn start(population: Arc<Population>, ports: &[u16], seed: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let began = Instant::now();
@@ -105,15 +106,18 @@
         for port in ports {
             let (queue, jobs) = unbounded();
             queues.push(queue);
-            let at = SocketAddr::from((Ipv4Addr::LOCALHOST, *port));
-            for _ in 0..CONNECTIONS {
+            let address = SocketAddr::from((Ipv4Addr::LOCALHOST, *port));
+            for _ in 0..CONNECTIONS_PER_LIMITER {
                 let jobs = jobs.clone();
-                workers.push(std::thread::spawn(move || work(at, &jobs, began)));
+                workers.push(std::thread::spawn(move || {
+                    run_worker(address, &jobs, began)
+                }));
             }
         }
-        let stopped = stop.clone();
-        let dispatcher =
-            std::thread::spawn(move || dispatch(&population, &queues, &stopped, began, seed));
+        let stop_requested = stop.clone();
+        let dispatcher = std::thread::spawn(move || {
+            dispatch(&population, &queues, &stop_requested, began, seed)
+        });
         Self {
             stop,
             dispatcher,
@@ -121,20 +125,21 @@
         }
     }
 
-    /// Stops and says what came of all requests.
+    /// Stops the generator and returns the outcomes of all requests.
     pub fn finish(self) -> Result<Outcomes, LabError> {
         self.stop.store(true, Relaxed);
-        let lost = |_| LabError::WorkerPanicked;
-        self.dispatcher.join().map_err(lost)?;
-        let mut all = Outcomes::new()?;
+        let panicked = |_| LabError::WorkerPanicked;
+        self.dispatcher.join().map_err(panicked)?;
+        let mut total = Outcomes::new()?;
         for worker in self.workers {
-            all.add(&worker.join().map_err(lost)??)?;
+            total.add(&worker.join().map_err(panicked)??)?;
         }
-        Ok(all)
+        Ok(total)
     }
 }
 
-/// Hands each request to its limiter's workers at its time; a Poisson stream over all tenants.
+/// Passes each request to its limiter's workers at its intended start; requests of all tenants
+/// together are a Poisson process.
 fn dispatch(
     population: &Population,
     queues: &[Sender<Job>],
@@ -145,10 +150,10 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut intended = began;
     while !stop.load(Relaxed) {
-        let chance: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
-        intended += Duration::from_secs_f64(-chance.ln() / population.requests_per_s());
+        let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
+        intended += Duration::from_secs_f64(-uniform.ln() / population.requests_per_s());
         std::thread::sleep(intended.saturating_duration_since(Instant::now()));
-        let Drawn {
+        let DrawnRequest {
             tenant,
             limiter,
             units,
@@ -164,13 +169,18 @@
     }
 }
 
-fn work(at: SocketAddr, jobs: &Receiver<Job>, began: Instant) -> Result<Outcomes, LabError> {
+/// Sends requests on one connection, one after another, until the queue is closed.
+fn run_worker(
+    address: SocketAddr,
+    jobs: &Receiver<Job>,
+    began: Instant,
+) -> Result<Outcomes, LabError> {
     let mut outcomes = Outcomes::new()?;
     let mut connection: Option<TcpStream> = None;
     for job in jobs {
         let open = connection
             .take()
-            .or_else(|| TcpStream::connect_timeout(&at, ANSWER_LIMIT).ok());
+            .or_else(|| TcpStream::connect_timeout(&address, ANSWER_TIMEOUT).ok());
         outcomes
             .lag
             .saturating_record(job.intended.elapsed().as_micros() as u64);
@@ -179,8 +189,8 @@
             outcomes.broken += 1;
             continue;
         };
-        connection = answer.keep.then_some(stream);
-        outcomes.take(&job, &answer, began);
+        connection = answer.keep_alive.then_some(stream);
+        outcomes.record(&job, &answer, began);
     }
     Ok(outcomes)
 }
@@ -188,29 +198,31 @@
 struct Answer {
     status: u16,
     service_micros: u64,
-    keep: bool,
+    keep_alive: bool,
 }
 
+/// Sends a request and reads its answer; `None` if the connection fails.
 fn exchange(mut stream: &TcpStream, job: &Job) -> Option<Answer> {
     stream.set_nodelay(true).ok()?;
-    stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     let (path, account) = (path(job.units), account(job.tenant));
     let text = format!("GET {path} HTTP/1.1\r\nHost: lab\r\n{ACCOUNT_HEADER}: {account}\r\n\r\n");
     stream.write_all(text.as_bytes()).ok()?;
     let (head, _) = Reader::new(stream)
-        .read_response_with_body(LONGEST_ANSWER, false)
+        .read_response_with_body(MAX_ANSWER_BYTES, false)
         .ok()?;
-    let told = header(&head.headers, SERVICE_HEADER);
-    let service = told.and_then(|value| std::str::from_utf8(value).ok()?.trim().parse().ok());
+    let reported = header(&head.headers, SERVICE_HEADER);
+    let service = reported.and_then(|value| std::str::from_utf8(value).ok()?.trim().parse().ok());
     Some(Answer {
         status: head.status,
         service_micros: service.unwrap_or(0),
-        keep: head.keep_alive,
+        keep_alive: head.keep_alive,
     })
 }
 
 impl Outcomes {
-    fn take(&mut self, job: &Job, answer: &Answer, began: Instant) {
+    /// Records an answer.
+    fn record(&mut self, job: &Job, answer: &Answer, began: Instant) {
         match answer.status {
             200 => {
                 let latency = job.intended.elapsed().as_micros() as u64;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `mossrill-lab`: plays scale runs from scenario files.
+//! `mossrill-lab`: runs scale tests from scenario files.
 
 #![forbid(unsafe_code)]
 
@@ -22,47 +22,47 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario once for each of its seeds.
+    /// Runs a scenario once for each of its seeds.
     Run {
         /// The scenario file.
         scenario: PathBuf,
-        /// Also writes the reports here, as JSON.
+        /// File to which the reports are also written, as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Predicted figures, by scenario and path.
+        /// TOML file of predicted figures, by scenario and path in the report.
         #[arg(long)]
         predictions: Option<PathBuf>,
-        /// One seed in place of the scenario's.
+        /// Seed to use instead of those of the scenario.
         #[arg(long)]
         seed: Option<u64>,
-        /// Puts a value in place of the scenario's, as `traffic.spread=32`.
+        /// Overrides a value of the scenario, for example `traffic.spread=32`.
         #[arg(long = "set", value_name = "KEY=VALUE")]
         overrides: Vec<String>,
-        /// The limiter that real processes run.
+        /// The limiter program that real processes execute.
         #[arg(long, default_value = "target/release/mossrill")]
         limiter: PathBuf,
     },
-    /// Reads and checks scenario files, and plays nothing.
+    /// Reads and checks scenario files without running them.
     Check {
         /// The scenario files.
         scenarios: Vec<PathBuf>,
     },
-    /// A child process of a run.
+    /// Runs as a child process of a run.
     #[command(hide = true)]
     Child,
 }
 
 fn main() -> ExitCode {
-    match work(Arguments::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn work(command: Command) -> Result<(), LabError> {
+fn execute(command: Command) -> Result<(), LabError> {
     match command {
         Command::Run {
             scenario,
@@ -91,7 +91,7 @@
             let scenario = load(path, &[])?;
             let (processes, memory) = (scenario.processes(), scenario.memory_estimate() >> 20);
             println!(
-                "{}: good; {processes} processes and {memory} MB at most",
+                "{}: valid; {processes} processes and at most {memory} MB",
                 path.display()
             );
             Ok(())
@@ -129,7 +129,7 @@
         report.seed,
         report.scenario.traffic.scale,
     );
-    println!("scenario {name}, seed {seed}, {scale} of tenants and traffic played");
+    println!("scenario {name}, seed {seed}, scale {scale} of tenants and traffic");
     let value = serde_json::to_value(report)?;
     print!("{}", table(&value));
     print!("{}", comparison_table(&report.predictions));
--- a/lab/src/membership_play.rs
+++ b/lab/src/membership_play.rs
@@ -1,43 +1,45 @@
-//! Plays the fleet's membership in virtual time: real views (`mossrill::membership::view`) on a network of hand-made time.
+//! Simulates the fleet's membership in virtual time: real views (`mossrill::membership::view`) on a
+//! simulated network.
 
 use crate::net::{SimulatedNetwork, SECOND};
 use crate::scenario::{Event, Membership, Scenario};
 use serde::Serialize;
 
-/// All members know each other by then, or the play is marked.
-const SETTLE_LIMIT: u64 = 600 * SECOND;
-/// After an event, what it brings about is waited for so long at most.
-const EVENT_LIMIT: u64 = 120 * SECOND;
+/// Maximum time until all members know each other. If it passes, `settled_s` is missing from the report.
+const SETTLE_TIMEOUT: u64 = 600 * SECOND;
+/// Maximum time after an event until all members know its consequences.
+const EVENT_TIMEOUT: u64 = 120 * SECOND;
 
-/// What the play of the membership showed.
+/// Results of the membership run.
 #[derive(Debug, Serialize)]
 pub struct MembershipResult {
-    /// Members.
+    /// Number of members.
     pub members: u32,
-    /// "virtual": times are the network's, not the machine's.
+    /// "virtual": times are simulated, not measured on the machine.
     pub time: &'static str,
-    /// Seconds from the start until all know each other; none if they do not.
+    /// Seconds from the start until all members know each other; `None` if they do not in time.
     pub settled_s: Option<f64>,
-    /// Datagrams a member and second while nothing happens.
+    /// Datagrams per member and second while there are no events.
     pub datagrams_per_member_s: f64,
-    /// Bytes a member and second while nothing happens.
+    /// Bytes per member and second while there are no events.
     pub bytes_per_member_s: f64,
-    /// Longest datagram in bytes.
+    /// Length of the longest datagram in bytes.
     pub longest_datagram: usize,
-    /// Processor time for a member and virtual second, in seconds of a core; the network's own work is in it.
+    /// CPU seconds per member and virtual second, including the simulation of the network.
     pub cpu_s_per_member_s: f64,
-    /// By event: seconds until all members that run have it; none if they have not.
+    /// Results by event.
     pub events: Vec<EventResult>,
 }
 
-/// What an event brought about.
+/// Result of an event.
 #[derive(Debug, Serialize)]
 pub struct EventResult {
-    /// The event.
+    /// Name of the event.
     pub event: &'static str,
-    /// Seconds until every running member of one side holds just the others of its side for living.
+    /// Seconds until every running member considers exactly the running members on its side of a
+    /// partition alive; `None` if that does not happen in time.
     pub known_s: Option<f64>,
-    /// Bytes a member and second meanwhile.
+    /// Bytes per member and second during this time.
     pub bytes_per_member_s: f64,
 }
 
@@ -47,27 +49,27 @@
     members: u32,
 }
 
-/// Plays the membership of a scenario.
+/// Simulates the membership of a scenario and returns the results.
 pub fn play(scenario: &Scenario, membership: &Membership, seed: u64) -> MembershipResult {
     let members = membership.members;
     let mut net = SimulatedNetwork::new(members, seed);
     net.start_all();
-    let settled = net.run_until(SETTLE_LIMIT, SimulatedNetwork::is_settled);
+    let settled = net.run_until(SETTLE_TIMEOUT, SimulatedNetwork::is_settled);
     net.loss = membership.loss;
     let mut play = Play {
         scenario,
         net,
         members,
     };
-    let quiet = u64::from(scenario.duration_s.min(60)) * SECOND;
-    let cpu = crate::process_figures::cpu_seconds(None);
-    let (datagrams, bytes) = play.rates(|play| play.net.run(quiet));
-    let cpu = crate::process_figures::cpu_seconds(None) - cpu;
-    let member_seconds = f64::from(members) * quiet as f64 / SECOND as f64;
+    let idle_time = u64::from(scenario.duration_s.min(60)) * SECOND;
+    let cpu_s = crate::process_figures::cpu_seconds(None);
+    let (datagrams, bytes) = play.rates(|play| play.net.run(idle_time));
+    let cpu_s = crate::process_figures::cpu_seconds(None) - cpu_s;
+    let member_seconds = f64::from(members) * idle_time as f64 / SECOND as f64;
     let events = scenario
         .events
         .iter()
-        .filter_map(|timed| play.happen(&timed.event))
+        .filter_map(|timed| play.apply_event(&timed.event))
         .collect();
     MembershipResult {
         members,
@@ -76,7 +78,7 @@
         datagrams_per_member_s: datagrams,
         bytes_per_member_s: bytes,
         longest_datagram: play.net.max_datagram_bytes,
-        cpu_s_per_member_s: cpu / member_seconds,
+        cpu_s_per_member_s: cpu_s / member_seconds,
         events,
     }
 }
@@ -86,7 +88,7 @@
 }
 
 impl Play<'_> {
-    /// Datagrams and bytes a member and second while this goes on.
+    /// Runs `work` and returns the datagrams and bytes sent per member and second meanwhile.
     fn rates(&mut self, work: impl FnOnce(&mut Self)) -> (f64, f64) {
         let before: (u64, u64) = (self.net.sent.iter().sum(), self.net.sent_bytes.iter().sum());
         let began = self.net.now;
@@ -104,32 +106,32 @@
         (u64::from(member) * zones / u64::from(self.members)) as u32
     }
 
-    fn of_zone(&self, zone: u32) -> Vec<usize> {
+    fn members_of_zone(&self, zone: u32) -> Vec<usize> {
         (0..self.members)
             .filter(|member| self.zone_of(*member) == zone)
             .map(|m| m as usize)
             .collect()
     }
 
-    fn happen(&mut self, event: &Event) -> Option<EventResult> {
+    fn apply_event(&mut self, event: &Event) -> Option<EventResult> {
         match event {
             Event::ZoneLost { zone } => self
-                .of_zone(*zone)
+                .members_of_zone(*zone)
                 .into_iter()
-                .for_each(|who| self.net.kill(who)),
+                .for_each(|member| self.net.kill(member)),
             Event::ZoneBack { zone } => self
-                .of_zone(*zone)
+                .members_of_zone(*zone)
                 .into_iter()
-                .for_each(|who| self.net.start(who)),
+                .for_each(|member| self.net.start(member)),
             Event::HalfRestarted => (0..self.members as usize)
                 .step_by(2)
-                .for_each(|who| self.net.start(who)),
+                .for_each(|member| self.net.start(member)),
             Event::RegionCut { region } => self.set_side(*region, 1),
             Event::RegionHealed { region } => self.set_side(*region, 0),
             Event::LimiterPaused { limiter, seconds } => {
-                let who = limiter % self.members;
+                let member = limiter % self.members;
                 self.net
-                    .pause(who as usize, (seconds * SECOND as f64) as u64);
+                    .pause(member as usize, (seconds * SECOND as f64) as u64);
                 self.net.run((seconds * SECOND as f64) as u64);
             }
             Event::ListChanges { .. }
@@ -141,7 +143,7 @@
         let (_, bytes) = self.rates(|play| {
             known = play
                 .net
-                .run_until(EVENT_LIMIT, SimulatedNetwork::is_settled)
+                .run_until(EVENT_TIMEOUT, SimulatedNetwork::is_settled)
         });
         Some(EventResult {
             event: event.name(),
@@ -150,6 +152,7 @@
         })
     }
 
+    /// Moves all members of a region to a side of the network partition.
     fn set_side(&mut self, region: u32, side: u8) {
         for member in 0..self.members {
             if self.scenario.region_of_zone(self.zone_of(member)) == region {
--- a/lab/src/messages.rs
+++ b/lab/src/messages.rs
@@ -1,181 +1,182 @@
-//! What the controller and its child processes say to each other: one JSON object a line, over standard input and
-//! output.
+//! Messages between the controller and its child processes: one JSON object on each line, over the
+//! standard input and output of the child.
 
 use crate::audit::AuditResult;
 use crate::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 
-/// What a child is told first.
+/// First message to a child process: the role that it takes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Start {
-    /// Serve the server list.
+    /// Serves the server list as service discovery.
     Discovery {
-        /// The run.
+        /// The scenario of the run.
         scenario: Box<Scenario>,
-        /// Its seed.
+        /// Seed of the run.
         seed: u64,
     },
-    /// Serve counts.
+    /// Serves the shared counter.
     Counter {
-        /// Number of zones; each has an address of its own.
+        /// Number of zones; each has its own listener.
         zones: u32,
     },
-    /// Be upstream servers.
+    /// Serves as upstream servers.
     Upstream {
-        /// How many.
+        /// Number of servers.
         servers: u32,
-        /// Mean time of an answer.
+        /// Mean service time of a request in ms.
         mean_ms: f64,
-        /// For random numbers.
+        /// Seed of the random service times.
         seed: u64,
     },
-    /// Be the hollow limiters of a zone.
+    /// Runs the hollow limiters of a zone.
     Hollow(Box<HollowStart>),
 }
 
-/// What the hollow limiters of a zone are told.
+/// Parameters of the process that runs the hollow limiters of a zone.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowStart {
-    /// The run.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Their zone.
+    /// The zone of the limiters.
     pub zone: u32,
-    /// Port of discovery for this zone.
+    /// Port of service discovery for this zone.
     pub discovery: u16,
-    /// Port of the counter for this zone, if it is called.
+    /// Port of the counter for this zone, if the limiters call it.
     pub counter: Option<u16>,
 }
 
-/// What a child is told later.
+/// Later messages to a child process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// Restart so many servers of the list.
+    /// Restarts this number of servers of the list.
     ChangeList(u32),
-    /// Take a zone's servers out of the list, or put them back.
+    /// Takes a zone's servers out of service, or puts them back into service.
     SetZone {
         /// The zone.
         zone: u32,
-        /// Back in service.
+        /// Whether the servers are to be in service.
         in_service: bool,
     },
-    /// Say nothing to these zones from now on, or speak to them again.
+    /// Stops answering these zones, or resumes.
     Cut {
         /// The zones.
         zones: Vec<u32>,
-        /// Whether they are cut off.
+        /// Whether the zones are cut off.
         silent: bool,
     },
-    /// Traffic begins, or measurement does.
+    /// Starts the traffic, if the child has any, and the measurement.
     Begin,
-    /// Say what was carried so far.
+    /// Requests a [`Reply::Load`] with the traffic so far.
     Report,
-    /// Say when all limiters have this version of the list, or that they do not after so many seconds.
+    /// Waits until all limiters have this version of the list, or the time has passed; the answer is
+    /// [`Reply::Lacking`].
     AwaitVersion {
         /// The version.
         generation: u64,
-        /// Seconds that are waited at most.
+        /// Maximum wait in seconds.
         seconds: u32,
     },
-    /// Report and end.
+    /// Sends the final report and ends the process.
     Finish,
 }
 
-/// What a child says.
+/// Messages from a child process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// It serves on these ports.
+    /// The child is ready and listens on these ports.
     Ready(Vec<u16>),
-    /// A version of the list is there since this time in µs.
+    /// A version of the list was published.
     Published {
         /// The version.
         generation: u64,
-        /// Unix time in µs.
+        /// Unix time of the publication in µs.
         at: u64,
-        /// Bytes of its changes.
+        /// Length of its changes in bytes.
         bytes: usize,
     },
-    /// Limiters that lack the version that was waited for.
+    /// Number of limiters that did not have the awaited version in time.
     Lacking(u32),
-    /// What a stand-in carried.
+    /// Traffic of a stand-in by zone; for upstream servers, by server.
     Load(Vec<ZoneLoad>),
-    /// What the hollow limiters of a zone saw.
+    /// Measurements of the hollow limiters of a zone.
     Hollow(Box<HollowReport>),
 }
 
-/// What a stand-in carried for one zone.
+/// Traffic of a stand-in with one zone.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ZoneLoad {
-    /// Connections taken.
+    /// Number of connections accepted.
     pub connections: u64,
-    /// Calls taken.
+    /// Number of calls received.
     pub calls: u64,
-    /// Bytes of calls.
+    /// Bytes received in calls.
     pub bytes_in: u64,
-    /// Bytes of answers.
+    /// Bytes sent in answers.
     pub bytes_out: u64,
-    /// Answers that were the whole list.
+    /// Number of answers with the whole list.
     pub whole_lists: u64,
 }
 
-/// What the hollow limiters of a zone saw.
+/// Measurements of the hollow limiters of a zone.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HollowReport {
-    /// Limiters.
+    /// Number of limiters.
     pub limiters: u32,
-    /// By limiter: each version of the list with the time at which it was applied.
+    /// For each limiter, the versions of the list that it applied, with the Unix time of each in µs.
     pub versions: Vec<Vec<(u64, u64)>>,
-    /// Processor time since the beginning, in seconds.
+    /// CPU time since [`Command::Begin`] in seconds.
     pub cpu_s: f64,
-    /// Processor time up to the beginning: start and first list.
+    /// CPU time before [`Command::Begin`] in seconds: process start and first list.
     pub start_cpu_s: f64,
-    /// Seconds since the beginning.
+    /// Seconds since [`Command::Begin`].
     pub elapsed_s: f64,
     /// Resident memory in bytes.
     pub memory_bytes: u64,
-    /// Lateness of this process's own ticks in ms: 99th percentile and worst.
+    /// Lateness of timer ticks of this process in ms: 99th percentile and maximum.
     pub late_ticks_ms: (f64, f64),
-    /// Quota decisions, if any were made.
+    /// Numbers of quota decisions; all 0 if the limiters do not decide requests.
     pub decisions: DecisionCounts,
-    /// Units sent on, by second and tenant.
+    /// Units sent upstream, by second and tenant.
     pub units: Vec<TenantUnits>,
 }
 
-/// Units of a tenant that were sent on within a second.
+/// Units of a tenant that were sent upstream within a second.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct TenantUnits {
-    /// Seconds since the beginning.
+    /// Number of the second since the traffic began.
     pub second: u32,
-    /// Whose.
+    /// Number of the tenant.
     pub tenant: u32,
-    /// How many.
+    /// Number of units.
     pub units: f64,
 }
 
-/// Decisions of hollow limiters.
+/// Numbers of decisions and counter calls of hollow limiters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecisionCounts {
-    /// Requests drawn.
+    /// Requests generated.
     pub requests: u64,
-    /// Sent on.
+    /// Requests sent upstream.
     pub sent: u64,
-    /// Refused or failed.
+    /// Requests refused or failed.
     pub refused: u64,
-    /// Decided only by the answer of a control call.
+    /// Requests that were decided only when the answer of a counter call came.
     pub waited: u64,
-    /// Neither sent on nor refused when the play ended.
+    /// Requests neither sent upstream nor refused at the end of the run.
     pub undecided: u64,
-    /// Calls of the counter.
+    /// Calls to the counter.
     pub calls: u64,
-    /// Calls whose answer was taken.
+    /// Calls that were answered in time.
     pub calls_answered: u64,
-    /// Calls that were given up.
+    /// Calls that timed out.
     pub calls_lost: u64,
 }
 
 impl DecisionCounts {
-    /// Adds another limiter's.
+    /// Adds the numbers of another limiter.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.sent += other.sent;
@@ -188,11 +189,11 @@
     }
 }
 
-/// What was decided and what of it was beyond quotas.
+/// Decisions of a run and the units that exceeded quotas.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct QuotaOutcome {
-    /// Decisions.
+    /// Numbers of decisions.
     pub decisions: DecisionCounts,
-    /// Units beyond quotas.
+    /// Audit of the units sent upstream against the quotas.
     pub audit: AuditResult,
 }
--- a/lab/src/population.rs
+++ b/lab/src/population.rs
@@ -1,41 +1,41 @@
-//! Tenants as a scenario states them: their traffic, their quotas, and the limiters that each comes through.
+//! The tenants of a scenario: their traffic, their quotas, and the limiters that receive their requests.
 
 use crate::scenario::Scenario;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A full bucket lasts so long at the plan's rate.
+/// Burst of a plan in seconds at its rate.
 const BURST_SECONDS: f64 = 10.0;
-/// Units that a bucket holds at least.
-const LEAST_BURST: f64 = 10.0;
-/// The smallest plan in units a second; each further one has twice the rate.
-const LEAST_RATE: f64 = 1.0 / 32.0;
+/// Minimum burst of a plan in units.
+const MIN_BURST: f64 = 10.0;
+/// Rate of the smallest plan in units per second; each following plan has twice the rate.
+const MIN_RATE: f64 = 1.0 / 32.0;
 /// Number of plans.
-const PLANS: usize = 28;
-/// What a tenant over its quota has, as a multiple of its demand.
-const OVER_QUOTA: f64 = 0.5;
-/// Requests a second of a small tenant: one a minute.
-const SMALL_RATE: f64 = 1.0 / 60.0;
+const PLAN_COUNT: usize = 28;
+/// Quota of a tenant that exceeds it, as a multiple of its mean demand.
+const OVER_QUOTA_FACTOR: f64 = 0.5;
+/// Requests per second of a small tenant: one per minute.
+const SMALL_TENANT_RATE: f64 = 1.0 / 60.0;
 
-/// A quota.
+/// A plan: rate and burst of a quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that the bucket holds.
+    /// Capacity of the bucket in units.
     pub burst: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Requests a second over all limiters.
+    /// Requests per second over all limiters.
     pub requests_per_s: f64,
-    /// Index of its plan.
+    /// Index of the plan of the tenant.
     pub plan: usize,
-    /// Number of the first limiter that its requests come through.
+    /// Number of the first limiter that receives its requests.
     pub first: u32,
-    /// Number of limiters that they come through.
+    /// Number of consecutive limiters that receive its requests.
     pub spread: u32,
 }
 
@@ -45,29 +45,29 @@
     pub tenants: Vec<Tenant>,
     /// The plans.
     pub plans: Vec<Plan>,
-    cumulative: Vec<f64>,
+    cumulative_rates: Vec<f64>,
     limiters: u32,
     mean_units: f64,
 }
 
-/// One drawn request.
+/// A randomly drawn request.
 #[derive(Clone, Copy, Debug)]
-pub struct Drawn {
-    /// Whose it is.
+pub struct DrawnRequest {
+    /// Number of the tenant.
     pub tenant: usize,
-    /// The limiter it comes to.
+    /// The limiter that receives it.
     pub limiter: u32,
-    /// Units that it takes.
+    /// Units of quota that it takes.
     pub units: f64,
 }
 
 impl Population {
-    /// The tenants of a scenario. The same seed gives the same ones in every process.
+    /// Creates the tenants of a scenario. The same seed gives the same tenants in every process.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let traffic = &scenario.traffic;
         let mut rng = StdRng::seed_from_u64(seed);
-        let plans: Vec<Plan> = (0..PLANS)
-            .map(|number| plan(LEAST_RATE * 2f64.powi(number as i32)))
+        let plans: Vec<Plan> = (0..PLAN_COUNT)
+            .map(|number| plan(MIN_RATE * 2f64.powi(number as i32)))
             .collect();
         let limiters = scenario.sizes.limiters;
         let spread = traffic.spread.min(limiters);
@@ -78,7 +78,7 @@
                 let over = rng.random_bool(traffic.over_quota_share);
                 let quota = demand
                     * if over {
-                        OVER_QUOTA
+                        OVER_QUOTA_FACTOR
                     } else {
                         traffic.quota_headroom
                     };
@@ -92,11 +92,11 @@
             })
             .collect();
         if traffic.giant_share > 0.0 {
-            // A tenant with so large a part of all traffic comes through every limiter.
+            // The giant tenant has such a large share of the traffic that it sends to every limiter.
             tenants[0].spread = limiters;
         }
         let mut sum = 0.0;
-        let cumulative = tenants
+        let cumulative_rates = tenants
             .iter()
             .map(|tenant| {
                 sum += tenant.requests_per_s;
@@ -106,85 +106,86 @@
         Self {
             tenants,
             plans,
-            cumulative,
+            cumulative_rates,
             limiters,
             mean_units: traffic.mean_units,
         }
     }
 
-    /// Requests a second over all limiters.
+    /// Returns the requests per second over all limiters.
     pub fn requests_per_s(&self) -> f64 {
-        self.cumulative.last().copied().unwrap_or(0.0)
+        self.cumulative_rates.last().copied().unwrap_or(0.0)
     }
 
-    /// The quota of a tenant.
+    /// Returns the plan of a tenant.
     pub fn plan(&self, tenant: usize) -> Plan {
         self.plans[self.tenants[tenant].plan]
     }
 
-    /// Draws a request of the whole fleet.
-    pub fn draw(&self, rng: &mut StdRng) -> Drawn {
+    /// Draws a request from the whole fleet's traffic.
+    pub fn draw(&self, rng: &mut StdRng) -> DrawnRequest {
         let point = rng.random_range(0.0..self.requests_per_s());
         let tenant = self
-            .cumulative
+            .cumulative_rates
             .partition_point(|sum| *sum <= point)
             .min(self.tenants.len() - 1);
         let Tenant { first, spread, .. } = self.tenants[tenant];
         let limiter = (first + rng.random_range(0..spread)) % self.limiters;
-        Drawn {
+        DrawnRequest {
             tenant,
             limiter,
             units: self.draw_units(rng),
         }
     }
 
-    /// Whole units from 1 on, evenly distributed around the mean.
+    /// Draws the units of a request: integers from 1 on, uniformly distributed around the mean.
     pub fn draw_units(&self, rng: &mut StdRng) -> f64 {
-        let most = (2.0 * self.mean_units - 1.0).round().max(1.0) as u32;
-        f64::from(rng.random_range(1..=most))
+        let max_units = (2.0 * self.mean_units - 1.0).round().max(1.0) as u32;
+        f64::from(rng.random_range(1..=max_units))
     }
 
-    /// The part of the traffic that comes to one limiter.
-    pub fn at_limiter(&self, limiter: u32) -> LocalTraffic {
-        let (mut tenants, mut cumulative, mut sum) = (Vec::new(), Vec::new(), 0.0);
+    /// Returns the part of the traffic that one limiter receives.
+    pub fn local_traffic(&self, limiter: u32) -> LocalTraffic {
+        let (mut tenants, mut cumulative_rates, mut sum) = (Vec::new(), Vec::new(), 0.0);
         for (number, tenant) in self.tenants.iter().enumerate() {
-            let place = (limiter + self.limiters - tenant.first) % self.limiters;
-            if place < tenant.spread {
+            let offset = (limiter + self.limiters - tenant.first) % self.limiters;
+            if offset < tenant.spread {
                 sum += tenant.requests_per_s / f64::from(tenant.spread);
                 tenants.push(number as u32);
-                cumulative.push(sum);
+                cumulative_rates.push(sum);
             }
         }
         LocalTraffic {
             tenants,
-            cumulative,
+            cumulative_rates,
         }
     }
 }
 
-/// The part of the traffic that comes to one limiter.
+/// The part of the traffic that one limiter receives.
 pub struct LocalTraffic {
     tenants: Vec<u32>,
-    cumulative: Vec<f64>,
+    cumulative_rates: Vec<f64>,
 }
 
 impl LocalTraffic {
-    /// Requests a second.
+    /// Returns the requests per second.
     pub fn requests_per_s(&self) -> f64 {
-        self.cumulative.last().copied().unwrap_or(0.0)
+        self.cumulative_rates.last().copied().unwrap_or(0.0)
     }
 
-    /// Draws the tenant of a request; none where no tenant comes to this limiter.
+    /// Draws the tenant of a request, or `None` if no tenant sends to this limiter.
     pub fn draw(&self, rng: &mut StdRng) -> Option<usize> {
         let point = rng.random_range(0.0..1.0) * self.requests_per_s();
-        let place = self.cumulative.partition_point(|sum| *sum <= point);
+        let index = self.cumulative_rates.partition_point(|sum| *sum <= point);
         self.tenants
-            .get(place.min(self.tenants.len().saturating_sub(1)))
+            .get(index.min(self.tenants.len().saturating_sub(1)))
             .map(|tenant| *tenant as usize)
     }
 }
 
-/// Requests a second of each tenant: a giant one if there is any, Zipf for the rest, then the small ones.
+/// Returns the requests per second of each tenant: the giant one if there is any, then the
+/// Zipf-distributed ones, then the small ones.
 fn rates(scenario: &Scenario) -> Vec<f64> {
     let traffic = &scenario.traffic;
     let total = traffic.requests_per_s * traffic.scale;
@@ -196,7 +197,7 @@
     let sum: f64 = shares.iter().sum();
     let rest = total * (1.0 - traffic.giant_share);
     let giant = (traffic.giant_share > 0.0).then_some(total * traffic.giant_share);
-    let small = std::iter::repeat_n(SMALL_RATE, scaled(traffic.small_tenants));
+    let small = std::iter::repeat_n(SMALL_TENANT_RATE, scaled(traffic.small_tenants));
     giant
         .into_iter()
         .chain(shares.into_iter().map(|share| rest * share / sum))
@@ -207,11 +208,12 @@
 fn plan(rate: f64) -> Plan {
     Plan {
         rate,
-        burst: (rate * BURST_SECONDS).max(LEAST_BURST),
+        burst: (rate * BURST_SECONDS).max(MIN_BURST),
     }
 }
 
-/// The smallest plan that holds this quota, or the largest below it for a tenant that is over its quota.
+/// Returns the index of the smallest plan whose rate is at least `quota`. For a tenant that exceeds its
+/// quota, it is the largest plan below `quota`.
 fn plan_for(plans: &[Plan], quota: f64, over: bool) -> usize {
     let above = plans.partition_point(|plan| plan.rate < quota);
     let plan = if over { above.saturating_sub(1) } else { above };
--- a/lab/src/predictions.rs
+++ b/lab/src/predictions.rs
@@ -1,4 +1,4 @@
-//! Figures that the capacity page predicts, beside those that a run saw.
+//! Compares the figures that the capacity page predicts with those that a run measured.
 
 use crate::error::LabError;
 use serde::{Deserialize, Serialize};
@@ -6,25 +6,25 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A figure that differs by more than this part of the prediction is named.
+/// Largest difference from a prediction that still agrees with it, as a fraction of the prediction.
 const TOLERANCE: f64 = 1.0 / 3.0;
 
-/// Predicted figures: by scenario, by path in the report (`hollow.discovery.calls_per_s`).
+/// Predicted figures by scenario and by path in the report (`hollow.discovery.calls_per_s`).
 #[derive(Debug, Default, Deserialize)]
 pub struct Predictions(BTreeMap<String, BTreeMap<String, f64>>);
 
-/// A predicted figure beside the one that was seen.
+/// A predicted figure and the measured one.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
-    /// Its path in the report.
+    /// Path of the figure in the report.
     pub figure: String,
-    /// As predicted.
+    /// The predicted value.
     pub predicted: f64,
-    /// As seen; none where the report has no such figure.
+    /// The measured value; `None` if the report has no such figure.
     pub seen: Option<f64>,
-    /// Seen by predicted.
+    /// Measured value divided by the predicted one.
     pub ratio: Option<f64>,
-    /// They differ by a third at the most.
+    /// Whether the values differ by at most a third of the prediction.
     pub agrees: bool,
 }
 
--- a/lab/src/process_figures.rs
+++ b/lab/src/process_figures.rs
@@ -1,25 +1,26 @@
-//! A process's own processor time and memory, and whether the machine keeps up with it.
+//! CPU time and memory of a process, and the delay with which the machine schedules its threads.
 
 use crate::error::LabError;
 use hdrhistogram::Histogram;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Ticks of processor time in a second, as Linux counts them for programs.
+/// Clock ticks in a second, the unit of CPU time in `/proc/PID/stat` on Linux.
 const TICKS_PER_S: f64 = 100.0;
-/// Bytes of a page.
+/// Size of a memory page in bytes.
 const PAGE_BYTES: u64 = 4_096;
-/// The longest lateness that is told apart, in µs.
-const LONGEST_US: u64 = 60_000_000;
-/// A process looks so often whether it is woken in time.
-const TICK: Duration = Duration::from_millis(20);
+/// Upper bound of the lateness histogram in µs; longer delays are recorded as this one.
+const MAX_LATENESS_US: u64 = 60_000_000;
+/// Interval at which a process checks whether it is woken in time.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Processor time of a process in seconds, its ended threads included; 0 where the system does not tell.
+/// Returns the CPU time of a process in seconds, including threads that have ended, or 0 if `/proc`
+/// has no such record. `None` stands for the calling process.
 pub fn cpu_seconds(process: Option<u32>) -> f64 {
     let Ok(text) = std::fs::read_to_string(path(process, "stat")) else {
         return 0.0;
     };
-    // The name before the last bracket may hold anything.
+    // The program name in brackets may contain any characters, so fields are read after the last one.
     let Some((_, fields)) = text.rsplit_once(')') else {
         return 0.0;
     };
@@ -32,7 +33,8 @@
     (field(11).unwrap_or(0) + field(12).unwrap_or(0)) as f64 / TICKS_PER_S
 }
 
-/// Resident memory of a process in bytes; 0 where the system does not tell.
+/// Returns the resident memory of a process in bytes, or 0 if `/proc` has no such record. `None`
+/// stands for the calling process.
 pub fn memory_bytes(process: Option<u32>) -> u64 {
     let Ok(text) = std::fs::read_to_string(path(process, "statm")) else {
         return 0;
@@ -52,40 +54,40 @@
     }
 }
 
-/// Ticks of this process: how much later than asked for it is woken.
+/// Histogram of how much later than requested this process is woken from a sleep.
 #[derive(Clone)]
 pub struct Lateness(Arc<Mutex<Histogram<u64>>>);
 
 impl Lateness {
-    /// Starts to look.
-    pub fn watch() -> Result<Self, LabError> {
-        let seen = Histogram::new_with_bounds(1, LONGEST_US, 3)?;
-        let lateness = Self(Arc::new(Mutex::new(seen)));
-        let own = lateness.clone();
-        crate::stand_in::spawn(move || own.run())?;
+    /// Starts a thread that measures the lateness.
+    pub fn start() -> Result<Self, LabError> {
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENESS_US, 3)?;
+        let lateness = Self(Arc::new(Mutex::new(histogram)));
+        let measured = lateness.clone();
+        crate::stand_in::spawn(move || measured.run())?;
         Ok(lateness)
     }
 
     fn run(&self) {
         loop {
             let began = Instant::now();
-            std::thread::sleep(TICK);
-            let late = began.elapsed().saturating_sub(TICK);
-            let mut seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            seen.saturating_record(late.as_micros() as u64);
+            std::thread::sleep(TICK_INTERVAL);
+            let late = began.elapsed().saturating_sub(TICK_INTERVAL);
+            let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+            histogram.saturating_record(late.as_micros() as u64);
         }
     }
 
-    /// 99th percentile and worst, in ms.
-    pub fn p99_and_worst_ms(&self) -> (f64, f64) {
-        let seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Returns the 99th percentile and the maximum in ms.
+    pub fn p99_and_max_ms(&self) -> (f64, f64) {
+        let histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         (
-            seen.value_at_quantile(0.99) as f64 / 1e3,
-            seen.max() as f64 / 1e3,
+            histogram.value_at_quantile(0.99) as f64 / 1e3,
+            histogram.max() as f64 / 1e3,
         )
     }
 
-    /// Forgets what was seen so far.
+    /// Discards what was recorded so far.
     pub fn reset(&self) {
         self.0
             .lock()
--- a/lab/src/quota_mechanism.rs
+++ b/lab/src/quota_mechanism.rs
@@ -1,27 +1,33 @@
-//! What a quota play asks of a mechanism that keeps quotas.
+//! Interface of a mechanism that enforces quotas, as the simulation of quotas uses it.
 
-use crate::population::Drawn;
+use crate::population::DrawnRequest;
 use crate::quota_log::QuotaLog;
-use crate::quota_network::{Changed, QuotaNetwork};
+use crate::quota_network::{NetworkChange, QuotaNetwork};
 use mossrill::decision::Micros;
 
-/// All limiters and control machines with one mechanism between them.
+/// A mechanism that enforces quotas, with the state of all limiters and control machines.
 pub trait QuotaMechanism {
-    /// Takes a request at its limiter.
-    fn request(&mut self, now: Micros, network: &QuotaNetwork, drawn: Drawn, log: &mut QuotaLog);
+    /// Handles a request at its limiter.
+    fn request(
+        &mut self,
+        now: Micros,
+        network: &QuotaNetwork,
+        drawn: DrawnRequest,
+        log: &mut QuotaLog,
+    );
 
-    /// When there is something to do; [`Micros::MAX`] for never.
-    fn next(&self) -> Micros;
+    /// Returns the time of the next scheduled event, or [`Micros::MAX`] if there is none.
+    fn next_event_time(&self) -> Micros;
 
-    /// Does the next thing that is due.
+    /// Carries out the next scheduled event.
     fn step(&mut self, network: &QuotaNetwork, log: &mut QuotaLog);
 
-    /// Takes what an event changed.
-    fn changed(&mut self, now: Micros, network: &QuotaNetwork, changed: &Changed);
+    /// Applies a change of the network or of the machines.
+    fn apply_change(&mut self, now: Micros, network: &QuotaNetwork, change: &NetworkChange);
 
-    /// Accounts that a limiter keeps, on average.
+    /// Returns the mean number of accounts that a limiter holds; 0 if the mechanism does not report it.
     fn accounts_per_limiter(&self) -> f64;
 
-    /// Bytes of them, where the mechanism tells.
+    /// Returns the mean size in bytes of these accounts, if the mechanism reports it.
     fn account_bytes_per_limiter(&self) -> Option<f64>;
 }
--- a/lab/src/quota_network.rs
+++ b/lab/src/quota_network.rs
@@ -1,12 +1,14 @@
-//! Which limiter reaches which control machine in a quota play, and how long that takes.
+//! Simulated network of the quota runs: which limiter reaches which control machine, and with which
+//! delay.
 
 use crate::population::Population;
 use crate::scenario::{Event, Quota, Scenario};
 use mossrill::decision::Micros;
 
+/// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1e3;
 
-/// Limiters, control machines, and what lies between them.
+/// State of limiters and control machines, and the network between them.
 pub struct QuotaNetwork {
     region_of_limiter: Vec<u32>,
     region_of_machine: Vec<u32>,
@@ -14,27 +16,30 @@
     machine_up: Vec<bool>,
     limiter_up: Vec<bool>,
     paused_until: Vec<Micros>,
-    near: Micros,
-    far: Micros,
+    /// One-way delay within a region in µs.
+    near_delay: Micros,
+    /// One-way delay between regions in µs.
+    far_delay: Micros,
 }
 
-/// What an event changed, for the mechanism that is played.
+/// Change that an event made, as far as it concerns the mechanism.
 #[derive(Debug, PartialEq)]
-pub enum Changed {
-    /// A control machine was lost.
+pub enum NetworkChange {
+    /// A control machine failed.
     MachineLost(u32),
-    /// A control machine is back, empty.
+    /// A control machine started again with empty state.
     MachineBack(u32),
-    /// These limiters start anew.
+    /// These limiters started with empty state.
     LimitersStarted(Vec<u32>),
-    /// Regions lost or found each other.
+    /// A partition between regions began or ended.
     Regions,
-    /// Nothing that a mechanism is told of.
+    /// Nothing that concerns the mechanism.
     Nothing,
 }
 
 impl QuotaNetwork {
-    /// All is up; control machines are dealt out among the regions.
+    /// Creates a network in which everything is running. Control machines are assigned to the regions in
+    /// turn.
     pub fn new(scenario: &Scenario, quota: &Quota) -> Self {
         let sizes = &scenario.sizes;
         let region = |limiter| scenario.region_of_zone(scenario.zone_of_limiter(limiter));
@@ -48,27 +53,28 @@
             machine_up: vec![true; quota.control_machines as usize],
             limiter_up: vec![true; sizes.limiters as usize],
             paused_until: vec![0; sizes.limiters as usize],
-            near: one_way(quota.round_trip_ms),
-            far: one_way(quota.far_round_trip_ms),
+            near_delay: one_way(quota.round_trip_ms),
+            far_delay: one_way(quota.far_round_trip_ms),
         }
     }
 
-    /// Control machines.
+    /// Returns the number of control machines.
     pub fn machines(&self) -> u32 {
         self.machine_up.len() as u32
     }
 
-    /// Limiters.
+    /// Returns the number of limiters.
     pub fn limiters(&self) -> u32 {
         self.limiter_up.len() as u32
     }
 
-    /// Is this control machine up?
-    pub fn machine_is_up(&self, machine: u32) -> bool {
+    /// Whether this control machine is running.
+    pub fn is_machine_up(&self, machine: u32) -> bool {
         self.machine_up[machine as usize]
     }
 
-    /// The side of a control machine: 0 with the others, else that of its own region.
+    /// Returns the side of the network partition that a control machine is on: 0 while its region is
+    /// connected, else a number of its own region.
     pub fn side_of_machine(&self, machine: u32) -> u8 {
         let region = self.region_of_machine[machine as usize];
         if self.region_cut[region as usize] {
@@ -78,78 +84,88 @@
         }
     }
 
-    /// Time from a limiter to a control machine or back; none if nothing gets through.
+    /// Returns the one-way delay in µs between a limiter and a control machine, or `None` if a partition
+    /// separates them.
     pub fn one_way(&self, limiter: u32, machine: u32) -> Option<Micros> {
-        let own = self.region_of_limiter[limiter as usize];
-        let other = self.region_of_machine[machine as usize];
-        if own == other {
-            return Some(self.near);
+        let limiter_region = self.region_of_limiter[limiter as usize];
+        let machine_region = self.region_of_machine[machine as usize];
+        if limiter_region == machine_region {
+            return Some(self.near_delay);
         }
-        let cut = self.region_cut[own as usize] || self.region_cut[other as usize];
-        (!cut).then_some(self.far)
+        let cut =
+            self.region_cut[limiter_region as usize] || self.region_cut[machine_region as usize];
+        (!cut).then_some(self.far_delay)
     }
 
-    /// Until when a limiter stands still.
+    /// Returns the time until which a limiter is paused.
     pub fn paused_until(&self, limiter: u32) -> Micros {
         self.paused_until[limiter as usize]
     }
 
-    /// The limiter that takes a request in place of this one, if it is down: the next of the account's.
-    pub fn limiter_in_place(
+    /// Returns the limiter that serves a request sent to `limiter`: this one, or if it is down, the next
+    /// running one of the tenant's limiters. `None` if none of them is running.
+    pub fn serving_limiter(
         &self,
         population: &Population,
         tenant: usize,
         limiter: u32,
     ) -> Option<u32> {
-        let shape = population.tenants[tenant];
-        let all = self.limiters();
-        let place = (limiter + all - shape.first) % all;
-        let of_account =
-            (0..shape.spread).map(|n| (shape.first + (place + n) % shape.spread) % all);
-        of_account
+        let traffic = population.tenants[tenant];
+        let count = self.limiters();
+        let offset = (limiter + count - traffic.first) % count;
+        let candidates =
+            (0..traffic.spread).map(|n| (traffic.first + (offset + n) % traffic.spread) % count);
+        candidates
             .into_iter()
             .find(|limiter| self.limiter_up[*limiter as usize])
     }
 
-    /// Takes an event; what it changed.
-    pub fn happen(&mut self, now: Micros, scenario: &Scenario, event: &Event) -> Changed {
+    /// Applies an event and returns what it changed.
+    pub fn apply_event(
+        &mut self,
+        now: Micros,
+        scenario: &Scenario,
+        event: &Event,
+    ) -> NetworkChange {
         match event {
             Event::ZoneLost { zone } => {
                 scenario
                     .limiters_of_zone(*zone)
                     .for_each(|l| self.limiter_up[l as usize] = false);
-                Changed::Nothing
+                NetworkChange::Nothing
             }
             Event::ZoneBack { zone } => {
                 scenario
                     .limiters_of_zone(*zone)
                     .for_each(|l| self.limiter_up[l as usize] = true);
-                Changed::LimitersStarted(scenario.limiters_of_zone(*zone).collect())
+                NetworkChange::LimitersStarted(scenario.limiters_of_zone(*zone).collect())
             }
             Event::HalfRestarted => {
-                Changed::LimitersStarted((0..self.limiters()).step_by(2).collect())
+                NetworkChange::LimitersStarted((0..self.limiters()).step_by(2).collect())
             }
             Event::RegionCut { region } => {
                 self.region_cut[*region as usize] = true;
-                Changed::Regions
+                NetworkChange::Regions
             }
             Event::RegionHealed { region } => {
                 self.region_cut[*region as usize] = false;
-                Changed::Regions
+                NetworkChange::Regions
             }
             Event::ControlMachineLost { machine } => {
                 self.machine_up[*machine as usize] = false;
-                Changed::MachineLost(*machine)
+                NetworkChange::MachineLost(*machine)
             }
             Event::ControlMachineBack { machine } => {
                 self.machine_up[*machine as usize] = true;
-                Changed::MachineBack(*machine)
+                NetworkChange::MachineBack(*machine)
             }
             Event::LimiterPaused { limiter, seconds } => {
                 self.paused_until[*limiter as usize] = now + (seconds * 1e6) as Micros;
-                Changed::Nothing
+                NetworkChange::Nothing
+            }
+            Event::ListChanges { .. } | Event::ConfigurationChanged { .. } => {
+                NetworkChange::Nothing
             }
-            Event::ListChanges { .. } | Event::ConfigurationChanged { .. } => Changed::Nothing,
         }
     }
 }
--- a/lab/src/quota_play.rs
+++ b/lab/src/quota_play.rs
@@ -1,4 +1,5 @@
-//! Plays the quotas of all limiters in virtual time: the same drawn requests and events for each mechanism in turn.
+//! Simulates the quotas of all limiters in virtual time, with the same randomly drawn requests and the
+//! same events for each mechanism in turn.
 
 use crate::audit::AuditResult;
 use crate::counter_mechanism::CounterMechanism;
@@ -6,7 +7,7 @@
 use crate::event_queue::EventQueue;
 use crate::lease_mechanism::LeaseMechanism;
 use crate::net::START;
-use crate::population::{Drawn, Population};
+use crate::population::{DrawnRequest, Population};
 use crate::process_figures::cpu_seconds;
 use crate::quota_log::{QuotaLog, Totals};
 use crate::quota_mechanism::QuotaMechanism;
@@ -19,81 +20,83 @@
 use serde::Serialize;
 use std::sync::Arc;
 
+/// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
-/// What the play of one mechanism showed. Rates are those after the warm-up.
+/// Results of one mechanism. Rates are averages over the time after the warm-up.
 #[derive(Debug, Serialize)]
 pub struct QuotaResult {
-    /// The mechanism.
+    /// The mechanism that enforced the quotas.
     pub mechanism: Mechanism,
-    /// "virtual": times are the play's, not the machine's.
+    /// "virtual": times are simulated, not measured on the machine.
     pub time: &'static str,
-    /// Limiters.
+    /// Number of limiters.
     pub limiters: u32,
-    /// Limiters that a tenant comes through.
+    /// Number of limiters that receive the requests of a tenant.
     pub spread: u32,
-    /// Zipf exponent of the tenants.
+    /// Zipf exponent of the tenants' shares of the traffic.
     pub tenant_skew: f64,
-    /// Requests a limiter and second.
+    /// Requests per limiter and second.
     pub requests_per_limiter_s: f64,
-    /// The whole play after the warm-up.
+    /// The whole time after the warm-up.
     pub whole: PhaseResult,
-    /// From each event to the next.
+    /// The phases from each event to the next.
     pub phases: Vec<PhaseResult>,
-    /// Of requests that waited for a control machine: median, 99th percentile and longest, in ms.
+    /// Median wait in ms of the requests that waited for a control machine.
     pub wait_p50_ms: f64,
-    /// See above.
+    /// 99th percentile of these waits in ms.
     pub wait_p99_ms: f64,
-    /// See above.
+    /// Longest of these waits in ms.
     pub wait_max_ms: f64,
-    /// Against `rate * t + burst`, warm-up included.
+    /// Audit against `rate * t + burst`, including the warm-up.
     pub audit: AuditResult,
-    /// Against `rate * (t + lease) + burst`, warm-up included.
+    /// Audit against `rate * (t + lease) + burst`, including the warm-up.
     pub lease_bound_audit: AuditResult,
-    /// Accounts that a limiter keeps at the end; 0 where the mechanism does not tell.
+    /// Mean number of accounts that a limiter holds at the end; 0 if the mechanism does not report it.
     pub accounts_per_limiter: f64,
-    /// Bytes of them.
+    /// Mean size in bytes of these accounts, if the mechanism reports it.
     pub account_bytes_per_limiter: Option<f64>,
-    /// Processor time for a limiter and virtual second, control machines and play included, in seconds of a core.
+    /// CPU seconds per limiter and virtual second, including control machines and the simulation itself.
     pub cpu_s_per_limiter_s: f64,
 }
 
-/// A part of the play.
+/// Results of a phase.
 #[derive(Debug, Serialize)]
 pub struct PhaseResult {
-    /// What began it.
+    /// Name of the event that began the phase.
     pub event: &'static str,
-    /// Seconds after the warm-up.
+    /// Start of the phase in seconds after the warm-up.
     pub from_s: f64,
-    /// How long it lasted.
+    /// Length of the phase in seconds.
     pub seconds: f64,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Share of them that was refused.
+    /// Share of the requests that was refused.
     pub refused_share: f64,
-    /// Share of them that waited for a control machine.
+    /// Share of the requests that waited for a control machine.
     pub waited_share: f64,
-    /// Requests for which no limiter was up.
+    /// Number of requests for which no limiter was running.
     pub unserved: u64,
-    /// Messages of a limiter a second.
+    /// Messages sent per limiter and second.
     pub messages_per_limiter_s: f64,
-    /// Bytes from and to a limiter a second.
+    /// Bytes sent and received per limiter and second.
     pub bytes_per_limiter_s: f64,
-    /// Of these, from it.
+    /// Bytes sent per limiter and second.
     pub bytes_up_per_limiter_s: f64,
-    /// Messages a second at each control machine.
+    /// Messages received per second, by control machine.
     pub messages_per_machine_s: Vec<f64>,
     /// Units beyond `rate * t + burst`.
     pub beyond_units: f64,
-    /// The same as a share of the units sent on.
+    /// Units beyond the bound as a share of the units sent upstream.
     pub beyond_share: f64,
 }
 
-/// Totals at a time.
-struct Mark {
+/// Running totals at the time of an event, between which a phase is measured.
+struct Checkpoint {
     event: &'static str,
     at: Micros,
     totals: Totals,
+    /// Units sent upstream, and how many of them were beyond the bound.
     units: (f64, f64),
 }
 
@@ -105,13 +108,13 @@
     log: QuotaLog,
     rng: StdRng,
     next_request: Micros,
-    /// Requests that came to limiters while these stood still.
-    held_up: EventQueue<Drawn>,
+    /// Requests to paused limiters, by the time at which the pause ends.
+    delayed: EventQueue<DrawnRequest>,
 }
 
-/// Plays every mechanism of a scenario on the same requests.
+/// Runs every mechanism of a scenario on the same requests.
 pub fn play(scenario: &Scenario, quota: &Quota, seed: u64) -> Result<Vec<QuotaResult>, LabError> {
-    let one = |mechanism: &Mechanism| {
+    let play_one = |mechanism: &Mechanism| {
         let population = Arc::new(Population::new(scenario, seed));
         let network = QuotaNetwork::new(scenario, quota);
         match mechanism {
@@ -120,13 +123,13 @@
                 Play::new(scenario, (population, network), counter, seed)?.play(quota, *mechanism)
             }
             Mechanism::Leases => {
-                let of = (quota, seed);
-                let leases = LeaseMechanism::new(START, &network, population.clone(), of);
+                let settings = (quota, seed);
+                let leases = LeaseMechanism::new(START, &network, population.clone(), settings);
                 Play::new(scenario, (population, network), leases, seed)?.play(quota, *mechanism)
             }
         }
     };
-    quota.mechanisms.iter().map(one).collect()
+    quota.mechanisms.iter().map(play_one).collect()
 }
 
 impl<'a, M: QuotaMechanism> Play<'a, M> {
@@ -139,7 +142,7 @@
         let lease_s = HolderSettings::default().lease as f64 / SECOND;
         let log = QuotaLog::new(population.clone(), network.machines(), lease_s)?;
         let rng = StdRng::seed_from_u64(seed);
-        let (next_request, held_up) = (START, EventQueue::default());
+        let (next_request, delayed) = (START, EventQueue::default());
         Ok(Self {
             scenario,
             population,
@@ -148,7 +151,7 @@
             log,
             rng,
             next_request,
-            held_up,
+            delayed,
         })
     }
 
@@ -157,33 +160,37 @@
         let begin = START + Micros::from(quota.warm_up_s) * SECOND as Micros;
         self.run_until(begin);
         self.log.waits.reset();
-        let mut marks = vec![self.mark("start", begin)];
+        let mut checkpoints = vec![self.checkpoint("start", begin)];
         for timed in &self.scenario.events {
             let at = begin + (timed.at_s * SECOND) as Micros;
             self.run_until(at);
-            marks.push(self.mark(timed.event.name(), at));
-            let changed = self.network.happen(at, self.scenario, &timed.event);
-            self.mechanism.changed(at, &self.network, &changed);
+            checkpoints.push(self.checkpoint(timed.event.name(), at));
+            let change = self.network.apply_event(at, self.scenario, &timed.event);
+            self.mechanism.apply_change(at, &self.network, &change);
         }
         let end = begin + Micros::from(self.scenario.duration_s) * SECOND as Micros;
         self.run_until(end);
-        marks.push(self.mark("end", end));
+        checkpoints.push(self.checkpoint("end", end));
         let cpu_s = cpu_seconds(None) - cpu_before;
-        Ok(self.result(mechanism, &marks, cpu_s / ((end - START) as f64 / SECOND)))
+        Ok(self.result(
+            mechanism,
+            &checkpoints,
+            cpu_s / ((end - START) as f64 / SECOND),
+        ))
     }
 
     fn run_until(&mut self, end: Micros) {
         loop {
-            let due = self.mechanism.next();
-            let held_up = self.held_up.next();
-            let next = due.min(held_up).min(self.next_request);
+            let due = self.mechanism.next_event_time();
+            let delayed = self.delayed.next_time();
+            let next = due.min(delayed).min(self.next_request);
             if next >= end {
                 return;
             }
             if next == due {
                 self.mechanism.step(&self.network, &mut self.log);
-            } else if next == held_up {
-                if let Some((now, drawn)) = self.held_up.pop() {
+            } else if next == delayed {
+                if let Some((now, drawn)) = self.delayed.pop() {
                     self.mechanism
                         .request(now, &self.network, drawn, &mut self.log);
                 }
@@ -195,29 +202,29 @@
 
     fn draw_request(&mut self) {
         let now = self.next_request;
-        let chance: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
+        let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
         self.next_request =
-            now + (-chance.ln() / self.population.requests_per_s() * SECOND) as Micros;
+            now + (-uniform.ln() / self.population.requests_per_s() * SECOND) as Micros;
         let drawn = self.population.draw(&mut self.rng);
         self.log.totals.requests += 1;
-        let up = self
+        let serving = self
             .network
-            .limiter_in_place(&self.population, drawn.tenant, drawn.limiter);
-        let Some(limiter) = up else {
+            .serving_limiter(&self.population, drawn.tenant, drawn.limiter);
+        let Some(limiter) = serving else {
             self.log.totals.unserved += 1;
             return;
         };
-        let drawn = Drawn { limiter, ..drawn };
+        let drawn = DrawnRequest { limiter, ..drawn };
         let paused_until = self.network.paused_until(limiter);
         if now < paused_until {
-            return self.held_up.push(paused_until, drawn);
+            return self.delayed.push(paused_until, drawn);
         }
         self.mechanism
             .request(now, &self.network, drawn, &mut self.log);
     }
 
-    fn mark(&self, event: &'static str, at: Micros) -> Mark {
-        Mark {
+    fn checkpoint(&self, event: &'static str, at: Micros) -> Checkpoint {
+        Checkpoint {
             event,
             at,
             totals: self.log.totals.clone(),
@@ -225,15 +232,20 @@
         }
     }
 
-    fn result(&self, mechanism: Mechanism, marks: &[Mark], cpu_s_per_s: f64) -> QuotaResult {
+    fn result(
+        &self,
+        mechanism: Mechanism,
+        checkpoints: &[Checkpoint],
+        cpu_s_per_s: f64,
+    ) -> QuotaResult {
         let limiters = f64::from(self.network.limiters());
-        let (first, last) = (&marks[0], &marks[marks.len() - 1]);
+        let (first, last) = (&checkpoints[0], &checkpoints[checkpoints.len() - 1]);
         let whole = self.phase(first, first, last);
-        let phases = marks
+        let phases = checkpoints
             .windows(2)
             .map(|pair| self.phase(first, &pair[0], &pair[1]))
             .collect();
-        let wait = |part: f64| self.log.waits.value_at_quantile(part) as f64 / 1e3;
+        let wait_ms = |quantile: f64| self.log.waits.value_at_quantile(quantile) as f64 / 1e3;
         QuotaResult {
             mechanism,
             time: "virtual",
@@ -243,8 +255,8 @@
             requests_per_limiter_s: whole.requests as f64 / whole.seconds / limiters,
             whole,
             phases,
-            wait_p50_ms: wait(0.5),
-            wait_p99_ms: wait(0.99),
+            wait_p50_ms: wait_ms(0.5),
+            wait_p99_ms: wait_ms(0.99),
             wait_max_ms: self.log.waits.max() as f64 / 1e3,
             audit: self.log.audit.result(&self.population),
             lease_bound_audit: self.log.lease_bound_audit.result(&self.population),
@@ -254,7 +266,7 @@
         }
     }
 
-    fn phase(&self, begin: &Mark, from: &Mark, to: &Mark) -> PhaseResult {
+    fn phase(&self, start: &Checkpoint, from: &Checkpoint, to: &Checkpoint) -> PhaseResult {
         let seconds = ((to.at - from.at) as f64 / SECOND).max(1e-6);
         let limiters = f64::from(self.network.limiters());
         let (after, before) = (&to.totals, &from.totals);
@@ -269,7 +281,7 @@
         let (sent, beyond) = (to.units.0 - from.units.0, to.units.1 - from.units.1);
         PhaseResult {
             event: from.event,
-            from_s: (from.at - begin.at) as f64 / SECOND,
+            from_s: (from.at - start.at) as f64 / SECOND,
             seconds,
             requests,
             refused_share: share(after.refused - before.refused),
--- a/lab/src/real_files.rs
+++ b/lab/src/real_files.rs
@@ -1,31 +1,31 @@
-//! The files that real processes are started with: an OpenAPI description and a configuration for each.
+//! Files of the real processes: a common OpenAPI description, and a configuration for each process.
 
 use crate::error::LabError;
 use crate::population::Population;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
-/// Name of the description beside the configurations.
+/// File name of the description, in the folder of the configurations.
 const DESCRIPTION: &str = "description.json";
-/// The header that names the account.
+/// Request header that names the account.
 pub const ACCOUNT_HEADER: &str = "X-Agent-Account";
 
-/// Where a real process listens, and its file.
+/// Ports and configuration file of a real process.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// Its number.
+pub struct ProcessSetup {
+    /// Number of the process.
     pub number: u32,
     /// Port for clients.
     pub port: u16,
-    /// Port for operators.
+    /// Port of the admin interface.
     pub control: u16,
-    /// Its configuration.
+    /// Path of the configuration.
     pub file: PathBuf,
 }
 
-/// What all configurations of a run have in common.
+/// Common content of all configurations of a run.
 pub struct Files<'a> {
-    /// The folder that they are in.
+    /// Folder of the files.
     pub folder: &'a Path,
     /// Accounts and plans.
     pub population: &'a Population,
@@ -35,12 +35,12 @@
     pub counter: u16,
     /// Number of processes.
     pub limiters: u32,
-    /// Largest number of units of a request.
-    pub most_units: u32,
+    /// Maximum number of units of a request.
+    pub max_units: u32,
 }
 
 impl Files<'_> {
-    /// Writes the description.
+    /// Writes the OpenAPI description, with an operation for each number of units.
     pub fn write_description(&self) -> Result<(), LabError> {
         let operation = |units: u32| {
             let operation = json!({"get": {
@@ -49,7 +49,7 @@
             }});
             (path(units), operation)
         };
-        let paths: serde_json::Map<String, Value> = (1..=self.most_units).map(operation).collect();
+        let paths: serde_json::Map<String, Value> = (1..=self.max_units).map(operation).collect();
         let class =
             json!({"aim-ms": 1_000, "deadline-ms": 2_000, "worth": 1, "x-quota-effect": "safe"});
         let description = json!({
@@ -59,17 +59,22 @@
             "x-quota-classes": {"read": class},
             "paths": paths,
         });
-        write(&self.folder.join(DESCRIPTION), &description)
+        write_atomically(&self.folder.join(DESCRIPTION), &description)
     }
 
-    /// Writes the configuration of one process, with so many entries beyond the upstream servers.
-    pub fn write_configuration(&self, place: &Place, further: u32) -> Result<(), LabError> {
-        let node = |(number, port): (usize, &u16)| json!({"name": format!("server-{number}"), "address": format!("127.0.0.1:{port}")});
+    /// Writes the configuration of one process. Its server list repeats upstream servers for
+    /// `extra_entries` additional entries.
+    pub fn write_configuration(
+        &self,
+        setup: &ProcessSetup,
+        extra_entries: u32,
+    ) -> Result<(), LabError> {
+        let server_entry = |(number, port): (usize, &u16)| json!({"name": format!("server-{number}"), "address": format!("127.0.0.1:{port}")});
         let servers = self
             .upstream
             .iter()
             .cycle()
-            .take(self.upstream.len() + further as usize);
+            .take(self.upstream.len() + extra_entries as usize);
         let plans = self.population.plans.iter().enumerate().map(
             |(number, plan)| json!({"name": format!("plan-{number}"), "rate": plan.rate, "burst": plan.burst}),
         );
@@ -83,35 +88,35 @@
                    "spread": tenant.spread, "first": tenant.first})
             });
         let configuration = json!({
-            "name": format!("real-{}", place.number),
-            "listen": format!("127.0.0.1:{}", place.port),
-            "control": format!("127.0.0.1:{}", place.control),
+            "name": format!("real-{}", setup.number),
+            "listen": format!("127.0.0.1:{}", setup.port),
+            "control": format!("127.0.0.1:{}", setup.control),
             "description": DESCRIPTION,
             "account_header": ACCOUNT_HEADER,
-            "limiters": {"me": place.number, "all": self.limiters},
+            "limiters": {"me": setup.number, "all": self.limiters},
             "plans": plans.collect::<Vec<_>>(),
             "accounts": accounts.collect::<Vec<_>>(),
-            "ticket_nodes": servers.enumerate().map(node).collect::<Vec<_>>(),
+            "ticket_nodes": servers.enumerate().map(server_entry).collect::<Vec<_>>(),
             "store": {"kind": "quota-counter", "address": format!("127.0.0.1:{}", self.counter), "timeout_ms": 50},
         });
-        write(&place.file, &configuration)
+        write_atomically(&setup.file, &configuration)
     }
 }
 
-/// Name of an account.
+/// Returns the name of the account of a tenant.
 pub fn account(tenant: usize) -> String {
     format!("account-{tenant}")
 }
 
-/// Path of the operation that takes so many units.
+/// Returns the path of the operation that takes `units` units.
 pub fn path(units: u32) -> String {
     format!("/units/{units}")
 }
 
-/// Replaces the file at once, so that nobody reads half of it.
-fn write(file: &Path, value: &Value) -> Result<(), LabError> {
-    let new = file.with_extension("new");
-    let written =
-        std::fs::write(&new, value.to_string()).and_then(|()| std::fs::rename(&new, file));
+/// Replaces the file atomically, so that a process never reads a partial file.
+fn write_atomically(file: &Path, value: &Value) -> Result<(), LabError> {
+    let temporary = file.with_extension("new");
+    let written = std::fs::write(&temporary, value.to_string())
+        .and_then(|()| std::fs::rename(&temporary, file));
     written.map_err(LabError::path(file))
 }
