--- a/lab/src/real_play/mod.rs
+++ b/lab/src/real_play/mod.rs
@@ -1,4 +1,5 @@
-//! Plays real limiter processes under open-loop traffic: upstream servers and counter are stand-ins, all else is real.
+//! Runs real limiter processes under open-loop traffic. Upstream servers and the counter are stand-ins;
+//! everything else is real.
 
 mod result;
 
@@ -11,7 +12,7 @@
 use crate::messages::{Command, Reply, Start, ZoneLoad};
 use crate::population::Population;
 use crate::process_figures::{cpu_seconds, memory_bytes};
-use crate::real_files::{Files, Place};
+use crate::real_files::{Files, ProcessSetup};
 use crate::real_process::RealProcess;
 use crate::scenario::{Event, Real, Scenario};
 use crate::summary::Summary;
@@ -23,20 +24,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A child that says nothing for so long is lost.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A configuration is in force by then, or counts as missing.
-const CONFIGURATION_LIMIT: Duration = Duration::from_secs(30);
-/// Ports of limiters, and how many are tried.
+/// Maximum wait for a reply of a child process.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for a process to apply a new configuration, which otherwise counts as missing.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Range from which the ports of limiters are drawn.
 const PORTS: std::ops::Range<u16> = 12_000..30_000;
-const PORT_TRIES: usize = 1_000;
-/// A limiter is started so often, on other ports each time.
-const START_TRIES: usize = 5;
-const POLL: Duration = Duration::from_millis(20);
-/// Of a hundred requests one may be written so late before the generator counts as behind.
-const LAG_LIMIT_MS: f64 = 20.0;
+/// Maximum number of ports that are tried for one process.
+const MAX_PORT_TRIES: usize = 1_000;
+/// Maximum number of attempts to start a limiter, each on other ports.
+const MAX_START_TRIES: usize = 5;
+/// Interval at which processes are asked whether they use a new configuration.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum 99th percentile in ms of the delay with which requests are written. Beyond it, the generator
+/// counts as falling behind.
+const MAX_LAG_MS: f64 = 20.0;
 
-/// A step of the play: an event, or what follows from one.
+/// A step of the run: an event, or a later consequence of one.
 #[derive(Clone, Copy)]
 enum Step {
     Pause { process: usize },
@@ -52,17 +56,20 @@
     counter: Child,
     counter_port: u16,
     _upstream: Child,
-    most_units: u32,
+    max_units: u32,
     program: PathBuf,
     processes: Vec<RealProcess>,
-    /// Processor time of processes that were ended.
+    /// CPU time in seconds of processes that have been killed.
     ended_cpu_s: f64,
-    further: u32,
+    /// Number of entries of the configured server list beyond the upstream servers; grows with each
+    /// change of the configuration, so that a process shows which one it uses.
+    extra_entries: u32,
     configuration_changes: Vec<ConfigurationChange>,
     events: Vec<&'static str>,
 }
 
-/// Plays the real processes of a scenario; `program` is the limiter.
+/// Runs the real processes of a scenario and returns the measurements. `program` is the path of the
+/// limiter.
 pub fn play(
     scenario: &Scenario,
     real: &Real,
@@ -73,7 +80,7 @@
     let ports: Vec<u16> = play
         .processes
         .iter()
-        .map(|process| process.place.port)
+        .map(|process| process.setup.port)
         .collect();
     let (counter_before, cpu_before) = (play.counter_load()?, play.cpu_s());
     let began = Instant::now();
@@ -104,7 +111,7 @@
     ))
 }
 
-/// The events of a scenario that concern real processes, as steps by time.
+/// Returns the events of a scenario that concern real processes as steps, sorted by time in seconds.
 fn steps(scenario: &Scenario, real: &Real) -> Vec<(f64, Option<&'static str>, Step)> {
     let mut steps = Vec::new();
     for timed in &scenario.events {
@@ -128,12 +135,13 @@
     steps
 }
 
-/// Two ports that nobody has now, below those that the system gives to outgoing connections.
+/// Finds two ports that are free now. The range is below the ephemeral ports, which the system assigns
+/// to outgoing connections.
 fn free_ports(rng: &mut StdRng) -> Result<(u16, u16), LabError> {
     let mut free = Vec::new();
-    for _ in 0..PORT_TRIES {
+    for _ in 0..MAX_PORT_TRIES {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, rng.random_range(PORTS)));
-        // Held while the other one is looked for.
+        // The listener stays open until the second port is found.
         free.extend(listener);
         if let [first, second] = &free[..] {
             let port = |listener: &TcpListener| listener.local_addr().map(|at| at.port());
@@ -143,20 +151,21 @@
     Err(LabError::NoFreePorts)
 }
 
-fn ports(child: &Child) -> Result<Vec<u16>, LabError> {
-    match child.reply(PATIENCE)? {
+/// Waits until a child process is ready and returns its ports.
+fn await_ports(child: &Child) -> Result<Vec<u16>, LabError> {
+    match child.next_reply(REPLY_TIMEOUT)? {
         Reply::Ready(ports) => Ok(ports),
         other => Err(LabError::unexpected("ports", &other)),
     }
 }
 
-/// The same tenants' traffic, on so many processes and accounts.
+/// Creates the population of the scenario with the limiters, accounts and request rate of `real`.
 fn population(scenario: &Scenario, real: &Real, seed: u64) -> Population {
-    let mut own = scenario.clone();
-    (own.sizes.limiters, own.sizes.tenants) = (real.limiters, real.accounts);
-    (own.traffic.requests_per_s, own.traffic.scale) = (real.requests_per_s, 1.0);
-    own.traffic.small_tenants = 0;
-    Population::new(&own, seed)
+    let mut scaled = scenario.clone();
+    (scaled.sizes.limiters, scaled.sizes.tenants) = (real.limiters, real.accounts);
+    (scaled.traffic.requests_per_s, scaled.traffic.scale) = (real.requests_per_s, 1.0);
+    scaled.traffic.small_tenants = 0;
+    Population::new(&scaled, seed)
 }
 
 impl Play {
@@ -176,7 +185,7 @@
         };
         let upstream = Child::start("upstream", &start)?;
         let counter = Child::start("counter", &Start::Counter { zones: 1 })?;
-        let (upstream_ports, counter_ports) = (ports(&upstream)?, ports(&counter)?);
+        let (upstream_ports, counter_ports) = (await_ports(&upstream)?, await_ports(&counter)?);
         let mut play = Self {
             population: Arc::new(population(scenario, real, seed)),
             folder,
@@ -184,16 +193,17 @@
             counter,
             counter_port: counter_ports[0],
             _upstream: upstream,
-            most_units: (2.0 * scenario.traffic.mean_units - 1.0).round().max(1.0) as u32,
+            max_units: (2.0 * scenario.traffic.mean_units - 1.0).round().max(1.0) as u32,
             program: program.to_owned(),
             processes: Vec::new(),
             ended_cpu_s: 0.0,
-            further: 0,
+            extra_entries: 0,
             configuration_changes: Vec::new(),
             events: Vec::new(),
         };
         play.files(real.limiters).write_description()?;
-        // Other runs on this machine look for ports too.
+        // Seeded with the process id, because other runs on this machine look for ports too and would
+        // otherwise try the same ones.
         let mut rng = StdRng::seed_from_u64(u64::from(std::process::id()));
         for number in 0..real.limiters {
             let file = play.folder.join(format!("limiter-{number}.json"));
@@ -203,7 +213,7 @@
         Ok(play)
     }
 
-    /// Starts a limiter; on other ports if somebody took its own meanwhile.
+    /// Starts a limiter. Tries other ports if another process has taken the free ones in the meantime.
     fn start_process(
         &self,
         number: u32,
@@ -212,16 +222,16 @@
         rng: &mut StdRng,
     ) -> Result<RealProcess, LabError> {
         let mut last_error = LabError::NoFreePorts;
-        for _ in 0..START_TRIES {
+        for _ in 0..MAX_START_TRIES {
             let (port, control) = free_ports(rng)?;
-            let place = Place {
+            let setup = ProcessSetup {
                 number,
                 port,
                 control,
                 file: file.clone(),
             };
-            self.files(limiters).write_configuration(&place, 0)?;
-            match RealProcess::start(&self.program, place) {
+            self.files(limiters).write_configuration(&setup, 0)?;
+            match RealProcess::start(&self.program, setup) {
                 Ok(process) => return Ok(process),
                 Err(error) => last_error = error,
             }
@@ -236,7 +246,7 @@
             upstream: &self.upstream_ports,
             counter: self.counter_port,
             limiters,
-            most_units: self.most_units,
+            max_units: self.max_units,
         }
     }
 
@@ -250,10 +260,10 @@
     }
 
     fn counter_load(&mut self) -> Result<Vec<ZoneLoad>, LabError> {
-        self.counter.tell(&Command::Report)?;
-        match self.counter.reply(PATIENCE)? {
+        self.counter.send(&Command::Report)?;
+        match self.counter.next_reply(REPLY_TIMEOUT)? {
             Reply::Load(zones) => Ok(zones),
-            other => Err(LabError::unexpected("a load", &other)),
+            other => Err(LabError::unexpected("traffic counts", &other)),
         }
     }
 
@@ -266,7 +276,7 @@
         }
     }
 
-    /// Every second process ends at once and is started again.
+    /// Kills every second process and starts it again.
     fn restart_half(&mut self) -> Result<(), LabError> {
         for number in (0..self.processes.len()).step_by(2) {
             let process = &mut self.processes[number];
@@ -274,35 +284,36 @@
             process.kill()?;
         }
         for number in (0..self.processes.len()).step_by(2) {
-            let place = self.processes[number].place.clone();
-            self.processes[number] = RealProcess::start(&self.program, place)?;
+            let setup = self.processes[number].setup.clone();
+            self.processes[number] = RealProcess::start(&self.program, setup)?;
         }
         Ok(())
     }
 
-    /// One more entry in each configuration, and the word to read it again; then waits until all use it.
+    /// Adds an entry to the server list of each configuration, signals all processes to reload it, and
+    /// waits until all use it.
     fn change_configuration(&mut self) -> Result<(), LabError> {
-        self.further += 1;
+        self.extra_entries += 1;
         let limiters = self.processes.len() as u32;
         for process in &self.processes {
             self.files(limiters)
-                .write_configuration(&process.place, self.further)?;
+                .write_configuration(&process.setup, self.extra_entries)?;
         }
         let began = Instant::now();
         self.processes
             .iter()
             .try_for_each(|process| process.signal(Signal::HUP))?;
-        let wanted = self.upstream_ports.len() as u32 + self.further;
-        let mut lacking: Vec<&RealProcess> = self.processes.iter().collect();
+        let expected = self.upstream_ports.len() as u32 + self.extra_entries;
+        let mut pending: Vec<&RealProcess> = self.processes.iter().collect();
         let mut delays = Vec::new();
-        while !lacking.is_empty() && began.elapsed() < CONFIGURATION_LIMIT {
-            let before = lacking.len();
-            lacking.retain(|process| process.servers_known().is_none_or(|known| known < wanted));
-            delays.extend(vec![began.elapsed().as_secs_f64(); before - lacking.len()]);
-            std::thread::sleep(POLL);
+        while !pending.is_empty() && began.elapsed() < CONFIGURATION_TIMEOUT {
+            let before = pending.len();
+            pending.retain(|process| process.servers_known().is_none_or(|known| known < expected));
+            delays.extend(vec![began.elapsed().as_secs_f64(); before - pending.len()]);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let change = ConfigurationChange {
-            missing: lacking.len(),
+            missing: pending.len(),
             delay_s: Summary::of(delays),
         };
         self.configuration_changes.push(change);
@@ -320,9 +331,9 @@
         let limiters = self.processes.len() as f64;
         let lag = Latency::of(&outcomes.lag);
         let mut fell_behind = Vec::new();
-        if lag.p99_ms > LAG_LIMIT_MS {
+        if lag.p99_ms > MAX_LAG_MS {
             fell_behind.push(format!(
-                "the generator wrote requests late by {:.0} ms (p99)",
+                "the load generator wrote requests {:.0} ms late (p99)",
                 lag.p99_ms
             ));
         }
@@ -368,7 +379,7 @@
 
 impl Drop for Play {
     fn drop(&mut self) {
-        // The run's own files; nothing else is in there.
+        // The folder holds only files of this run.
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/lab/src/real_play/result.rs
+++ b/lab/src/real_play/result.rs
@@ -1,11 +1,11 @@
-//! What the play of real processes showed.
+//! Results of the real processes of a run.
 
 use crate::audit::AuditResult;
 use crate::summary::Summary;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Percentiles of a latency in ms.
+/// Percentiles and maximum of a latency in ms.
 #[derive(Debug, Serialize)]
 pub struct Latency {
     /// The median.
@@ -14,13 +14,13 @@
     pub p99_ms: f64,
     /// The 99.9th percentile.
     pub p999_ms: f64,
-    /// The largest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
 impl Latency {
     pub(super) fn of(histogram: &Histogram<u64>) -> Self {
-        let at = |part: f64| histogram.value_at_quantile(part) as f64 / 1e3;
+        let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
         Self {
             p50_ms: at(0.5),
             p99_ms: at(0.99),
@@ -30,52 +30,53 @@
     }
 }
 
-/// What the play of real processes showed.
+/// Results of the real processes of a run.
 #[derive(Debug, Serialize)]
 pub struct RealResult {
-    /// Processes.
+    /// Number of processes.
     pub limiters: u32,
-    /// Requests begun a second.
+    /// Requests started per second.
     pub requests_per_s: f64,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Served.
+    /// Number of requests served.
     pub served: u64,
-    /// Refused.
+    /// Number of requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// No connection, or one that broke.
+    /// Number of requests whose connection could not be opened or broke.
     pub broken: u64,
     /// Latency of served requests from the intended start.
     pub latency: Latency,
-    /// The same without the upstream server's own time: what limiter, queues and generator add.
+    /// The same latency less the service time of the upstream server: what limiter, queues and load
+    /// generator add.
     pub added: Latency,
-    /// How late the generator wrote requests.
+    /// Delay with which the load generator wrote requests.
     pub generator_lag: Latency,
-    /// Processor time of a process as a part of a core.
+    /// CPU use of a process as a fraction of a core.
     pub cpu_cores_per_limiter: f64,
     /// Resident memory of a process in bytes at the end.
     pub memory_bytes_per_limiter: f64,
-    /// Calls of the counter a process and second.
+    /// Calls to the counter per process and second.
     pub counter_calls_per_limiter_s: f64,
-    /// Bytes to and from the counter a process and second.
+    /// Bytes to and from the counter per process and second.
     pub counter_bytes_per_limiter_s: f64,
-    /// Units beyond quotas, of those served.
+    /// Audit of the served units against the quotas.
     pub audit: AuditResult,
-    /// By change of the configuration: seconds until processes had it in force.
+    /// Changes of the configuration, with the time until the processes used each.
     pub configuration_changes: Vec<ConfigurationChange>,
-    /// Events that were played.
+    /// Names of the events that were carried out.
     pub events: Vec<&'static str>,
-    /// Why the machine did not keep up; empty if it did.
+    /// Signs that the machine did not keep up; empty if it did.
     pub fell_behind: Vec<String>,
 }
 
 /// A change of the configuration.
 #[derive(Debug, Serialize)]
 pub struct ConfigurationChange {
-    /// Processes that did not have it in time.
+    /// Number of processes that did not use it in time.
     pub missing: usize,
-    /// Seconds until the others had it.
+    /// Seconds until the other processes used it.
     pub delay_s: Summary,
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! A run's report: JSON with all figures, and a table of the same.
+//! The report of a run: JSON with all figures, and a table of them.
 
 use crate::hollow_play::HollowResult;
 use crate::membership_play::MembershipResult;
@@ -9,39 +9,39 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Rows of a list that the table shows.
-const TABLE_ROWS: usize = 40;
+/// Maximum number of entries of an array that the table shows.
+const MAX_ARRAY_ROWS: usize = 40;
 
-/// What one run showed.
+/// Results of one run.
 #[derive(Debug, Serialize)]
 pub struct RunReport {
     /// The scenario.
     pub scenario: Scenario,
     /// The seed of this run.
     pub seed: u64,
-    /// Hollow limiters, in real time.
+    /// Results of the simulated (hollow) limiters, in real time.
     pub hollow: Option<HollowResult>,
-    /// Membership, in virtual time.
+    /// Results of the fleet membership, in virtual time.
     pub membership: Option<MembershipResult>,
-    /// Real processes under traffic, in real time.
+    /// Results of the real processes under traffic, in real time.
     pub real: Option<RealResult>,
-    /// Quotas over all limiters by mechanism, in virtual time.
+    /// Results on quotas over all limiters for each mechanism, in virtual time.
     pub quota: Option<Vec<QuotaResult>>,
-    /// Figures beside their predictions.
+    /// Measured figures compared with their predictions.
     pub predictions: Vec<Comparison>,
-    /// Whether the machine kept up.
+    /// Whether the machine kept up with the load of the run.
     pub kept_up: bool,
-    /// Why it did not.
+    /// Signs that the machine did not keep up; empty if it did.
     pub fell_behind: Vec<String>,
 }
 
-/// A table of every figure, one a line with its path.
+/// Formats a table of all figures, one on each line with its path in the report.
 pub fn table(report: &Value) -> String {
     let mut lines = Vec::new();
     for (key, value) in report.as_object().into_iter().flatten() {
-        // The scenario is the reader's own, and predictions have a table of theirs.
+        // The scenario is input, and predictions have a table of their own.
         if !matches!(key.as_str(), "scenario" | "predictions") {
-            rows(key, value, &mut lines);
+            collect_rows(key, value, &mut lines);
         }
     }
     let width = lines.iter().map(|(path, _)| path.len()).max().unwrap_or(0);
@@ -51,21 +51,23 @@
         .collect()
 }
 
-fn rows(path: &str, value: &Value, lines: &mut Vec<(String, String)>) {
+fn collect_rows(path: &str, value: &Value, lines: &mut Vec<(String, String)>) {
     match value {
         Value::Null => {}
         Value::Object(fields) if fields.contains_key("median") => {
-            lines.push((path.into(), summary(value)))
+            lines.push((path.into(), format_summary(value)))
         }
         Value::Object(fields) => fields
             .iter()
-            .for_each(|(key, v)| rows(&format!("{path}.{key}"), v, lines)),
+            .for_each(|(key, v)| collect_rows(&format!("{path}.{key}"), v, lines)),
         Value::Array(entries) => {
-            for (number, entry) in entries.iter().take(TABLE_ROWS).enumerate() {
-                rows(&format!("{path}.{number}"), entry, lines);
+            for (number, entry) in entries.iter().take(MAX_ARRAY_ROWS).enumerate() {
+                collect_rows(&format!("{path}.{number}"), entry, lines);
             }
         }
-        Value::Number(number) => lines.push((path.into(), figure(number.as_f64().unwrap_or(0.0)))),
+        Value::Number(number) => {
+            lines.push((path.into(), format_figure(number.as_f64().unwrap_or(0.0))))
+        }
         other => lines.push((
             path.into(),
             other
@@ -75,8 +77,8 @@
     }
 }
 
-fn summary(value: &Value) -> String {
-    let of = |key: &str| figure(value[key].as_f64().unwrap_or(0.0));
+fn format_summary(value: &Value) -> String {
+    let of = |key: &str| format_figure(value[key].as_f64().unwrap_or(0.0));
     format!(
         "median {}  p99 {}  max {}  of {}",
         of("median"),
@@ -86,7 +88,7 @@
     )
 }
 
-fn figure(value: f64) -> String {
+fn format_figure(value: f64) -> String {
     match value {
         value if value.fract() == 0.0 => format!("{value:.0}"),
         value if value.abs() >= 100.0 => format!("{value:.1}"),
@@ -95,10 +97,11 @@
     }
 }
 
-/// Lines on predicted figures; those that differ by more than a third are marked.
+/// Formats a table of predicted and measured figures and marks those that differ by more than a
+/// third of the prediction.
 pub fn comparison_table(comparisons: &[Comparison]) -> String {
     let line = |c: &Comparison| {
-        let seen = c.seen.map_or("not seen".to_owned(), figure);
+        let seen = c.seen.map_or("not seen".to_owned(), format_figure);
         let ratio = c
             .ratio
             .map_or("-".to_owned(), |ratio| format!("{ratio:.2}"));
@@ -110,7 +113,7 @@
         format!(
             "{}: predicted {}, seen {seen}, ratio {ratio}: {mark}\n",
             c.figure,
-            figure(c.predicted)
+            format_figure(c.predicted)
         )
     };
     comparisons.iter().map(line).collect()
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,4 +1,5 @@
-//! Plays a scenario: every play that it has, one after another, and the report on them.
+//! Runs all plays of a scenario, one after another, and builds the report. A play is one simulation
+//! or measurement: hollow limiters, membership, real processes, or quotas.
 
 use crate::error::LabError;
 use crate::predictions::Predictions;
@@ -7,7 +8,7 @@
 use crate::{hollow_play, membership_play, quota_play, real_play};
 use std::path::Path;
 
-/// Plays a scenario with one seed; `limiter` is the program of the real processes.
+/// Runs a scenario with one seed. `limiter` is the path of the program that real processes execute.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -49,7 +50,7 @@
         kept_up: fell_behind.is_empty(),
         fell_behind,
     };
-    let seen = serde_json::to_value(&report)?;
-    report.predictions = predictions.compare(&scenario.name, &seen);
+    let figures = serde_json::to_value(&report)?;
+    report.predictions = predictions.compare(&scenario.name, &figures);
     Ok(report)
 }
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -1,15 +1,15 @@
-//! Checks of a scenario before anything starts.
+//! Validation of a scenario before anything starts.
 
 use super::{
     Event, Membership, Quota, Real, Scenario, TimedEvent, Traffic, MEMORY_LIMIT_BYTES,
     PROCESS_LIMIT,
 };
 
-/// A value that can't be played.
+/// An invalid value of a scenario.
 pub(super) struct RefusedValue {
-    /// Its key with the path.
+    /// Key of the value with its path.
     pub(super) key: String,
-    /// Why it can't be played.
+    /// Why the value is invalid.
     pub(super) reason: String,
 }
 
@@ -64,7 +64,7 @@
         ("sizes.routes", sizes.routes),
     ])?;
     if scenario.seeds.is_empty() {
-        return refuse("seeds", "must have one seed at least");
+        return refuse("seeds", "must have at least one seed");
     }
     if sizes.zones > sizes.limiters {
         return refuse("sizes.zones", "more zones than limiters");
@@ -87,10 +87,10 @@
         ("traffic.quota_headroom", traffic.quota_headroom),
     ])?;
     if traffic.mean_units < 1.0 {
-        return refuse("traffic.mean_units", "must be 1 at least");
+        return refuse("traffic.mean_units", "must be at least 1");
     }
     if traffic.scale > 1.0 {
-        return refuse("traffic.scale", "must be 1 at most");
+        return refuse("traffic.scale", "must be at most 1");
     }
     if traffic.spread == 0 {
         return refuse("traffic.spread", "must be above 0");
@@ -123,7 +123,7 @@
     if !has_play {
         return refuse(
             "hollow",
-            "one of hollow, membership, real and quota must be there",
+            "at least one of hollow, membership, real and quota must be present",
         );
     }
     Ok(())
@@ -131,13 +131,13 @@
 
 fn check_membership(membership: &Membership) -> Checked {
     if membership.members < 2 {
-        return refuse("membership.members", "must be 2 at least");
+        return refuse("membership.members", "must be at least 2");
     }
-    let most = mossrill::membership::datagram::MAX_LIMITERS;
-    if membership.members > most {
+    let limit = mossrill::membership::datagram::MAX_LIMITERS;
+    if membership.members > limit {
         return refuse(
             "membership.members",
-            format!("the fleet's view bears {most} at most"),
+            format!("the membership supports at most {limit} members"),
         );
     }
     if !(0.0..1.0).contains(&membership.loss) {
@@ -163,7 +163,7 @@
         return refuse("quota.control_machines", "must be above 0");
     }
     if quota.mechanisms.is_empty() {
-        return refuse("quota.mechanisms", "must have one mechanism at least");
+        return refuse("quota.mechanisms", "must have at least one mechanism");
     }
     check_positive(&[
         ("quota.round_trip_ms", quota.round_trip_ms),
@@ -211,7 +211,7 @@
     Ok(())
 }
 
-/// Refuses amounts of an event that make no sense.
+/// Refuses invalid durations, counts and intervals of an event.
 fn check_event_amount(scenario: &Scenario, event: &Event, prefix: &str) -> Checked {
     match event {
         Event::LimiterPaused { seconds, .. } if !seconds.is_finite() || *seconds <= 0.0 => refuse(
@@ -230,21 +230,21 @@
     }
 }
 
-/// Refuses what the machine does not bear, by an estimate from above.
+/// Refuses a scenario whose upper estimate of processes or memory exceeds the limits of the machine.
 fn check_machine(scenario: &Scenario) -> Checked {
     let processes = scenario.processes();
     if processes > PROCESS_LIMIT {
         return refuse(
             "sizes.zones",
-            format!("{processes} processes with real.limiters, the machine bears {PROCESS_LIMIT}"),
+            format!("needs {processes} processes with real.limiters, the limit is {PROCESS_LIMIT}"),
         );
     }
     let memory = scenario.memory_estimate();
     if memory > MEMORY_LIMIT_BYTES {
-        let (wanted, most) = (memory >> 20, MEMORY_LIMIT_BYTES >> 20);
+        let (estimate_mb, limit_mb) = (memory >> 20, MEMORY_LIMIT_BYTES >> 20);
         return refuse(
             "sizes.limiters",
-            format!("takes about {wanted} MB, the machine bears {most} MB"),
+            format!("needs about {estimate_mb} MB of memory, the limit is {limit_mb} MB"),
         );
     }
     Ok(())
--- a/lab/src/scenario/event.rs
+++ b/lab/src/scenario/event.rs
@@ -1,74 +1,74 @@
-//! What can happen in a run.
+//! Events of a scenario.
 
 use serde::{Deserialize, Serialize};
 
-/// An event with its time.
+/// An event and when it happens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimedEvent {
-    /// Seconds after the start of the play.
+    /// Time in seconds after the start of the play.
     pub at_s: f64,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
-/// What can happen in a run.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Event {
-    /// All servers and limiters of a zone are gone at once.
+    /// All servers and limiters of a zone fail at once.
     ZoneLost {
-        /// Its number.
+        /// Number of the zone.
         zone: u32,
     },
-    /// All servers and limiters of a lost zone are back within one second.
+    /// All servers and limiters of a failed zone are running again within one second.
     ZoneBack {
-        /// Its number.
+        /// Number of the zone.
         zone: u32,
     },
     /// Half of all limiters are restarted at once.
     HalfRestarted,
-    /// So many entries of the server list change at once.
+    /// This number of entries of the server list changes at once.
     ListChanges {
-        /// Entries.
+        /// Number of entries.
         count: u32,
     },
-    /// A region loses the others.
+    /// A network partition separates a region from all others.
     RegionCut {
-        /// Its number.
+        /// Number of the region.
         region: u32,
     },
-    /// It has them again.
+    /// The partition of a region ends.
     RegionHealed {
-        /// Its number.
+        /// Number of the region.
         region: u32,
     },
-    /// A control machine is lost.
+    /// A control machine (host of counter or allocator) fails.
     ControlMachineLost {
-        /// Its number.
+        /// Number of the control machine.
         machine: u32,
     },
-    /// It is back, empty.
+    /// A failed control machine starts again with empty state.
     ControlMachineBack {
-        /// Its number.
+        /// Number of the control machine.
         machine: u32,
     },
-    /// The configuration of the real processes changes, and again after every interval.
+    /// The configuration of the real processes changes, and again after each interval.
     ConfigurationChanged {
-        /// The interval.
+        /// Interval between changes in seconds.
         every_s: u32,
     },
-    /// A limiter stands still and then goes on with what it knew.
+    /// A limiter is suspended and then resumes with its previous state.
     LimiterPaused {
-        /// Its number.
+        /// Number of the limiter.
         limiter: u32,
-        /// For so long.
+        /// Length of the pause in seconds.
         seconds: f64,
     },
 }
 
 impl Event {
-    /// Its name in scenario files and reports.
+    /// Returns the name of the event in scenario files and reports.
     pub fn name(&self) -> &'static str {
         match self {
             Self::ZoneLost { .. } => "zone-lost",
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what a run plays, read from TOML and checked before anything starts.
+//! Scenario files: the parameters of a run, read from TOML and checked before anything starts.
 
 mod check;
 mod event;
@@ -8,79 +8,80 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Memory that one run may take on the machine.
+/// Maximum memory of one run on the machine in bytes.
 pub const MEMORY_LIMIT_BYTES: u64 = 12 << 30;
-/// Processes that one run may start.
+/// Maximum number of processes of one run.
 pub const PROCESS_LIMIT: u32 = 300;
-/// Memory of one entry of the server list at a hollow limiter.
+/// Memory of one entry of the server list at a hollow limiter in bytes.
 pub const LIST_ENTRY_BYTES: u64 = 16;
-/// Memory that a limiter takes for each entry while it reads the whole list, and that its thread's heap keeps afterwards:
-/// 30.6 MB a limiter were measured with 21,000 entries.
+/// Memory in bytes that a limiter allocates for each entry while it reads the whole list. The heap of
+/// its thread keeps it afterwards: 30.6 MB per limiter were measured with 21,000 entries.
 pub const LIST_READ_BYTES: u64 = 1_460;
-/// Memory of a hollow limiter apart from list and accounts: threads, buffers, its gateway.
+/// Memory of a hollow limiter in bytes without list and accounts: threads, buffers, decision engine.
 pub const HOLLOW_BASE_BYTES: u64 = 256 << 10;
-/// Memory of one account at one hollow limiter.
+/// Memory of one account at one hollow limiter in bytes.
 pub const ACCOUNT_BYTES: u64 = 700;
-/// Memory of one real limiter process.
+/// Memory of one real limiter process in bytes.
 pub const REAL_LIMITER_BYTES: u64 = 128 << 20;
-/// Stand-ins and the controller itself.
-const OWN_PROCESSES: u32 = 5;
-const OWN_BYTES: u64 = 512 << 20;
+/// Number of processes besides limiters: the stand-ins and the controller.
+const HARNESS_PROCESSES: u32 = 5;
+/// Memory of the stand-ins and the controller in bytes.
+const HARNESS_BYTES: u64 = 512 << 20;
 
-/// Why a scenario is refused. Each fault names the file, and the key where there is one.
+/// Why a scenario is refused. Each message names the file, and the key if one is at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The file can't be read.
-    #[error("{file}: {fault}")]
+    /// The file could not be read.
+    #[error("{file}: {error}")]
     Unreadable {
         /// The file.
         file: String,
-        /// What the system said.
-        fault: std::io::Error,
+        /// The error of the operating system.
+        error: std::io::Error,
     },
     /// The file is not TOML, or a key is unknown, missing or of the wrong type.
-    #[error("{file}: {fault}")]
+    #[error("{file}: {error}")]
     Malformed {
         /// The file.
         file: String,
-        /// Line, key and reason.
-        fault: Box<toml::de::Error>,
+        /// The parse error with line, key and reason.
+        error: Box<toml::de::Error>,
     },
-    /// A value can't be played.
+    /// A value is invalid.
     #[error("{file}: key \"{key}\": {reason}")]
     Value {
         /// The file.
         file: String,
-        /// The faulty key with its path.
+        /// The key of the invalid value with its path.
         key: String,
-        /// Why.
+        /// Why the value is invalid.
         reason: String,
     },
 }
 
-/// A run as it is written in a scenario file.
+/// A scenario as it is written in its file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, for reports.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// How long the plays last after their start.
+    /// Duration of each play in seconds, after its start or warm-up.
     pub duration_s: u32,
-    /// Seeds of the random numbers; every seed is one run.
+    /// Seeds of the random numbers; the scenario is run once for each.
     pub seeds: Vec<u64>,
     /// Sizes of the system.
     pub sizes: Sizes,
     /// Traffic of the whole fleet.
     pub traffic: Traffic,
-    /// Hollow limiters that watch the server list over TCP, in real time.
+    /// Play of hollow limiters that watch the server list over TCP, in real time.
     pub hollow: Option<Hollow>,
-    /// The fleet's membership, in virtual time.
+    /// Play of the fleet's membership, in virtual time.
     pub membership: Option<Membership>,
-    /// Real processes under traffic, in real time.
+    /// Play of real processes under traffic, in real time.
     pub real: Option<Real>,
-    /// Quotas over all limiters, in virtual time.
+    /// Play of quotas over all limiters, in virtual time.
     pub quota: Option<Quota>,
-    /// What happens, by time.
+    /// Events, sorted by time.
     #[serde(default)]
     pub events: Vec<TimedEvent>,
 }
@@ -89,19 +90,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sizes {
-    /// Hollow limiters.
+    /// Number of hollow limiters.
     pub limiters: u32,
-    /// Entries of the server list.
+    /// Number of entries of the server list.
     pub servers: u32,
-    /// Services among which the servers are divided.
+    /// Number of services among which the servers are divided.
     pub services: u32,
-    /// Zones.
+    /// Number of zones.
     pub zones: u32,
-    /// Regions; zones are dealt out among them.
+    /// Number of regions; zones are assigned to them in turn.
     pub regions: u32,
-    /// Tenants, before `traffic.scale`.
+    /// Number of tenants, before `traffic.scale` is applied.
     pub tenants: u32,
-    /// Routes of the configuration.
+    /// Number of routes of the configuration.
     pub routes: u32,
 }
 
@@ -109,21 +110,23 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Requests a second, before `scale`.
+    /// Requests per second, before `scale` is applied.
     pub requests_per_s: f64,
     /// Zipf exponent of the tenants' shares.
     pub tenant_skew: f64,
-    /// Number of limiters that an account's requests come through.
+    /// Number of limiters that receive the requests of an account.
     pub spread: u32,
-    /// Share of all traffic that one tenant has on its own; the others share the rest by Zipf.
+    /// Share of all traffic that comes from one giant tenant; the rest is Zipf-distributed over the
+    /// others.
     #[serde(default)]
     pub giant_share: f64,
-    /// Further tenants with one request a minute each, before `scale`.
+    /// Number of additional tenants with one request per minute each, before `scale` is applied.
     #[serde(default)]
     pub small_tenants: u32,
-    /// Mean units of a request.
+    /// Mean number of units of a request.
     pub mean_units: f64,
-    /// Part of tenants and traffic that is played: a system with this part of both, and with all limiters.
+    /// Fraction of the tenants and of the traffic that is simulated; the number of limiters is not
+    /// scaled.
     pub scale: f64,
     /// Quota of a tenant as a multiple of its mean demand.
     #[serde(default = "default_headroom")]
@@ -141,58 +144,59 @@
     0.1
 }
 
-/// Hollow limiters that watch the server list over TCP.
+/// Parameters of the hollow limiters, which watch the server list over TCP.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hollow {
-    /// They also decide drawn requests and call the counter stand-in over TCP.
+    /// Whether the limiters also decide generated requests and call the counter stand-in over TCP.
     pub counter: bool,
 }
 
-/// The fleet's membership in virtual time.
+/// Parameters of the play of the fleet's membership in virtual time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
-    /// Members that are played; the state machine has its own upper limit.
+    /// Number of members, at most the limit of the membership state machine.
     pub members: u32,
-    /// Part of the datagrams that is lost.
+    /// Fraction of the datagrams that is lost.
     pub loss: f64,
 }
 
-/// Real processes under traffic.
+/// Parameters of the play of real processes under traffic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Real {
-    /// Processes.
+    /// Number of limiter processes.
     pub limiters: u32,
-    /// Upstream servers.
+    /// Number of upstream servers.
     pub servers: u32,
-    /// Mean time that an upstream server takes.
+    /// Mean service time of an upstream server in ms.
     pub server_mean_ms: f64,
-    /// Requests a second over all processes.
+    /// Requests per second over all processes.
     pub requests_per_s: f64,
-    /// Accounts of the file made for the run.
+    /// Number of accounts in the configuration that is generated for the run.
     pub accounts: u32,
 }
 
-/// Quotas over all limiters in virtual time.
+/// Parameters of the play of quotas over all limiters in virtual time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Quota {
-    /// What keeps the quotas; every mechanism listed is played on the same traffic in turn.
+    /// Mechanisms that enforce the quotas; each is run on the same traffic in turn.
     pub mechanisms: Vec<Mechanism>,
-    /// Machines set aside for control.
+    /// Number of control machines, which host the counter or the allocators.
     pub control_machines: u32,
-    /// Round trip between a limiter and a control machine of its region.
+    /// Round trip in ms between a limiter and a control machine of its region.
     pub round_trip_ms: f64,
-    /// Round trip to a control machine of another region.
+    /// Round trip in ms between a limiter and a control machine of another region.
     pub far_round_trip_ms: f64,
-    /// Seconds of traffic before the play, so that buckets and leases are as in steady state.
+    /// Seconds of traffic before the measurement, so that buckets and leases reach their steady state.
     pub warm_up_s: u32,
-    /// With leases: a request that finds none takes units of the fallback part at once, in place of waiting.
+    /// With leases: whether a request without leased units takes units of the fallback share at once
+    /// instead of waiting.
     #[serde(default)]
     pub trust: bool,
-    /// With leases: the least number of units that a limiter's fallback part holds.
+    /// With leases: minimum number of units that a limiter's fallback share holds.
     #[serde(default)]
     pub fallback_least: f64,
     /// With leases: reports for which requests wait go out no closer than this.
@@ -205,13 +209,13 @@
     mossrill::quota_lease::holder::HolderSettings::default().min_report_spacing as f64 / 1e3
 }
 
-/// What keeps the quotas.
+/// Mechanism that enforces the quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
-    /// Calls of the shared counter.
+    /// Calls to the shared counter.
     Counter,
-    /// Leases of units from the control machines.
+    /// Leases of units from allocators on the control machines.
     Leases,
 }
 
@@ -220,23 +224,23 @@
     load_with(path, &[])
 }
 
-/// Reads a scenario file, puts values in place of its own (`traffic.spread=32`), and checks it.
+/// Reads a scenario file, applies overrides such as `traffic.spread=32`, and checks the result.
 pub fn load_with(path: &Path, overrides: &[String]) -> Result<Scenario, ScenarioError> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|fault| ScenarioError::Unreadable {
+    let text = std::fs::read_to_string(path).map_err(|error| ScenarioError::Unreadable {
         file: file.clone(),
-        fault,
+        error,
     })?;
     if overrides.is_empty() {
         return parse(&file, &text);
     }
-    let malformed = |fault| ScenarioError::Malformed {
+    let malformed = |error| ScenarioError::Malformed {
         file: file.clone(),
-        fault: Box::new(fault),
+        error: Box::new(error),
     };
     let mut table: toml::Table = toml::from_str(&text).map_err(malformed)?;
     for entry in overrides {
-        set(&mut table, entry).map_err(|reason| ScenarioError::Value {
+        apply_override(&mut table, entry).map_err(|reason| ScenarioError::Value {
             file: file.clone(),
             key: entry.clone(),
             reason,
@@ -245,12 +249,12 @@
     parse(&file, &table.to_string())
 }
 
-/// Puts `path.to.key=value` into a table.
-fn set(table: &mut toml::Table, entry: &str) -> Result<(), String> {
-    let (path, value) = entry.split_once('=').ok_or("wanted KEY=VALUE")?;
+/// Sets the value of `path.to.key=value` in a table.
+fn apply_override(table: &mut toml::Table, entry: &str) -> Result<(), String> {
+    let (path, value) = entry.split_once('=').ok_or("expected KEY=VALUE")?;
     let mut parsed: toml::Table =
-        toml::from_str(&format!("value = {value}")).map_err(|fault| fault.to_string())?;
-    let value = parsed.remove("value").ok_or("wanted KEY=VALUE")?;
+        toml::from_str(&format!("value = {value}")).map_err(|error| error.to_string())?;
+    let value = parsed.remove("value").ok_or("expected KEY=VALUE")?;
     let mut keys: Vec<&str> = path.split('.').collect();
     let last = keys.pop().unwrap_or_default().to_owned();
     let mut inner = table;
@@ -265,9 +269,9 @@
 /// Reads and checks the text of a scenario file.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
     let mut scenario: Scenario =
-        toml::from_str(text).map_err(|fault| ScenarioError::Malformed {
+        toml::from_str(text).map_err(|error| ScenarioError::Malformed {
             file: file.into(),
-            fault: Box::new(fault),
+            error: Box::new(error),
         })?;
     check::check(&scenario).map_err(|refused| ScenarioError::Value {
         file: file.into(),
@@ -279,7 +283,8 @@
 }
 
 impl Scenario {
-    /// Processes of the run: one hollow process for each zone, the real ones, and the stand-ins.
+    /// Returns the number of processes of the run: one hollow process for each zone, the real limiters,
+    /// the stand-ins and the controller.
     pub fn processes(&self) -> u32 {
         let hollow = if self.hollow.is_some() {
             self.sizes.zones
@@ -287,14 +292,16 @@
             0
         };
         let real = self.real.as_ref().map_or(0, |real| real.limiters);
-        hollow.saturating_add(real).saturating_add(OWN_PROCESSES)
+        hollow
+            .saturating_add(real)
+            .saturating_add(HARNESS_PROCESSES)
     }
 
-    /// Memory that the run takes at most, in bytes.
+    /// Returns an upper estimate of the memory of the run in bytes.
     pub fn memory_estimate(&self) -> u64 {
         let sizes = &self.sizes;
         let limiters = u64::from(sizes.limiters);
-        let accounts = self.accounts_seen_by_a_limiter() * ACCOUNT_BYTES;
+        let accounts = self.max_accounts_per_limiter() * ACCOUNT_BYTES;
         let list = u64::from(sizes.servers) * LIST_ENTRY_BYTES;
         let counter = self.hollow.as_ref().is_some_and(|hollow| hollow.counter);
         let each = list + HOLLOW_BASE_BYTES + if counter { accounts } else { 0 };
@@ -316,11 +323,12 @@
         hollow
             .max(quota)
             .saturating_add(real)
-            .saturating_add(OWN_BYTES)
+            .saturating_add(HARNESS_BYTES)
     }
 
-    /// Accounts that a limiter may come to know: those of its sets, and not more than it sees requests.
-    fn accounts_seen_by_a_limiter(&self) -> u64 {
+    /// Returns an upper estimate of the accounts that a limiter holds: those whose requests may come to
+    /// it, but no more than it receives requests.
+    fn max_accounts_per_limiter(&self) -> u64 {
         let (sizes, traffic) = (&self.sizes, &self.traffic);
         let tenants = (f64::from(sizes.tenants) + f64::from(traffic.small_tenants)) * traffic.scale;
         let spread = f64::from(traffic.spread.min(sizes.limiters));
@@ -331,12 +339,12 @@
         in_sets.min(requests).ceil() as u64
     }
 
-    /// The zone of a limiter. Limiters are dealt out in blocks, so that each zone has its own range.
+    /// Returns the zone of a limiter. Each zone has a contiguous range of limiters.
     pub fn zone_of_limiter(&self, limiter: u32) -> u32 {
         (u64::from(limiter) * u64::from(self.sizes.zones) / u64::from(self.sizes.limiters)) as u32
     }
 
-    /// The limiters of a zone.
+    /// Returns the limiters of a zone.
     pub fn limiters_of_zone(&self, zone: u32) -> std::ops::Range<u32> {
         let start = |zone: u32| {
             let (zone, limiters) = (u64::from(zone), u64::from(self.sizes.limiters));
@@ -345,7 +353,7 @@
         start(zone)..start(zone + 1)
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     pub fn region_of_zone(&self, zone: u32) -> u32 {
         zone % self.sizes.regions
     }
--- a/lab/src/server_list.rs
+++ b/lab/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list as discovery serves it: entries, their changes, and the text that goes over the wire.
+//! The server list of the discovery stand-in: entries, their changes, and their JSON text on the wire.
 
 use rand::rngs::StdRng;
 use rand::seq::index::sample;
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// State of an entry.
+/// Lifecycle state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     InService,
@@ -14,7 +14,7 @@
 }
 
 impl Lifecycle {
-    fn word(self) -> &'static str {
+    fn wire_name(self) -> &'static str {
         match self {
             Self::InService => "in_service",
             Self::Terminated => "terminated",
@@ -28,7 +28,7 @@
     started_at_ms: u64,
 }
 
-/// The list with its versions.
+/// The server list with the changes of each version.
 pub struct ServerList {
     entries: Vec<Entry>,
     services: u32,
@@ -36,12 +36,12 @@
     generation: u64,
     rng: StdRng,
     whole: Arc<str>,
-    /// Text of each version's changes, from version 2 on.
+    /// JSON text of the changes of each version, from version 2 on.
     changes: Vec<Arc<str>>,
 }
 
 impl ServerList {
-    /// A list of which every server is in service. Its first version is 1.
+    /// Creates version 1 of a list, with every server in service.
     pub fn new(servers: u32, services: u32, zones: u32, seed: u64) -> Self {
         let entry = Entry {
             lifecycle: Lifecycle::InService,
@@ -60,24 +60,25 @@
         list
     }
 
-    /// Its version.
+    /// Returns the current version.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The whole list as it is served.
+    /// Returns the JSON text of the whole list.
     pub fn whole(&self) -> Arc<str> {
         self.whole.clone()
     }
 
-    /// Text of the changes after this version, one for each later version; none if the list has to be read whole.
+    /// Returns the JSON texts of the changes after `generation`, one for each later version, or `None` if
+    /// the whole list has to be sent.
     pub fn changes_after(&self, generation: u64) -> Option<&[Arc<str>]> {
         let after = usize::try_from(generation.checked_sub(1)?).ok()?;
         self.changes.get(after..)
     }
 
-    /// Restarts so many servers, drawn at random; their new start times are changes.
-    pub fn restart_some(&mut self, count: u32, now_ms: u64) {
+    /// Restarts `count` randomly drawn servers, which changes their start times.
+    pub fn restart_servers(&mut self, count: u32, now_ms: u64) {
         let count = (count as usize).min(self.entries.len());
         let changed: Vec<usize> = sample(&mut self.rng, self.entries.len(), count).into_vec();
         for number in &changed {
@@ -89,7 +90,7 @@
         self.publish(&changed);
     }
 
-    /// Takes a zone's servers out of service, or back in.
+    /// Takes a zone's servers out of service, or puts them back into service.
     pub fn set_zone(&mut self, zone: u32, in_service: bool, now_ms: u64) {
         let lifecycle = if in_service {
             Lifecycle::InService
@@ -124,15 +125,15 @@
             "{{\"generation\":{},\"reset\":{reset},\"instances\":[",
             self.generation
         );
-        for (place, number) in numbers.enumerate() {
+        for (index, number) in numbers.enumerate() {
             let Entry {
                 lifecycle,
                 started_at_ms,
             } = self.entries[number];
-            let comma = if place > 0 { "," } else { "" };
+            let comma = if index > 0 { "," } else { "" };
             let (high, low) = (number / 250, number % 250 + 1);
             let (zone, cell) = (number as u32 % self.zones, number as u32 % self.services);
-            let state = lifecycle.word();
+            let state = lifecycle.wire_name();
             _ = write!(
                 text,
                 "{comma}{{\"instanceId\":\"s-{number:08x}\",\"hostPort\":\"10.1.{high}.{low}:6379\",\
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,4 +1,5 @@
-//! What all stand-ins have in common: a listener for each zone, a thread for each connection, and counters.
+//! Common parts of all stand-ins: a listener for each zone, a thread for each connection, and traffic
+//! counters.
 
 use crate::error::LabError;
 use crate::messages::{Command, Reply, Start, ZoneLoad};
@@ -8,10 +9,10 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Enough for a connection's thread.
+/// Stack size in bytes of a connection's thread.
 const STACK_BYTES: usize = 96 * 1024;
 
-/// What a zone's connections carried, and whether the zone is cut off.
+/// Traffic counters of a zone's connections, and whether the zone is cut off.
 #[derive(Default)]
 pub struct ZoneCounters {
     connections: AtomicU64,
@@ -23,13 +24,13 @@
 }
 
 impl ZoneCounters {
-    /// Counts a call of so many bytes.
+    /// Counts a call of `bytes` bytes.
     pub fn call(&self, bytes: usize) {
         self.calls.fetch_add(1, Relaxed);
         self.bytes_in.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// Counts so many bytes of an answer.
+    /// Counts `bytes` bytes of an answer.
     pub fn answer(&self, bytes: usize) {
         self.bytes_out.fetch_add(bytes as u64, Relaxed);
     }
@@ -39,17 +40,17 @@
         self.whole_lists.fetch_add(1, Relaxed);
     }
 
-    /// Nothing gets through to this zone.
+    /// Whether the zone is cut off, so that its calls are not answered.
     pub fn is_silent(&self) -> bool {
         self.silent.load(Relaxed)
     }
 
-    /// Cuts the zone off, or lets it through again.
+    /// Cuts the zone off, or reconnects it.
     pub fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Relaxed);
     }
 
-    /// What was counted.
+    /// Returns the current counts.
     pub fn load(&self) -> ZoneLoad {
         ZoneLoad {
             connections: self.connections.load(Relaxed),
@@ -61,7 +62,8 @@
     }
 }
 
-/// Listens once for each zone and serves each connection on a thread. The ports come back in the order of zones.
+/// Opens a listener for each zone and serves each connection on its own thread. Returns the ports in
+/// the order of the zones.
 pub fn listen<S>(zones: &[Arc<ZoneCounters>], serve: S) -> io::Result<Vec<u16>>
 where
     S: Fn(TcpStream, &ZoneCounters) + Clone + Send + 'static,
@@ -96,21 +98,21 @@
         .map(drop)
 }
 
-/// Reads what this child is told first.
+/// Reads the first message to this child process.
 pub fn read_start() -> Result<Start, LabError> {
     let mut line = String::new();
     io::stdin().read_line(&mut line)?;
     serde_json::from_str(&line).map_err(LabError::Start)
 }
 
-/// Commands until the controller has none any more.
+/// Returns the commands of the controller until it closes the pipe.
 pub fn commands() -> impl Iterator<Item = Command> {
     let lines = io::stdin().lock().lines().map_while(Result::ok);
     lines.map_while(|line| serde_json::from_str(&line).ok())
 }
 
-/// Says something to the controller.
-pub fn reply(reply: &Reply) -> Result<(), LabError> {
+/// Sends a reply to the controller.
+pub fn send_reply(reply: &Reply) -> Result<(), LabError> {
     let line = serde_json::to_string(reply)?;
     let mut out = io::stdout().lock();
     writeln!(out, "{line}")?;
--- a/lab/src/upstream.rs
+++ b/lab/src/upstream.rs
@@ -1,5 +1,5 @@
-//! Stand-in for upstream servers: HTTP/1.1 that answers after a random time with a stated mean and says how long it
-//! took.
+//! Stand-in for upstream servers over HTTP/1.1. Each request is answered after an exponentially
+//! distributed time with a given mean; a header of the answer gives the time that it took.
 
 use crate::error::LabError;
 use crate::messages::{Command, Reply};
@@ -13,29 +13,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The header that tells how long a server took, in µs.
+/// Response header with the service time of the request in µs.
 pub const SERVICE_HEADER: &str = "X-Service-Micros";
-/// An answer takes so many times the mean at the most.
-const LONGEST: f64 = 8.0;
-/// A request's body at most.
-const LONGEST_BODY: usize = 64 * 1024;
+/// Upper limit of the service time, as a multiple of the mean.
+const MAX_MEAN_MULTIPLE: f64 = 8.0;
+/// Maximum length of a request body in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Serves until it is told to finish.
+/// Serves until the controller sends [`Command::Finish`].
 pub fn run(servers: u32, mean_ms: f64, seed: u64) -> Result<(), LabError> {
     let servers: Vec<Arc<ZoneCounters>> = (0..servers).map(|_| Arc::default()).collect();
     let connections = Arc::new(AtomicU64::new(seed));
     let ports = stand_in::listen(&servers, move |stream, server: &ZoneCounters| {
         let rng = StdRng::seed_from_u64(connections.fetch_add(1, Relaxed));
-        // A connection that ends is the limiter's to open again.
+        // The limiter reopens a connection that ends.
         _ = serve(&stream, server, mean_ms, rng);
     });
-    stand_in::reply(&Reply::Ready(ports?))?;
+    stand_in::send_reply(&Reply::Ready(ports?))?;
     for command in stand_in::commands() {
         if matches!(command, Command::Finish) {
             break;
         }
     }
-    stand_in::reply(&Reply::Load(
+    stand_in::send_reply(&Reply::Load(
         servers.iter().map(|server| server.load()).collect(),
     ))
 }
@@ -48,16 +48,17 @@
 ) -> Result<(), ReadError> {
     let mut reader = Reader::new(stream);
     loop {
-        let ask = reader.read_request()?;
-        reader.read_body(ask.body, LONGEST_BODY)?;
+        let request = reader.read_request()?;
+        reader.read_body(request.body, MAX_BODY_BYTES)?;
         server.call(0);
         let began = Instant::now();
-        let chance: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
-        let wanted = mean_ms * (-chance.ln()).min(LONGEST);
-        std::thread::sleep(Duration::from_secs_f64(wanted / 1e3));
-        let took = began.elapsed().as_micros();
-        let text =
-            format!("HTTP/1.1 200 OK\r\n{SERVICE_HEADER}: {took}\r\nContent-Length: 2\r\n\r\nok");
+        let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
+        let delay_ms = mean_ms * (-uniform.ln()).min(MAX_MEAN_MULTIPLE);
+        std::thread::sleep(Duration::from_secs_f64(delay_ms / 1e3));
+        let elapsed_us = began.elapsed().as_micros();
+        let text = format!(
+            "HTTP/1.1 200 OK\r\n{SERVICE_HEADER}: {elapsed_us}\r\nContent-Length: 2\r\n\r\nok"
+        );
         stream.write_all(text.as_bytes())?;
     }
 }
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -1,9 +1,9 @@
-//! Scenario files: the committed ones are good, and what can't be played is refused with file and key.
+//! Scenario files: the committed ones are valid, and invalid ones are refused with file and key.
 
 use mossrill_lab::scenario::{load, load_with, parse, ScenarioError};
 use std::path::Path;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 name = "good"
 duration_s = 5
 seeds = [1]
@@ -28,32 +28,32 @@
 event = { zone-lost = { zone = 1 } }
 "#;
 
-/// What is said of the good scenario with one line put in place of another.
-fn fault_of(line: &str, changed: &str) -> String {
-    assert!(GOOD.contains(line), "{line}");
-    let text = GOOD.replace(line, changed);
+/// Returns the error on the valid scenario after one line has been replaced.
+fn error_of(line: &str, replacement: &str) -> String {
+    assert!(VALID.contains(line), "{line}");
+    let text = VALID.replace(line, replacement);
     match parse("bad.toml", &text) {
-        Ok(_) => panic!("taken: {changed}"),
-        Err(fault) => fault.to_string(),
+        Ok(_) => panic!("scenario with `{replacement}` was accepted"),
+        Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn the_committed_scenarios_are_good() {
+fn committed_scenarios_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut files = 0;
     for entry in std::fs::read_dir(folder)
-        .expect("folder of scenarios")
+        .expect("reads the folder of scenarios")
         .flatten()
     {
-        load(&entry.path()).unwrap_or_else(|fault| panic!("{fault}"));
+        load(&entry.path()).unwrap_or_else(|error| panic!("{error}"));
         files += 1;
     }
     assert!(files > 0);
 }
 
 #[test]
-fn unknown_keys_and_wrong_types_are_named_with_file_and_key() {
+fn unknown_keys_and_wrong_types_are_reported_with_file_and_key() {
     let cases = [
         ("scale = 1.0", "scale = 1.0\nskale = 2", "skale"),
         (
@@ -75,17 +75,17 @@
             "zome",
         ),
     ];
-    for (line, changed, key) in cases {
-        let fault = fault_of(line, changed);
+    for (line, replacement, key) in cases {
+        let error = error_of(line, replacement);
         assert!(
-            fault.starts_with("bad.toml: ") && fault.contains(key),
-            "{changed}: {fault}"
+            error.starts_with("bad.toml: ") && error.contains(key),
+            "{replacement}: {error}"
         );
     }
 }
 
 #[test]
-fn sizes_that_can_not_be_played_are_named_with_the_reason() {
+fn invalid_values_are_reported_with_key_and_reason() {
     let cases = [
         ("limiters = 8", "limiters = 0", "sizes.limiters", "above 0"),
         ("duration_s = 5", "duration_s = 0", "duration_s", "above 0"),
@@ -142,44 +142,46 @@
             "events[0].event.control-machine-lost.machine",
             "there are 0",
         ),
-        ("[hollow]\ncounter = false", "", "hollow", "must be there"),
+        ("[hollow]\ncounter = false", "", "hollow", "must be present"),
     ];
-    for (line, changed, key, reason) in cases {
-        let fault = fault_of(line, changed);
-        let named =
-            fault.starts_with("bad.toml: key \"") && fault.contains(key) && fault.contains(reason);
-        assert!(named, "{changed}: {fault}");
+    for (line, replacement, key, reason) in cases {
+        let error = error_of(line, replacement);
+        let reported =
+            error.starts_with("bad.toml: key \"") && error.contains(key) && error.contains(reason);
+        assert!(reported, "{replacement}: {error}");
     }
 }
 
 #[test]
-fn more_than_the_machine_bears_is_refused() {
-    let memory = fault_of("servers = 20", "servers = 400_000_000");
+fn scenarios_beyond_the_memory_or_process_limit_are_refused() {
+    let memory = error_of("servers = 20", "servers = 400_000_000");
     assert!(
-        memory.contains("sizes.limiters") && memory.contains("machine bears"),
+        memory.contains("sizes.limiters") && memory.contains("MB of memory, the limit is"),
         "{memory}"
     );
-    // What reading a list of 21,000 entries takes stays with each limiter's thread.
-    let large = GOOD.replace("servers = 20", "servers = 21000");
+    // The heap of each limiter's thread keeps the memory that reading a list of 21,000 entries takes.
+    let large = VALID.replace("servers = 20", "servers = 21000");
     parse(
         "large.toml",
         &large.replace("limiters = 8", "limiters = 260"),
     )
-    .expect("260 limiters are borne");
+    .expect("260 limiters fit into the memory limit");
     let memory = parse(
         "bad.toml",
         &large.replace("limiters = 8", "limiters = 2000"),
     );
-    let memory = memory.expect_err("2,000 limiters").to_string();
+    let memory = memory
+        .expect_err("2,000 limiters exceed the memory limit")
+        .to_string();
     assert!(
-        memory.contains("sizes.limiters") && memory.contains("machine bears"),
+        memory.contains("sizes.limiters") && memory.contains("MB of memory, the limit is"),
         "{memory}"
     );
-    let text = GOOD
+    let text = VALID
         .replace("limiters = 8", "limiters = 2000")
         .replace("zones = 4", "zones = 301");
     let processes = parse("bad.toml", &text)
-        .expect_err("301 processes and more")
+        .expect_err("301 zones exceed the process limit")
         .to_string();
     assert!(
         processes.contains("sizes.zones") && processes.contains("300"),
@@ -188,19 +190,19 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
-    let fault = load(Path::new("no-such.toml")).expect_err("no file");
-    assert!(matches!(fault, ScenarioError::Unreadable { .. }));
-    assert!(fault.to_string().starts_with("no-such.toml: "));
+fn missing_file_is_reported_with_its_name() {
+    let error = load(Path::new("no-such.toml")).expect_err("the file does not exist");
+    assert!(matches!(error, ScenarioError::Unreadable { .. }));
+    assert!(error.to_string().starts_with("no-such.toml: "));
 }
 
 #[test]
-fn values_put_in_place_of_a_scenario_are_checked_like_its_own() {
+fn overrides_are_checked_like_values_of_the_file() {
     let short = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/short.toml");
     let with = |entry: &str| load_with(&short, &[entry.to_owned()]);
     assert_eq!(
         with("traffic.spread=5")
-            .expect("a good value")
+            .expect("the override is valid")
             .traffic
             .spread,
         5
@@ -214,10 +216,12 @@
         ("quota.spacing_ms=0.0", "quota.spacing_ms"),
         ("quota.fallback_least=-1.0", "quota.fallback_least"),
     ] {
-        let fault = with(entry).expect_err("a bad value").to_string();
+        let error = with(entry)
+            .expect_err("the override is invalid")
+            .to_string();
         assert!(
-            fault.contains("short.toml") && fault.contains(key),
-            "{entry}: {fault}"
+            error.contains("short.toml") && error.contains(key),
+            "{entry}: {error}"
         );
     }
 }
--- a/lab/tests/short_run.rs
+++ b/lab/tests/short_run.rs
@@ -1,4 +1,5 @@
-//! A whole run at small size: all events happen, every limiter has every change, figures add up. No time is asserted.
+//! A complete run of small size: all events are carried out, every limiter gets every change, and the
+//! figures are consistent. No durations are asserted, because they depend on the load of the machine.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -8,11 +9,12 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join(name)
 }
 
-fn lab(arguments: &[&str]) -> (bool, String, String) {
+/// Runs `mossrill-lab`; returns whether it succeeded, its standard output and its standard error.
+fn run_lab(arguments: &[&str]) -> (bool, String, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_mossrill-lab"))
         .args(arguments)
         .output()
-        .expect("the lab");
+        .expect("starts mossrill-lab");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (
         output.status.success(),
@@ -25,28 +27,28 @@
     value
         .pointer(path)
         .and_then(Value::as_u64)
-        .unwrap_or_else(|| panic!("no {path}"))
+        .unwrap_or_else(|| panic!("the report has no number at {path}"))
 }
 
 fn number(value: &Value, path: &str) -> f64 {
     value
         .pointer(path)
         .and_then(Value::as_f64)
-        .unwrap_or_else(|| panic!("no {path}"))
+        .unwrap_or_else(|| panic!("the report has no number at {path}"))
 }
 
 #[test]
-fn a_short_run_plays_every_event_and_its_figures_add_up() {
+fn short_run_carries_out_every_event_with_consistent_figures() {
     let json = std::env::temp_dir().join(format!("mossrill-lab-short-{}.json", std::process::id()));
     let scenario = file("scenarios/short.toml");
     let predictions = file("tests/short_predictions.toml");
     let limiter = file("../target/release/mossrill");
     assert!(
         limiter.exists(),
-        "`make build` comes first: the run starts {}",
+        "run `make build` first: the limiter program {} is missing",
         limiter.display()
     );
-    let (good, printed, fault) = lab(&[
+    let (success, printed, error) = run_lab(&[
         "run",
         "--limiter",
         &limiter.to_string_lossy(),
@@ -56,17 +58,17 @@
         "--predictions",
         &predictions.to_string_lossy(),
     ]);
-    assert!(good, "{fault}\n{printed}");
-    let text = std::fs::read_to_string(&json).expect("reports");
+    assert!(success, "{error}\n{printed}");
+    let text = std::fs::read_to_string(&json).expect("reads the reports");
     _ = std::fs::remove_file(&json);
-    let reports: Value = serde_json::from_str(&text).expect("JSON");
+    let reports: Value = serde_json::from_str(&text).expect("the reports are JSON");
     assert_eq!(reports.as_array().map(Vec::len), Some(1));
     let report = &reports[0];
-    hollow_limiters_have_every_change(&report["hollow"]);
-    decisions_add_up(&report["hollow"]);
-    membership_is_known(&report["membership"]);
+    hollow_limiters_get_every_change(&report["hollow"]);
+    decisions_are_consistent(&report["hollow"]);
+    members_learn_of_every_event(&report["membership"]);
     real_processes_serve(&report["real"]);
-    quotas_are_played_by_each_mechanism(&report["quota"]);
+    each_mechanism_runs_on_the_same_requests(&report["quota"]);
     predictions_are_compared(report, &printed);
     assert!(report["kept_up"].is_boolean() && report["fell_behind"].is_array());
     for figure in [
@@ -81,14 +83,14 @@
     }
 }
 
-fn hollow_limiters_have_every_change(hollow: &Value) {
+fn hollow_limiters_get_every_change(hollow: &Value) {
     let events: Vec<_> = hollow["events"]
         .as_array()
-        .expect("events")
+        .expect("events is an array")
         .iter()
         .map(Value::as_str)
         .collect();
-    let wanted = [
+    let expected = [
         "list-changes",
         "zone-lost",
         "zone-back",
@@ -97,8 +99,8 @@
         "region-healed",
         "half-restarted",
     ];
-    assert_eq!(events, wanted.map(Some));
-    let changes = hollow["changes"].as_array().expect("changes");
+    assert_eq!(events, expected.map(Some));
+    let changes = hollow["changes"].as_array().expect("changes is an array");
     assert_eq!(changes.len(), 4);
     for change in changes {
         assert_eq!(count(change, "/missing"), 0, "{change}");
@@ -112,7 +114,7 @@
             "{change}"
         );
     }
-    // 24 at first, those of one zone again, and those of every second zone.
+    // 24 limiters at the start, 6 of the zone that comes back, and 12 of the restarted half.
     assert_eq!(count(hollow, "/first_list_s/count"), 24 + 6 + 12);
     assert_eq!(count(hollow, "/changes_missing"), 0);
     assert!(count(hollow, "/discovery/calls") >= 24 + 6 + 12);
@@ -125,14 +127,14 @@
     }
 }
 
-fn decisions_add_up(hollow: &Value) {
+fn decisions_are_consistent(hollow: &Value) {
     let of = |name: &str| count(hollow, &format!("/quota/decisions/{name}"));
     assert!(of("requests") > 0 && of("sent") > 0 && of("calls") > 0);
     assert_eq!(of("requests"), of("sent") + of("refused") + of("undecided"));
     let carried = count(hollow, "/counter/calls");
     assert!(
         of("calls_answered") <= carried && carried <= of("calls"),
-        "{carried} calls carried"
+        "the counter received {carried} calls"
     );
     let (sent, beyond) = (
         number(hollow, "/quota/audit/sent_units"),
@@ -141,9 +143,9 @@
     assert!(sent >= of("sent") as f64 && beyond >= 0.0 && beyond < sent);
 }
 
-fn membership_is_known(membership: &Value) {
+fn members_learn_of_every_event(membership: &Value) {
     assert_eq!(membership["time"], "virtual");
-    let events = membership["events"].as_array().expect("events");
+    let events = membership["events"].as_array().expect("events is an array");
     assert_eq!(events.len(), 6);
     for event in events {
         assert!(event["known_s"].is_number(), "{event}");
@@ -162,14 +164,16 @@
     assert!(of("served") > 0);
     let events: Vec<_> = real["events"]
         .as_array()
-        .expect("events")
+        .expect("events is an array")
         .iter()
         .map(Value::as_str)
         .collect();
     for event in ["configuration-changed", "half-restarted", "limiter-paused"] {
         assert!(events.contains(&Some(event)), "{event}: {events:?}");
     }
-    let changes = real["configuration_changes"].as_array().expect("changes");
+    let changes = real["configuration_changes"]
+        .as_array()
+        .expect("changes is an array");
     assert_eq!(changes.len(), 3);
     for change in changes {
         assert_eq!(
@@ -189,20 +193,20 @@
     assert!(number(real, "/counter_calls_per_limiter_s") > 0.0);
 }
 
-/// In virtual time the same seed gives the same figures, so that they can be looked at.
-fn quotas_are_played_by_each_mechanism(quota: &Value) {
-    let results = quota.as_array().expect("results");
+/// The same seed gives the same figures in virtual time, so they can be asserted.
+fn each_mechanism_runs_on_the_same_requests(quota: &Value) {
+    let results = quota.as_array().expect("quota is an array");
     let mechanisms: Vec<_> = results
         .iter()
         .map(|result| result["mechanism"].as_str())
         .collect();
     assert_eq!(mechanisms, [Some("counter"), Some("leases")]);
-    // The same requests for each.
+    // Every mechanism gets the same requests.
     let requests = |result: &Value| count(result, "/whole/requests");
     assert!(requests(&results[0]) > 0);
     assert_eq!(requests(&results[0]), requests(&results[1]));
     for result in results {
-        let phases = result["phases"].as_array().expect("phases");
+        let phases = result["phases"].as_array().expect("phases is an array");
         assert_eq!(
             phases
                 .iter()
@@ -228,7 +232,7 @@
         );
         assert!(number(result, "/whole/bytes_per_limiter_s") > 0.0);
         assert!(number(result, "/audit/sent_units") > number(result, "/audit/beyond_units"));
-        // What leases state without the parts kept for a cut is a looser bound than the quota itself.
+        // The bound of the leases, without the shares reserved for a partition, is looser than the quota.
         assert!(
             number(result, "/lease_bound_audit/beyond_units")
                 <= number(result, "/audit/beyond_units")
@@ -236,12 +240,14 @@
     }
 }
 
-/// One prediction holds, one is far off, one names a figure that is not there.
+/// One prediction agrees, one is far off, and one names a figure that does not exist.
 fn predictions_are_compared(report: &Value, printed: &str) {
-    let compared = report["predictions"].as_array().expect("predictions");
+    let compared = report["predictions"]
+        .as_array()
+        .expect("predictions is an array");
     let agrees = |figure: &str| {
         let found = compared.iter().find(|c| c["figure"] == figure);
-        found.unwrap_or_else(|| panic!("no {figure}"))["agrees"].as_bool()
+        found.unwrap_or_else(|| panic!("no comparison of {figure}"))["agrees"].as_bool()
     };
     assert_eq!(agrees("hollow.limiters"), Some(true));
     assert_eq!(agrees("hollow.processes"), Some(false));
@@ -253,13 +259,13 @@
 }
 
 #[test]
-fn a_bad_scenario_ends_the_program_with_its_name() {
+fn malformed_scenario_ends_the_program_with_an_error_that_names_the_file() {
     let bad = std::env::temp_dir().join(format!("mossrill-lab-bad-{}.toml", std::process::id()));
-    std::fs::write(&bad, "name = \"bad\"\nunknown = 1\n").expect("file");
-    let (good, _, fault) = lab(&["run", &bad.to_string_lossy()]);
+    std::fs::write(&bad, "name = \"bad\"\nunknown = 1\n").expect("writes the scenario file");
+    let (success, _, error) = run_lab(&["run", &bad.to_string_lossy()]);
     _ = std::fs::remove_file(&bad);
     assert!(
-        !good && fault.contains(&*bad.to_string_lossy()) && fault.contains("unknown"),
-        "{fault}"
+        !success && error.contains(&*bad.to_string_lossy()) && error.contains("unknown"),
+        "{error}"
     );
 }
