--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -1,5 +1,5 @@
-//! Audit of quotas: compares the units that all limiters together sent upstream for each tenant with
-//! the bound `rate * t + burst`.
+//! Audit of quotas: compares the units that all limiters together sent upstream for each tenant
+//! with the bound `rate * t + burst`.
 
 use crate::population::{Plan, Population};
 use std::collections::HashMap;
@@ -10,6 +10,7 @@
 /// Token bucket of one tenant. Units that exceed its level are beyond the quota.
 struct Bucket {
     level: f64,
+    /// Time in µs of the last refill.
     refilled_at: u64,
 }
 
@@ -19,6 +20,7 @@
     /// Seconds at the plan's rate by which each bucket is larger than the burst.
     slack_s: f64,
     buckets: HashMap<usize, Bucket>,
+    /// Units beyond the bound, by tenant.
     beyond: HashMap<usize, f64>,
     sent: f64,
 }
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the platform's quota counter: named counts over HTTP/1.1. Traffic is counted by zone.
+//! Stand-in for the platform's quota counter: named counts over HTTP/1.1. Traffic is counted by
+//! zone.
 
 use crate::error::LabError;
 use crate::messages::{Command, Reply};
--- a/lab/src/counter_mechanism.rs
+++ b/lab/src/counter_mechanism.rs
@@ -1,5 +1,5 @@
-//! Quotas by a shared counter: a real decision engine at each limiter, and counts that are sharded over
-//! the control machines by key. The counter has no processing time.
+//! Quotas by a shared counter: a real decision engine at each limiter, and counts that are sharded
+//! over the control machines by key. The counter has no processing time.
 
 use crate::counter;
 use crate::engine_host::{settings, CounterCall, Effects, EngineHost};
@@ -36,7 +36,9 @@
     population: Arc<Population>,
     seed: u64,
     hosts: Vec<EngineHost>,
+    /// Time of the next scheduled wake of each host; [`Micros::MAX`] for none.
     wake_at: Vec<Micros>,
+    /// Counts of each control machine by key.
     counts: Vec<HashMap<u64, f64>>,
     queue: EventQueue<Due>,
 }
--- a/lab/src/engine_host.rs
+++ b/lab/src/engine_host.rs
@@ -1,6 +1,6 @@
-//! Hosts one real decision engine (`mossrill::Engine`) for randomly drawn requests. It does no I/O and
-//! reads no clock: the caller passes the time in and carries out the counter calls. Its upstream
-//! servers are simulated and answer after a fixed time.
+//! Hosts one real decision engine (`mossrill::Engine`) for randomly drawn requests. It does no I/O
+//! and reads no clock: the caller passes the time in and carries out the counter calls. Its
+//! upstream servers are simulated and answer after a fixed time.
 
 use crate::messages::DecisionCounts;
 use crate::population::Population;
@@ -18,7 +18,7 @@
 const ANSWER_TIME: Micros = 1_000;
 /// Latency objective of all requests in µs.
 const LATENCY_OBJECTIVE: Micros = 2_000_000;
-/// Deadline of all requests in µs after their arrival.
+/// Deadline of all requests in µs after their arrival, and the time for which clients wait.
 const DEADLINE: Micros = 4_000_000;
 /// Timeout of a counter call in µs.
 pub const CALL_TIMEOUT: Micros = 50_000;
@@ -69,6 +69,7 @@
 struct OpenRequest {
     tenant: usize,
     units: f64,
+    /// Time of arrival in µs.
     arrived: Micros,
     /// Server of each attempt so far.
     attempts: Vec<ServerId>,
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -49,10 +49,10 @@
         source: crossbeam_channel::RecvTimeoutError,
     },
     /// A child process sent another reply than the expected one.
-    #[error("child process sent an unexpected reply: expected {wanted}, got {got}")]
+    #[error("child process sent an unexpected reply: expected {expected}, got {got}")]
     UnexpectedReply {
         /// Description of the expected reply.
-        wanted: &'static str,
+        expected: &'static str,
         /// The reply that came.
         got: String,
     },
@@ -106,9 +106,9 @@
     }
 
     /// Creates the error for a reply other than the expected one.
-    pub fn unexpected(wanted: &'static str, got: &impl std::fmt::Debug) -> Self {
+    pub fn unexpected(expected: &'static str, got: &impl std::fmt::Debug) -> Self {
         Self::UnexpectedReply {
-            wanted,
+            expected,
             got: format!("{got:?}"),
         }
     }
--- a/lab/src/hollow/decisions.rs
+++ b/lab/src/hollow/decisions.rs
@@ -1,4 +1,5 @@
-//! Drives the decision engines of hollow limiters in real time, with their connections to the counter.
+//! Drives the decision engines of hollow limiters in real time, with their connections to the
+//! counter.
 
 use super::SECOND;
 use crate::clock;
@@ -18,10 +19,11 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Maximum wait for an answer of the counter before orders and timers are checked again.
+/// Maximum wait for an answer of the counter before commands and timers are checked again.
 const MAX_WAIT: Duration = Duration::from_millis(20);
 
-/// The answer to a counter call: index of the limiter in this process, key of the count, outcome, total.
+/// The answer to a counter call: index of the limiter in this process, key of the count, outcome,
+/// total.
 type CounterAnswer = (usize, u64, Outcome, f64);
 
 /// Decisions of all limiters of this process.
@@ -31,34 +33,34 @@
     pub(super) units: Vec<TenantUnits>,
 }
 
-/// Order to the thread that drives the limiters.
-enum Order {
+/// Command to the thread that drives the limiters.
+enum DriverCommand {
     Begin,
     Finish(Sender<Decisions>),
 }
 
 /// Handle of the thread that drives the limiters of this process.
 pub(super) struct DecisionThread {
-    orders: Sender<Order>,
+    commands: Sender<DriverCommand>,
 }
 
 impl DecisionThread {
     pub(super) fn start(start: &HollowStart, port: u16) -> Result<Self, LabError> {
-        let (orders, received_orders) = unbounded();
+        let (commands, received_commands) = unbounded();
         let (answers, received_answers) = unbounded();
         let mut driver = Driver::new(start, port, answers);
-        let drive = move || driver.run(&received_orders, &received_answers);
+        let drive = move || driver.run(&received_commands, &received_answers);
         std::thread::Builder::new().spawn(drive)?;
-        Ok(Self { orders })
+        Ok(Self { commands })
     }
 
     pub(super) fn begin(&self) {
-        _ = self.orders.send(Order::Begin);
+        _ = self.commands.send(DriverCommand::Begin);
     }
 
     pub(super) fn finish(self) -> Decisions {
         let (reply, result) = bounded(1);
-        _ = self.orders.send(Order::Finish(reply));
+        _ = self.commands.send(DriverCommand::Finish(reply));
         result
             .recv_timeout(Duration::from_secs(10))
             .unwrap_or_default()
@@ -69,6 +71,7 @@
 struct HostedLimiter {
     host: EngineHost,
     traffic: LocalTraffic,
+    /// Unix time of the next request in µs.
     next_request: u64,
     calls: Sender<CounterCall>,
 }
@@ -80,6 +83,7 @@
     rng: StdRng,
     /// Units sent upstream, by second and tenant.
     units: HashMap<(u32, u32), f64>,
+    /// Unix time in µs at which the traffic began.
     began: Option<u64>,
 }
 
@@ -101,7 +105,8 @@
                         .wrapping_add(u64::from(limiter));
                     let (calls, received_calls) = unbounded();
                     let answers = answers.clone();
-                    // If the thread cannot be started, the calls of this limiter time out and are counted as lost.
+                    // If the thread cannot be started, the limiter's calls time out and are
+                    // counted as lost.
                     _ = stand_in::spawn(move || {
                         run_counter_connection(address, index, &received_calls, &answers)
                     });
@@ -123,11 +128,11 @@
         }
     }
 
-    fn run(&mut self, orders: &Receiver<Order>, answers: &Receiver<CounterAnswer>) {
+    fn run(&mut self, commands: &Receiver<DriverCommand>, answers: &Receiver<CounterAnswer>) {
         loop {
-            match orders.try_recv() {
-                Ok(Order::Begin) => self.begin(),
-                Ok(Order::Finish(reply)) => {
+            match commands.try_recv() {
+                Ok(DriverCommand::Begin) => self.begin(),
+                Ok(DriverCommand::Finish(reply)) => {
                     _ = reply.send(self.result());
                     return;
                 }
@@ -230,8 +235,8 @@
     }
 }
 
-/// Writes the calls of a limiter on one connection and opens a new one if it breaks. A second thread
-/// reads the answers.
+/// Writes the calls of a limiter on one connection and opens a new one if it breaks. A second
+/// thread reads the answers.
 fn run_counter_connection(
     address: SocketAddr,
     index: usize,
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -1,7 +1,7 @@
-//! The hollow (simulated) limiters of a zone in one process. Each watches the server list over TCP with
-//! the real reader (`mossrill::discovery`) and keeps a compact copy of it. If the scenario says so, each
-//! also decides randomly drawn requests in a real `mossrill::Engine` and calls the counter with the real
-//! codec. Hollow limiters have no client connections.
+//! The hollow (simulated) limiters of a zone in one process. Each watches the server list over TCP
+//! with the real reader (`mossrill::discovery`) and keeps a compact copy of it. If the scenario
+//! says so, each also decides randomly drawn requests in a real `mossrill::Engine` and calls the
+//! counter with the real codec. Hollow limiters have no client connections.
 
 mod decisions;
 
@@ -22,10 +22,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time for which a draining server may still receive requests. The reader derives its waits from it.
+/// Time for which a draining server may still receive requests. The reader derives its waits from
+/// it.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
 /// Interval at which the versions of all limiters are compared with the awaited one.
-const VERSION_POLL: Duration = Duration::from_millis(20);
+const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
@@ -143,7 +144,7 @@
         if lacking == 0 || Instant::now() >= deadline {
             return lacking;
         }
-        std::thread::sleep(VERSION_POLL);
+        std::thread::sleep(VERSION_POLL_INTERVAL);
     }
 }
 
--- a/lab/src/hollow_play/mod.rs
+++ b/lab/src/hollow_play/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the hollow (simulated) limiters of a scenario in real time: starts the stand-ins and one process
-//! for each zone, and carries out the events.
+//! Runs the hollow (simulated) limiters of a scenario in real time: starts the stand-ins and one
+//! process for each zone, and carries out the events.
 
 mod result;
 
@@ -14,18 +14,18 @@
 
 /// Maximum wait for a reply of a child process, apart from waits that the command asks for.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time in seconds for all limiters to get the first list; otherwise the report says that the machine
-/// fell behind.
+/// Time in seconds for all limiters to get the first list; otherwise the report says that the
+/// machine fell behind.
 const FIRST_LIST_TIMEOUT_S: u32 = 300;
 /// Time in seconds for all limiters to get the last change, which otherwise counts as missing.
 const LAST_CHANGE_TIMEOUT_S: u32 = 60;
-/// Maximum 99th percentile in ms of the lateness of timer ticks. Beyond it, the process counts as not
-/// keeping up.
+/// Maximum 99th percentile in ms of the lateness of timer ticks. Beyond it, the process counts as
+/// not keeping up.
 const MAX_TICK_LATENESS_MS: f64 = 50.0;
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
-/// The process of a zone.
+/// The process that runs the limiters of a zone.
 struct Host {
     zone: u32,
     /// Unix time of the start in µs.
@@ -55,6 +55,7 @@
 /// Traffic of discovery and of the counter, by zone.
 type Loads = (Vec<ZoneLoad>, Option<Vec<ZoneLoad>>);
 
+/// State of the run: child processes and what they reported.
 struct Play<'a> {
     scenario: &'a Scenario,
     seed: u64,
@@ -144,8 +145,8 @@
             events,
         };
         play.await_published("start")?;
-        // Zones start one after another: if all limiters read the whole list at the same time, they need
-        // more memory and CPU than the machine has.
+        // Zones start one after another: reading the whole list by all limiters at the same time
+        // would exceed the resources of the machine.
         for zone in 0..scenario.sizes.zones {
             play.start_host(zone)?;
             if let Some(host) = play.hosts.last_mut() {
@@ -257,6 +258,7 @@
         Ok(())
     }
 
+    /// Cuts the zones of a region off from the stand-ins, or reconnects them.
     fn cut(&mut self, region: u32, silent: bool) -> Result<(), LabError> {
         let zones: Vec<u32> = (0..self.scenario.sizes.zones)
             .filter(|zone| self.scenario.region_of_zone(*zone) == region)
@@ -275,6 +277,7 @@
             .try_for_each(|host| host.child.send(command))
     }
 
+    /// Waits until all limiters have this version and returns how many do not have it in time.
     fn await_version(&mut self, generation: u64, seconds: u32) -> Result<u32, LabError> {
         self.send_to_hosts(&Command::AwaitVersion {
             generation,
@@ -316,6 +319,7 @@
         Ok(())
     }
 
+    /// Ends all remaining processes, which have then run to the end of the play.
     fn finish(&mut self) -> Result<(), LabError> {
         let ended_before = self.ended.len();
         self.end_hosts(|_| true)?;
--- a/lab/src/hollow_play/result.rs
+++ b/lab/src/hollow_play/result.rs
@@ -7,8 +7,8 @@
 use crate::summary::Summary;
 use serde::Serialize;
 
-/// Results of the hollow limiters. Rates are averages over the time of the events, without the start
-/// of the limiters.
+/// Results of the hollow limiters. Rates are averages over the time of the events, without the
+/// start of the limiters.
 #[derive(Debug, Serialize)]
 pub struct HollowResult {
     /// Number of limiters.
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Builds the result of a change. Only limiters that ran from before the change to the end of the
-    /// play are counted.
+    /// Builds the result of a change. Only limiters that ran from before the change to the end of
+    /// the play are counted.
     fn change_result(&self, change: &Change) -> ChangeResult {
         let ran_throughout = |e: &&Ended| e.started < change.at && e.ran_to_end;
         let lists = self
--- a/lab/src/lease_mechanism.rs
+++ b/lab/src/lease_mechanism.rs
@@ -1,7 +1,7 @@
-//! Quotas by leases: a real holder (`mossrill::quota_lease::holder`) at each limiter and a real allocator
-//! at each control machine. They exchange messages by function calls in one process; bytes are counted as
-//! those of the encoded messages with their frames. The membership of the allocators is simulated with
-//! real views on a network in virtual time.
+//! Quotas by leases: a real holder (`mossrill::quota_lease::holder`) at each limiter and a real
+//! allocator at each control machine. They exchange messages by function calls in one process;
+//! bytes are counted as those of the encoded messages with their frames. The membership of the
+//! allocators is simulated with real views on a network in virtual time.
 
 use crate::event_queue::EventQueue;
 use crate::net::SimulatedNetwork;
@@ -24,9 +24,9 @@
 const MILLI_UNITS: f64 = 1e3;
 /// Length in bytes of the frame header before each message on a connection.
 const FRAME_BYTES: usize = 4;
-/// Step in µs in which the membership of the allocators is simulated.
+/// Time step in µs in which the membership of the allocators is simulated.
 const FLEET_STEP: Micros = 50_000;
-/// Minimum time in µs between two polls of a holder.
+/// Minimum delay in µs from a poll of a holder to the next one that the holder schedules.
 const MIN_POLL_INTERVAL: Micros = 100;
 
 /// A scheduled event of the simulation.
@@ -41,6 +41,7 @@
 struct Waiting {
     tenant: usize,
     units: f64,
+    /// Time of the request in µs.
     since: Micros,
 }
 
@@ -52,6 +53,7 @@
     settings: HolderSettings,
     allocator_settings: AllocatorSettings,
     holders: Vec<Holder>,
+    /// Time of the next scheduled poll of each holder; [`Micros::MAX`] for none.
     wake_at: Vec<Micros>,
     waiting: HashMap<(u32, WaiterId), Waiting>,
     allocators: Vec<Option<Allocator>>,
@@ -62,7 +64,8 @@
 }
 
 impl LeaseMechanism {
-    /// Creates the mechanism. All limiters, allocators and the network of the allocators start at `now`.
+    /// Creates the mechanism. All limiters, allocators and the network of the allocators start at
+    /// `now`.
     pub fn new(
         now: Micros,
         network: &QuotaNetwork,
@@ -215,8 +218,8 @@
     }
 
     fn on_grant_arrival(&mut self, now: Micros, limiter: u32, grant: &Grant, log: &mut QuotaLog) {
-        // The holder counts a grant that it rejects: one for an earlier incarnation of this limiter, or for
-        // a report that the holder has given up on.
+        // The holder counts a grant that it rejects: one for an earlier incarnation of this
+        // limiter, or for a report that the holder has given up on.
         if let Ok(answers) = self.holders[limiter as usize].on_grant(now, grant) {
             self.finish_waiting(now, limiter, answers, log);
         }
--- a/lab/src/load_generator.rs
+++ b/lab/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! Open-loop load generator. Requests start at randomly drawn times, whether or not earlier ones have
-//! been answered, and latency is measured from the intended start of a request.
+//! Open-loop load generator. Requests start at randomly drawn times, whether or not earlier ones
+//! have been answered, and latency is measured from the intended start of a request.
 
 use crate::error::LabError;
 use crate::population::{DrawnRequest, Population};
@@ -18,8 +18,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Number of connections to each limiter. Further concurrent requests wait for a free connection; the
-/// wait is part of their latency.
+/// Number of connections to each limiter. Further concurrent requests wait for a free connection;
+/// the wait is part of their latency.
 const CONNECTIONS_PER_LIMITER: usize = 48;
 /// Timeout of connecting and of reading an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -30,6 +30,7 @@
 
 /// A request to be sent.
 struct Job {
+    /// Intended start.
     intended: Instant,
     tenant: usize,
     units: u32,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Scale runs of mossrill.
+/// Runs scale tests of mossrill.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
--- a/lab/src/membership_play.rs
+++ b/lab/src/membership_play.rs
@@ -5,9 +5,10 @@
 use crate::scenario::{Event, Membership, Scenario};
 use serde::Serialize;
 
-/// Maximum time until all members know each other. If it passes, `settled_s` is missing from the report.
+/// Maximum virtual time in µs until all members know each other. If it passes, `settled_s` in
+/// the report is null.
 const SETTLE_TIMEOUT: u64 = 600 * SECOND;
-/// Maximum time after an event until all members know its consequences.
+/// Maximum virtual time in µs after an event until all members know its consequences.
 const EVENT_TIMEOUT: u64 = 120 * SECOND;
 
 /// Results of the membership run.
@@ -43,6 +44,7 @@
     pub bytes_per_member_s: f64,
 }
 
+/// State of the simulation.
 struct Play<'a> {
     scenario: &'a Scenario,
     net: SimulatedNetwork,
@@ -62,9 +64,9 @@
         members,
     };
     let idle_time = u64::from(scenario.duration_s.min(60)) * SECOND;
-    let cpu_s = crate::process_figures::cpu_seconds(None);
+    let cpu_before = crate::process_figures::cpu_seconds(None);
     let (datagrams, bytes) = play.rates(|play| play.net.run(idle_time));
-    let cpu_s = crate::process_figures::cpu_seconds(None) - cpu_s;
+    let cpu_s = crate::process_figures::cpu_seconds(None) - cpu_before;
     let member_seconds = f64::from(members) * idle_time as f64 / SECOND as f64;
     let events = scenario
         .events
--- a/lab/src/messages.rs
+++ b/lab/src/messages.rs
@@ -71,8 +71,8 @@
     Begin,
     /// Requests a [`Reply::Load`] with the traffic so far.
     Report,
-    /// Waits until all limiters have this version of the list, or the time has passed; the answer is
-    /// [`Reply::Lacking`].
+    /// Waits until all limiters have this version of the list, or the time has passed; the answer
+    /// is [`Reply::Lacking`].
     AwaitVersion {
         /// The version.
         generation: u64,
@@ -125,7 +125,8 @@
 pub struct HollowReport {
     /// Number of limiters.
     pub limiters: u32,
-    /// For each limiter, the versions of the list that it applied, with the Unix time of each in µs.
+    /// For each limiter, the versions of the list that it applied, with the Unix time of each in
+    /// µs.
     pub versions: Vec<Vec<(u64, u64)>>,
     /// CPU time since [`Command::Begin`] in seconds.
     pub cpu_s: f64,
--- a/lab/src/population.rs
+++ b/lab/src/population.rs
@@ -1,4 +1,5 @@
-//! The tenants of a scenario: their traffic, their quotas, and the limiters that receive their requests.
+//! The tenants of a scenario: their traffic, their quotas, and the limiters that receive their
+//! requests.
 
 use crate::scenario::Scenario;
 use rand::rngs::StdRng;
@@ -45,6 +46,7 @@
     pub tenants: Vec<Tenant>,
     /// The plans.
     pub plans: Vec<Plan>,
+    /// Sums of the requests per second up to each tenant.
     cumulative_rates: Vec<f64>,
     limiters: u32,
     mean_units: f64,
@@ -92,7 +94,8 @@
             })
             .collect();
         if traffic.giant_share > 0.0 {
-            // The giant tenant has such a large share of the traffic that it sends to every limiter.
+            // The giant tenant has such a large share of the traffic that it sends to every
+            // limiter.
             tenants[0].spread = limiters;
         }
         let mut sum = 0.0;
@@ -212,8 +215,8 @@
     }
 }
 
-/// Returns the index of the smallest plan whose rate is at least `quota`. For a tenant that exceeds its
-/// quota, it is the largest plan below `quota`.
+/// Returns the index of the smallest plan whose rate is at least `quota`. For a tenant that exceeds
+/// its quota, it is the largest plan below `quota`.
 fn plan_for(plans: &[Plan], quota: f64, over: bool) -> usize {
     let above = plans.partition_point(|plan| plan.rate < quota);
     let plan = if over { above.saturating_sub(1) } else { above };
--- a/lab/src/process_figures.rs
+++ b/lab/src/process_figures.rs
@@ -20,7 +20,8 @@
     let Ok(text) = std::fs::read_to_string(path(process, "stat")) else {
         return 0.0;
     };
-    // The program name in brackets may contain any characters, so fields are read after the last one.
+    // The program name in parentheses may itself contain any character, so the fields are read
+    // after the last closing parenthesis.
     let Some((_, fields)) = text.rsplit_once(')') else {
         return 0.0;
     };
@@ -30,6 +31,7 @@
             .nth(number)
             .and_then(|f| f.parse::<u64>().ok())
     };
+    // Counted from the field after the name: user time and system time.
     (field(11).unwrap_or(0) + field(12).unwrap_or(0)) as f64 / TICKS_PER_S
 }
 
--- a/lab/src/quota_log.rs
+++ b/lab/src/quota_log.rs
@@ -42,7 +42,8 @@
     pub waits: Histogram<u64>,
     /// Audit against `rate * t + burst`.
     pub audit: QuotaAudit,
-    /// Audit against the bound that leases guarantee while nothing fails: `rate * (t + lease) + burst`.
+    /// Audit against `rate * (t + lease) + burst`, the bound that leases guarantee while nothing
+    /// fails.
     pub lease_bound_audit: QuotaAudit,
 }
 
--- a/lab/src/quota_mechanism.rs
+++ b/lab/src/quota_mechanism.rs
@@ -25,7 +25,8 @@
     /// Applies a change of the network or of the machines.
     fn apply_change(&mut self, now: Micros, network: &QuotaNetwork, change: &NetworkChange);
 
-    /// Returns the mean number of accounts that a limiter holds; 0 if the mechanism does not report it.
+    /// Returns the mean number of accounts that a limiter holds; 0 if the mechanism does not report
+    /// it.
     fn accounts_per_limiter(&self) -> f64;
 
     /// Returns the mean size in bytes of these accounts, if the mechanism reports it.
--- a/lab/src/quota_network.rs
+++ b/lab/src/quota_network.rs
@@ -38,8 +38,8 @@
 }
 
 impl QuotaNetwork {
-    /// Creates a network in which everything is running. Control machines are assigned to the regions in
-    /// turn.
+    /// Creates a network in which everything is running. Control machines are assigned to the
+    /// regions in turn.
     pub fn new(scenario: &Scenario, quota: &Quota) -> Self {
         let sizes = &scenario.sizes;
         let region = |limiter| scenario.region_of_zone(scenario.zone_of_limiter(limiter));
@@ -73,8 +73,8 @@
         self.machine_up[machine as usize]
     }
 
-    /// Returns the side of the network partition that a control machine is on: 0 while its region is
-    /// connected, else a number of its own region.
+    /// Returns the side of the network partition that a control machine is on: 0 while its region
+    /// is connected, else a number of its own region.
     pub fn side_of_machine(&self, machine: u32) -> u8 {
         let region = self.region_of_machine[machine as usize];
         if self.region_cut[region as usize] {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Returns the one-way delay in µs between a limiter and a control machine, or `None` if a partition
-    /// separates them.
+    /// Returns the one-way delay in µs between a limiter and a control machine, or `None` if a
+    /// partition separates them.
     pub fn one_way(&self, limiter: u32, machine: u32) -> Option<Micros> {
         let limiter_region = self.region_of_limiter[limiter as usize];
         let machine_region = self.region_of_machine[machine as usize];
@@ -102,8 +102,8 @@
         self.paused_until[limiter as usize]
     }
 
-    /// Returns the limiter that serves a request sent to `limiter`: this one, or if it is down, the next
-    /// running one of the tenant's limiters. `None` if none of them is running.
+    /// Returns the limiter that serves a request sent to `limiter`: this one, or if it is down, the
+    /// next running one of the tenant's limiters. `None` if none of them is running.
     pub fn serving_limiter(
         &self,
         population: &Population,
--- a/lab/src/quota_play.rs
+++ b/lab/src/quota_play.rs
@@ -1,5 +1,5 @@
-//! Simulates the quotas of all limiters in virtual time, with the same randomly drawn requests and the
-//! same events for each mechanism in turn.
+//! Simulates the quotas of all limiters in virtual time, with the same randomly drawn requests and
+//! the same events for each mechanism in turn.
 
 use crate::audit::AuditResult;
 use crate::counter_mechanism::CounterMechanism;
@@ -52,11 +52,13 @@
     pub audit: AuditResult,
     /// Audit against `rate * (t + lease) + burst`, including the warm-up.
     pub lease_bound_audit: AuditResult,
-    /// Mean number of accounts that a limiter holds at the end; 0 if the mechanism does not report it.
+    /// Mean number of accounts that a limiter holds at the end; 0 if the mechanism does not report
+    /// it.
     pub accounts_per_limiter: f64,
     /// Mean size in bytes of these accounts, if the mechanism reports it.
     pub account_bytes_per_limiter: Option<f64>,
-    /// CPU seconds per limiter and virtual second, including control machines and the simulation itself.
+    /// CPU seconds per limiter and virtual second, including control machines and the simulation
+    /// itself.
     pub cpu_s_per_limiter_s: f64,
 }
 
@@ -91,7 +93,7 @@
     pub beyond_share: f64,
 }
 
-/// Running totals at the time of an event, between which a phase is measured.
+/// Running totals at the time of an event. A phase is measured between two of them.
 struct Checkpoint {
     event: &'static str,
     at: Micros,
@@ -100,6 +102,7 @@
     units: (f64, f64),
 }
 
+/// State of the simulation of one mechanism.
 struct Play<'a, M> {
     scenario: &'a Scenario,
     population: Arc<Population>,
@@ -107,6 +110,7 @@
     mechanism: M,
     log: QuotaLog,
     rng: StdRng,
+    /// Time of the next request in µs.
     next_request: Micros,
     /// Requests to paused limiters, by the time at which the pause ends.
     delayed: EventQueue<DrawnRequest>,
@@ -200,6 +204,7 @@
         }
     }
 
+    /// Draws the next request and passes it to its limiter, or delays it if the limiter is paused.
     fn draw_request(&mut self) {
         let now = self.next_request;
         let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
--- a/lab/src/real_play/mod.rs
+++ b/lab/src/real_play/mod.rs
@@ -1,5 +1,5 @@
-//! Runs real limiter processes under open-loop traffic. Upstream servers and the counter are stand-ins;
-//! everything else is real.
+//! Runs real limiter processes under open-loop traffic. Upstream servers and the counter are
+//! stand-ins; everything else is real.
 
 mod result;
 
@@ -36,8 +36,8 @@
 const MAX_START_TRIES: usize = 5;
 /// Interval at which processes are asked whether they use a new configuration.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum 99th percentile in ms of the delay with which requests are written. Beyond it, the generator
-/// counts as falling behind.
+/// Maximum 99th percentile in ms of the delay with which requests are written. Beyond it, the
+/// generator counts as falling behind.
 const MAX_LAG_MS: f64 = 20.0;
 
 /// A step of the run: an event, or a later consequence of one.
@@ -49,6 +49,7 @@
     ChangeConfiguration,
 }
 
+/// State of the run: child processes, limiter processes and measurements.
 struct Play {
     population: Arc<Population>,
     folder: PathBuf,
@@ -111,7 +112,8 @@
     ))
 }
 
-/// Returns the events of a scenario that concern real processes as steps, sorted by time in seconds.
+/// Returns the events of a scenario that concern real processes as steps, sorted by time in
+/// seconds.
 fn steps(scenario: &Scenario, real: &Real) -> Vec<(f64, Option<&'static str>, Step)> {
     let mut steps = Vec::new();
     for timed in &scenario.events {
@@ -135,8 +137,8 @@
     steps
 }
 
-/// Finds two ports that are free now. The range is below the ephemeral ports, which the system assigns
-/// to outgoing connections.
+/// Finds two ports that are free now. The range is below the ephemeral ports, which the system
+/// assigns to outgoing connections.
 fn free_ports(rng: &mut StdRng) -> Result<(u16, u16), LabError> {
     let mut free = Vec::new();
     for _ in 0..MAX_PORT_TRIES {
@@ -202,8 +204,8 @@
             events: Vec::new(),
         };
         play.files(real.limiters).write_description()?;
-        // Seeded with the process id, because other runs on this machine look for ports too and would
-        // otherwise try the same ones.
+        // Seeded with the process id, because other runs on this machine look for ports too and
+        // would otherwise try the same ones.
         let mut rng = StdRng::seed_from_u64(u64::from(std::process::id()));
         for number in 0..real.limiters {
             let file = play.folder.join(format!("limiter-{number}.json"));
@@ -213,7 +215,8 @@
         Ok(play)
     }
 
-    /// Starts a limiter. Tries other ports if another process has taken the free ones in the meantime.
+    /// Starts a limiter. Tries other ports if another process has taken the free ones in the
+    /// meantime.
     fn start_process(
         &self,
         number: u32,
@@ -290,8 +293,8 @@
         Ok(())
     }
 
-    /// Adds an entry to the server list of each configuration, signals all processes to reload it, and
-    /// waits until all use it.
+    /// Adds an entry to the server list of each configuration, signals all processes to reload it,
+    /// and waits until all use it.
     fn change_configuration(&mut self) -> Result<(), LabError> {
         self.extra_entries += 1;
         let limiters = self.processes.len() as u32;
--- a/lab/src/real_process.rs
+++ b/lab/src/real_process.rs
@@ -26,7 +26,8 @@
 }
 
 impl RealProcess {
-    /// Starts a limiter and waits until it is ready. Its log is written to a file beside its configuration.
+    /// Starts a limiter and waits until it is ready. Its log is written to a file beside its
+    /// configuration.
     pub fn start(program: &Path, setup: ProcessSetup) -> Result<Self, LabError> {
         let log = File::create(setup.file.with_extension("log"))?;
         let process = Command::new(program)
@@ -86,7 +87,8 @@
         Ok(ended.map(drop)?)
     }
 
-    /// Returns the number of upstream servers that the limiter knows, or `None` if it does not answer.
+    /// Returns the number of upstream servers that the limiter knows, or `None` if it does not
+    /// answer.
     pub fn servers_known(&self) -> Option<u32> {
         let text = self.call("show-stat").ok()?;
         let line = text
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -230,7 +230,8 @@
     }
 }
 
-/// Refuses a scenario whose upper estimate of processes or memory exceeds the limits of the machine.
+/// Refuses a scenario whose upper estimate of processes or memory exceeds the limits of the
+/// machine.
 fn check_machine(scenario: &Scenario) -> Checked {
     let processes = scenario.processes();
     if processes > PROCESS_LIMIT {
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -14,10 +14,11 @@
 pub const PROCESS_LIMIT: u32 = 300;
 /// Memory of one entry of the server list at a hollow limiter in bytes.
 pub const LIST_ENTRY_BYTES: u64 = 16;
-/// Memory in bytes that a limiter allocates for each entry while it reads the whole list. The heap of
-/// its thread keeps it afterwards: 30.6 MB per limiter were measured with 21,000 entries.
+/// Memory in bytes that a limiter allocates for each entry while it reads the whole list. The heap
+/// of its thread keeps it afterwards: 30.6 MB per limiter were measured with 21,000 entries.
 pub const LIST_READ_BYTES: u64 = 1_460;
-/// Memory of a hollow limiter in bytes without list and accounts: threads, buffers, decision engine.
+/// Memory of a hollow limiter in bytes without list and accounts: threads, buffers, decision
+/// engine.
 pub const HOLLOW_BASE_BYTES: u64 = 256 << 10;
 /// Memory of one account at one hollow limiter in bytes.
 pub const ACCOUNT_BYTES: u64 = 700;
@@ -63,7 +64,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name of the scenario in reports.
+    /// Name of the scenario, as in reports and predictions.
     pub name: String,
     /// Duration of each play in seconds, after its start or warm-up.
     pub duration_s: u32,
@@ -190,21 +191,22 @@
     pub round_trip_ms: f64,
     /// Round trip in ms between a limiter and a control machine of another region.
     pub far_round_trip_ms: f64,
-    /// Seconds of traffic before the measurement, so that buckets and leases reach their steady state.
+    /// Seconds of traffic before the measurement, so that buckets and leases reach their steady
+    /// state.
     pub warm_up_s: u32,
-    /// With leases: whether a request without leased units takes units of the fallback share at once
-    /// instead of waiting.
+    /// With leases: whether a request without leased units takes units of the fallback share at
+    /// once instead of waiting.
     #[serde(default)]
     pub trust: bool,
     /// With leases: minimum number of units that a limiter's fallback share holds.
     #[serde(default)]
     pub fallback_least: f64,
-    /// With leases: reports for which requests wait go out no closer than this.
+    /// With leases: minimum time in ms between two reports of a holder for which requests wait.
     #[serde(default = "default_spacing_ms")]
     pub spacing_ms: f64,
 }
 
-/// Closest reports, in milliseconds, where a scenario says nothing: as the holder has it.
+/// Default of `quota.spacing_ms`: the minimum spacing of reports in the default holder settings.
 fn default_spacing_ms() -> f64 {
     mossrill::quota_lease::holder::HolderSettings::default().min_report_spacing as f64 / 1e3
 }
@@ -283,8 +285,8 @@
 }
 
 impl Scenario {
-    /// Returns the number of processes of the run: one hollow process for each zone, the real limiters,
-    /// the stand-ins and the controller.
+    /// Returns the number of processes of the run: one hollow process for each zone, the real
+    /// limiters, the stand-ins and the controller.
     pub fn processes(&self) -> u32 {
         let hollow = if self.hollow.is_some() {
             self.sizes.zones
@@ -326,8 +328,8 @@
             .saturating_add(HARNESS_BYTES)
     }
 
-    /// Returns an upper estimate of the accounts that a limiter holds: those whose requests may come to
-    /// it, but no more than it receives requests.
+    /// Returns an upper estimate of the accounts that a limiter holds: those whose requests may
+    /// come to it, but no more than it receives requests.
     fn max_accounts_per_limiter(&self) -> u64 {
         let (sizes, traffic) = (&self.sizes, &self.traffic);
         let tenants = (f64::from(sizes.tenants) + f64::from(traffic.small_tenants)) * traffic.scale;
--- a/lab/src/server_list.rs
+++ b/lab/src/server_list.rs
@@ -1,4 +1,5 @@
-//! The server list of the discovery stand-in: entries, their changes, and their JSON text on the wire.
+//! The server list of the discovery stand-in: entries, their changes, and their JSON text on the
+//! wire.
 
 use rand::rngs::StdRng;
 use rand::seq::index::sample;
@@ -35,6 +36,7 @@
     zones: u32,
     generation: u64,
     rng: StdRng,
+    /// JSON text of the whole list.
     whole: Arc<str>,
     /// JSON text of the changes of each version, from version 2 on.
     changes: Vec<Arc<str>>,
@@ -70,8 +72,8 @@
         self.whole.clone()
     }
 
-    /// Returns the JSON texts of the changes after `generation`, one for each later version, or `None` if
-    /// the whole list has to be sent.
+    /// Returns the JSON texts of the changes after `generation`, one for each later version, or
+    /// `None` if the whole list has to be sent.
     pub fn changes_after(&self, generation: u64) -> Option<&[Arc<str>]> {
         let after = usize::try_from(generation.checked_sub(1)?).ok()?;
         self.changes.get(after..)
--- a/lab/src/stand_in.rs
+++ b/lab/src/stand_in.rs
@@ -1,5 +1,5 @@
-//! Common parts of all stand-ins: a listener for each zone, a thread for each connection, and traffic
-//! counters.
+//! Common parts of all stand-ins: a listener for each zone, a thread for each connection, and
+//! traffic counters.
 
 use crate::error::LabError;
 use crate::messages::{Command, Reply, Start, ZoneLoad};
@@ -62,8 +62,8 @@
     }
 }
 
-/// Opens a listener for each zone and serves each connection on its own thread. Returns the ports in
-/// the order of the zones.
+/// Opens a listener for each zone and serves each connection on its own thread. Returns the ports
+/// in the order of the zones.
 pub fn listen<S>(zones: &[Arc<ZoneCounters>], serve: S) -> io::Result<Vec<u16>>
 where
     S: Fn(TcpStream, &ZoneCounters) + Clone + Send + 'static,
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -159,7 +159,8 @@
         memory.contains("sizes.limiters") && memory.contains("MB of memory, the limit is"),
         "{memory}"
     );
-    // The heap of each limiter's thread keeps the memory that reading a list of 21,000 entries takes.
+    // The heap of each limiter's thread keeps the memory that reading a list of 21,000 entries
+    // takes.
     let large = VALID.replace("servers = 20", "servers = 21000");
     parse(
         "large.toml",
--- a/lab/tests/short_run.rs
+++ b/lab/tests/short_run.rs
@@ -1,5 +1,6 @@
-//! A complete run of small size: all events are carried out, every limiter gets every change, and the
-//! figures are consistent. No durations are asserted, because they depend on the load of the machine.
+//! A complete run of small size: all events are carried out, every limiter gets every change, and
+//! the figures are consistent. No durations are asserted, because they depend on the load of the
+//! machine.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -131,10 +132,10 @@
     let of = |name: &str| count(hollow, &format!("/quota/decisions/{name}"));
     assert!(of("requests") > 0 && of("sent") > 0 && of("calls") > 0);
     assert_eq!(of("requests"), of("sent") + of("refused") + of("undecided"));
-    let carried = count(hollow, "/counter/calls");
+    let received = count(hollow, "/counter/calls");
     assert!(
-        of("calls_answered") <= carried && carried <= of("calls"),
-        "the counter received {carried} calls"
+        of("calls_answered") <= received && received <= of("calls"),
+        "the counter received {received} calls"
     );
     let (sent, beyond) = (
         number(hollow, "/quota/audit/sent_units"),
@@ -232,7 +233,8 @@
         );
         assert!(number(result, "/whole/bytes_per_limiter_s") > 0.0);
         assert!(number(result, "/audit/sent_units") > number(result, "/audit/beyond_units"));
-        // The bound of the leases, without the shares reserved for a partition, is looser than the quota.
+        // The bound of the leases, without the shares reserved for a partition, is looser than the
+        // quota.
         assert!(
             number(result, "/lease_bound_audit/beyond_units")
                 <= number(result, "/audit/beyond_units")
